--- a/aspencroft/alerts/alerts.py
+++ b/aspencroft/alerts/alerts.py
@@ -35,8 +35,6 @@
 ) -> State:
     """A rule's next state: pending for its wait, then firing, and kept firing a while after it last held, so
     that a rule that flaps does not make the fleet flap.
-
-    Example: ``step(State(INACTIVE, now, now), True, moment.ZERO, keep, now).state == FIRING``
     """
     if holds:
         since = now if before.state == INACTIVE else before.since
@@ -48,10 +46,7 @@
 
 
 class Alerts:
-    """The work of the duty's holder. A new holder goes on from the states that were published.
-
-    Example: ``group.create_task(Alerts(own).run())``
-    """
+    """The work of the duty's holder. A new holder goes on from the states that were published."""
 
     def __init__(self, own: node.Node):
         self.node = own
@@ -63,30 +58,21 @@
         self.published = ""
 
     async def run(self) -> None:
-        """Compete for the duty; hear samples and evaluate while it is held.
-
-        Example: ``group.create_task(alerts.run())``
-        """
+        """Compete for the duty; hear samples and evaluate while it is held."""
         async with supervision.Group() as group:
             group.create_task(supervision.stand("alerts duty", self.duty.run, self.node.standing))
             group.create_task(supervision.stand("alerts hear", self.hear, self.node.standing))
             group.create_task(supervision.stand("alerts evaluate", self.evaluate, self.node.standing))
 
     async def hear(self) -> None:
-        """Take samples from nodes.
-
-        Example: ``group.create_task(alerts.hear())``
-        """
+        """Take samples from nodes."""
         while True:
             message = await self.duty.words.get()
             if isinstance(message, sample.Sampled) and (message.node in self.heard or len(self.heard) < MOST_NODES):
                 self.heard[message.node] = (clock.now(), message.samples)
 
     async def evaluate(self) -> None:
-        """One step a second while the duty is held.
-
-        Example: ``group.create_task(alerts.evaluate())``
-        """
+        """One step a second while the duty is held."""
         while True:
             await clock.sleep(STEP)
             if not self.duty.held():
@@ -118,10 +104,7 @@
                 await residency.publish(self.node, self.duty, TOPIC, body)
 
     def take_over(self, now: datetime.timedelta) -> None:
-        """Go on from what was published: what fires goes on firing while it is evaluated anew.
-
-        Example: ``alerts.take_over(now)``
-        """
+        """Go on from what was published: what fires goes on firing while it is evaluated anew."""
         known = self.node.relay.topics.get(TOPIC)
         shown = json.loads(known.body).get("rules", {}) if known is not None else {}
         self.states = {name: State(state, now, now) for name, state in shown.items()}
@@ -129,10 +112,7 @@
 
 
 def controls(rules: dict[str, alert_rule.Rule], states: dict[str, State]) -> dict:
-    """What firing rules ask of the rest duty, the residency duty and the edges.
-
-    Example: ``controls(rules, states)["shed"] == 5``
-    """
+    """What firing rules ask of the rest duty, the residency duty and the edges."""
     firing = [one for name, one in rules.items() if states[name].state == FIRING]
     return {
         "keep_awake": any(one.control == alert_rule.KEEP_AWAKE for one in firing),
--- a/aspencroft/alerts/sample.py
+++ b/aspencroft/alerts/sample.py
@@ -17,10 +17,7 @@
 @codec.kind(171)
 @dataclasses.dataclass(frozen=True)
 class Sample:
-    """One number under a metric's name and labels.
-
-    Example: ``Sample("aspencroft_parked", (Label("node", "a:1"),), 3.0)``
-    """
+    """One number under a metric's name and labels."""
 
     name: str
     labels: tuple[Label, ...]
@@ -37,8 +34,5 @@
 
 
 def sample(name: str, value: float, **labels: str) -> Sample:
-    """A sample with labels by name.
-
-    Example: ``sample("aspencroft_pair_serving", 1.0, pair="0")``
-    """
+    """A sample with labels by name."""
     return Sample(name, tuple(Label(key, labels[key]) for key in sorted(labels)), float(value))
--- a/aspencroft/benchmarks/calls.py
+++ b/aspencroft/benchmarks/calls.py
@@ -20,10 +20,7 @@
 
 
 def book(world: forwarding.World) -> collections.Counter:
-    """Book the processor time of every callback to the node in whose life it runs, from now on.
-
-    Example: ``booked = book(world)``
-    """
+    """Book the processor time of every callback to the node in whose life it runs, from now on."""
     booked: collections.Counter = collections.Counter()
     plain = world.loop.run_handle
 
@@ -38,18 +35,12 @@
 
 
 def of_roles(booked: collections.Counter) -> dict[str, float]:
-    """Processor seconds by role.
-
-    Example: ``of_roles(booked)["edge"]``
-    """
+    """Processor seconds by role."""
     return {role: sum(spent for name, spent in booked.items() if name.split("-")[0] == role) for role in ROLES}
 
 
 def run(seed: int, rate: float, tokens: int, seconds: float) -> dict:
-    """A calm world under so many programs a second; counts and processor seconds, those of idling taken off.
-
-    Example: ``run(1, 2.0, 60, 20)["edge, ms a try"]``
-    """
+    """A calm world under so many programs a second; counts and processor seconds, those of idling taken off."""
     found: dict = {"rate": rate, "tokens a turn": tokens}
 
     async def story(world: forwarding.World) -> None:
--- a/aspencroft/benchmarks/catchup.py
+++ b/aspencroft/benchmarks/catchup.py
@@ -63,18 +63,12 @@
 
 
 def folder_bytes(folder: pathlib.Path) -> int:
-    """What all files of all generations take.
-
-    Example: ``folder_bytes(path)``
-    """
+    """What all files of all generations take."""
     return sum(path.stat().st_size for path in folder.rglob("*") if path.is_file())
 
 
 async def take(one: replica.Replica, command) -> tuple[replica.Entry, ...]:
-    """Have a command decided and appended, as a primary would.
-
-    Example: ``entries = await take(one, command)``
-    """
+    """Have a command decided and appended, as a primary would."""
     events, _ = one.view.decide(command, clock.now(), 1)
     place = one.last().sequence
     entries = tuple(replica.Entry(1, place + n, codec.tagged(event)) for n, event in enumerate(events, 1))
@@ -83,10 +77,7 @@
 
 
 async def member_run(folder: pathlib.Path, make_view, commands: list) -> str:
-    """Let one member take commands while another is away, then bring that one up; a line of the table.
-
-    Example: ``await member_run(folder, control_state.ControlState, commands)``
-    """
+    """Let one member take commands while another is away, then bring that one up; a line of the table."""
     those = members.Members(folder, 2, 2, 2)
     await those.begin(2)
     for one in those.hosts.values():
@@ -120,10 +111,7 @@
 
 
 def member(make_view, commands: list) -> str:
-    """A run in simulated time, in a folder of its own.
-
-    Example: ``member(control_state.ControlState, commands)``
-    """
+    """A run in simulated time, in a folder of its own."""
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=loop.SimLoop) as runner:
         return runner.run(member_run(pathlib.Path(folder), make_view, commands))
 
@@ -136,16 +124,10 @@
         self.sizes: list[int] = []
 
     def tell(self, address: str, message, epoch: int = 0) -> None:
-        """Nobody listens.
-
-        Example: ``link.tell("a:1", updates.Push())``
-        """
+        """Nobody listens."""
 
     async def ask(self, address: str, message, within, epoch: int = 0):
-        """The parent's answer.
-
-        Example: ``await link.ask("a:1", message, within)``
-        """
+        """The parent's answer."""
         await clock.sleep(clock.seconds(0.002))
         fetched = isinstance(message, updates.FetchPlan)
         reply = self.parent.answer_fetch(message) if fetched else self.parent.answer_pull(message, True)
@@ -154,10 +136,7 @@
 
 
 async def relay_run(routes: int, changes: int) -> str:
-    """Let a child of the root be away for so many changes, then pull; a line of the table.
-
-    Example: ``await relay_run(40, 500)``
-    """
+    """Let a child of the root be away for so many changes, then pull; a line of the table."""
     link, view = RelayLink(), control_state.ControlState()
 
     def relay_of(address: str) -> relay.Relay:
--- a/aspencroft/benchmarks/configuration_changes.py
+++ b/aspencroft/benchmarks/configuration_changes.py
@@ -18,10 +18,7 @@
 
 
 def item(number: int, hosts: int, mark: int = 0) -> operator_configuration.Item:
-    """A route among many.
-
-    Example: ``item(3, 10)``
-    """
+    """A route among many."""
     spec = {
         "host": f"h{number % hosts}.example",
         "prefix": f"/p{number}/x/",
@@ -38,10 +35,7 @@
 
 
 def whole(count: int, hosts: int) -> operator_configuration.ApplyConfiguration:
-    """A first configuration of so many routes.
-
-    Example: ``whole(100, 10)``
-    """
+    """A first configuration of so many routes."""
     services = [
         operator_configuration.Item("services", f"s{number}", "{}", "services", f"s{number}", '{"kind": "plain"}')
         for number in range(7)
@@ -52,29 +46,20 @@
 
 
 def timed(work) -> tuple[float, object]:
-    """Seconds that work takes, and what it gives.
-
-    Example: ``span, value = timed(lambda: 3)``
-    """
+    """Seconds that work takes, and what it gives."""
     began = time.perf_counter()
     value = work()
     return time.perf_counter() - began, value
 
 
 def taken(view: control_state.ControlState, command) -> None:
-    """Decide a command and fold its events.
-
-    Example: ``taken(control.Control(), whole(10, 1))``
-    """
+    """Decide a command and fold its events."""
     for event in view.decide(command, NOW, 1)[0]:
         view.fold(event)
 
 
 def run(count: int, hosts: int) -> dict:
-    """The figures for so many routes over so many hosts.
-
-    Example: ``run(100, 10)["match us"]``
-    """
+    """The figures for so many routes over so many hosts."""
     chance = random.Random(count)
     view = control_state.ControlState()
     first = whole(count, hosts)
--- a/aspencroft/benchmarks/hollow.py
+++ b/aspencroft/benchmarks/hollow.py
@@ -38,10 +38,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """How large a hollow fleet is, and how far its regions lie from each other.
-
-    Example: ``Shape(nodes=64, cores=5, storages=6, regions=7, zones=28, far=0.04, seed=1)``
-    """
+    """How large a hollow fleet is, and how far its regions lie from each other."""
 
     nodes: int = 64
     cores: int = 5
@@ -54,10 +51,7 @@
     currency: float = 4.0
 
     def faults(self) -> list[str]:
-        """What is out of bounds; empty when nothing is.
-
-        Example: ``Shape(nodes=1).faults()``
-        """
+        """What is out of bounds; empty when nothing is."""
         found = []
         for name, least, most in (
             ("nodes", LEAST_NODES, MOST_NODES),
@@ -81,25 +75,15 @@
     """The real file system, without threads: the loop's clock stands still meanwhile."""
 
     async def perform(self, function, *arguments):
-        """Run file work at once.
-
-        Example: ``await disk.perform(path.read_bytes)``
-        """
+        """Run file work at once."""
         return function(*arguments)
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """Nothing lasts longer than the run.
-
-        Example: ``disk.synchronise(path)``
-        """
+        """Nothing lasts longer than the run."""
 
 
 class Fleet:
-    """Hollow nodes, their wire, and the means to hurt them.
-
-    Example: ``async with`` is not needed: ``fleet.start(name)``, ``fleet.kill(name, silent=True)``,
-    ``await fleet.end()``.
-    """
+    """Hollow nodes, their wire, and the means to hurt them."""
 
     def __init__(self, shape: Shape, folder: pathlib.Path):
         self.shape = shape
@@ -125,10 +109,7 @@
         self.tasks: dict[str, asyncio.Task] = {}
 
     def place(self, name: str) -> settings.Settings:
-        """A node's settings.
-
-        Example: ``fleet.place("edge-0:1").role``
-        """
+        """A node's settings."""
         role = self.roles[name]
         raw = {
             "address": name,
@@ -143,10 +124,7 @@
         return settings.check(raw)
 
     def start(self, name: str) -> None:
-        """Start a node.
-
-        Example: ``fleet.start("edge-0:1")``
-        """
+        """Start a node."""
         self.wire.dark.discard(name)
         around = environment.Environment(
             wire.Network(self.wire, name),
@@ -159,10 +137,7 @@
         self.tasks[name] = self.loop.create_task(self.live(own), context=virtual.context_of(name))
 
     async def live(self, own: node.Node) -> None:
-        """A hollow node's life: all that a daemon runs but its traffic, its workers and its pages.
-
-        Example: ``loop.create_task(fleet.live(own))``
-        """
+        """A hollow node's life: all that a daemon runs but its traffic, its workers and its pages."""
         async with asyncio.TaskGroup() as group:
             group.create_task(own.run())
             if own.settings.role != settings.EDGE:
@@ -176,8 +151,6 @@
         """Hand every node the table that it would have after a join and has passed on, as bytes.
 
         So that each holds its own.
-
-        Example: ``fleet.warm_up()``
         """
         entries = tuple(own.ring.me for own in self.nodes.values())
         for name, own in self.nodes.items():
@@ -185,17 +158,11 @@
             own.ring.peers.taken()
 
     def copied(self, own: node.Node, entries: tuple[cluster_member.ClusterMember, ...]) -> cluster_member.Table:
-        """A table of entries that went through the form of the wire.
-
-        Example: ``fleet.copied(own, entries)``
-        """
+        """A table of entries that went through the form of the wire."""
         return codec.unpack(cluster_member.Table, codec.pack(cluster_member.Table(entries, (), own.proposer.voter_set)))
 
     def kill(self, name: str, silent: bool) -> None:
-        """End a node: its streams break, or, when its machine is lost, fall silent.
-
-        Example: ``fleet.kill("edge-0:1", silent=True)``
-        """
+        """End a node: its streams break, or, when its machine is lost, fall silent."""
         if silent:
             self.wire.dark.add(name)
         self.wire.listeners.pop(name, None)
@@ -203,36 +170,24 @@
         self.nodes.pop(name)
 
     def leader(self) -> node.Node | None:
-        """The control group's primary, if there is one under a claim.
-
-        Example: ``fleet.leader()``
-        """
+        """The control group's primary, if there is one under a claim."""
         for own in self.nodes.values():
             if 0 in own.hosts and own.hosts[0].claimed() and own.hosts[0].why == "serving":
                 return own
         return None
 
     def knows_all(self) -> bool:
-        """Whether every node thinks that just the running ones live.
-
-        Example: ``fleet.knows_all()``
-        """
+        """Whether every node thinks that just the running ones live."""
         running = set(self.nodes)
         return all(set(own.ring.live()) == running for own in self.nodes.values())
 
     def current(self) -> bool:
-        """Whether every node may act on the newest configuration.
-
-        Example: ``fleet.current()``
-        """
+        """Whether every node may act on the newest configuration."""
         newest = max(own.relay.revision for own in self.nodes.values())
         return all(own.relay.current() and own.relay.revision == newest for own in self.nodes.values())
 
     async def until(self, condition, within: float) -> float:
-        """Wait for a condition; virtual seconds waited, or -1 when it did not come.
-
-        Example: ``await fleet.until(fleet.current, 60)``
-        """
+        """Wait for a condition; virtual seconds waited, or -1 when it did not come."""
         began = self.loop.time()
         while not condition():
             if self.loop.time() - began > within:
@@ -241,10 +196,7 @@
         return self.loop.time() - began
 
     async def end(self) -> None:
-        """Stop all nodes.
-
-        Example: ``await fleet.end()``
-        """
+        """Stop all nodes."""
         for name in list(self.tasks):
             self.tasks.pop(name).cancel()
         await asyncio.sleep(0.5)
@@ -261,10 +213,7 @@
 
     @staticmethod
     def of(fleet: Fleet) -> "Books":
-        """The counters now.
-
-        Example: ``Books.of(fleet)``
-        """
+        """The counters now."""
         return Books(
             fleet.loop.time(),
             time.process_time(),
@@ -274,10 +223,7 @@
 
 
 def per_node(before: Books, after: Books, names: list[str]) -> dict:
-    """Costs a second of each of some nodes: mean and most.
-
-    Example: ``per_node(before, after, ["edge-0:1"])["processor, % of a core"]["mean"]``
-    """
+    """Costs a second of each of some nodes: mean and most."""
     span = after.at - before.at
     blank = wire.Traffic()
 
@@ -300,10 +246,7 @@
 
 
 def costs(fleet: Fleet, before: Books, after: Books) -> dict:
-    """Costs a second by role, of the relay's root and inner nodes, of witnesses, and of the wire itself.
-
-    Example: ``costs(fleet, before, after)["all"]``
-    """
+    """Costs a second by role, of the relay's root and inner nodes, of witnesses, and of the wire itself."""
     alive = list(fleet.nodes)
     root = fleet.leader()
     inner = [name for name, own in fleet.nodes.items() if own.relay.children and own is not root]
@@ -342,10 +285,7 @@
 
 
 def depths(fleet: Fleet) -> dict:
-    """How many steps nodes lie below the relay's root, and how many children a node has at most.
-
-    Example: ``depths(fleet)["most"]``
-    """
+    """How many steps nodes lie below the relay's root, and how many children a node has at most."""
     parents = {name: own.relay.parent() for name, own in fleet.nodes.items()}
     found = []
     for name in parents:
@@ -362,10 +302,7 @@
 
 
 async def written(fleet: Fleet, number: int) -> dict:
-    """One change of the configuration from an edge: when it was in force on each node, and when acknowledged.
-
-    Example: ``await written(fleet, 1)``
-    """
+    """One change of the configuration from an edge: when it was in force on each node, and when acknowledged."""
     edges = [name for name in fleet.nodes if fleet.roles[name] == settings.EDGE]
     own = fleet.nodes[fleet.chance.choice(edges)]
     body = json.dumps({"services": {f"s{number}": {"kind": "plain"}}})
@@ -395,10 +332,7 @@
 
 
 async def noticed(fleet: Fleet, victims: set[str], within: float) -> dict:
-    """How long after a loss the other nodes think that the victims are down, by node and victim.
-
-    Example: ``await noticed(fleet, {"edge-1:1"}, 20)``
-    """
+    """How long after a loss the other nodes think that the victims are down, by node and victim."""
     began, seen = fleet.loop.time(), {}
     before = Books.of(fleet)
     open_pairs = {(name, victim) for name in fleet.nodes for victim in victims}
@@ -421,10 +355,7 @@
 
 
 def lump(before: Books, after: Books, names: list[str]) -> dict:
-    """What an event cost a node in all, its idle running included: processor seconds and bytes sent, over a span.
-
-    Example: ``lump(before, after, list(fleet.nodes))["bytes sent"]``
-    """
+    """What an event cost a node in all, its idle running included: processor seconds and bytes sent, over a span."""
     blank = wire.Traffic()
     processor = sum(after.booked.get(name, 0.0) - before.booked.get(name, 0.0) for name in names)
     sent = sum(after.traffic.get(name, blank).sent_bytes - before.traffic.get(name, blank).sent_bytes for name in names)
@@ -436,10 +367,7 @@
 
 
 async def back(fleet: Fleet, names: set[str], within: float) -> dict:
-    """Start nodes again, and how long until all know them, and all may act on the configuration.
-
-    Example: ``await back(fleet, {"edge-1:1"}, 60)``
-    """
+    """Start nodes again, and how long until all know them, and all may act on the configuration."""
     before = Books.of(fleet)
     for name in sorted(names):
         fleet.start(name)
@@ -463,10 +391,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Acts:
-    """What is done to a hollow fleet once it has formed, in this order; zero leaves an act out.
-
-    Example: ``Acts(idle=20, writes=5, kill=1)``
-    """
+    """What is done to a hollow fleet once it has formed, in this order; zero leaves an act out."""
 
     idle: float = 20.0
     writes: int = 5
@@ -479,10 +404,7 @@
     profile: str = ""
 
     def faults(self, shape: Shape) -> list[str]:
-        """What is out of bounds; empty when nothing is.
-
-        Example: ``Acts(idle=-1).faults(Shape())``
-        """
+        """What is out of bounds; empty when nothing is."""
         edges = shape.nodes - shape.cores - shape.storages
         found = []
         for name, most in (
@@ -501,10 +423,7 @@
 
 
 async def whole(shape: Shape, acts: Acts, folder: pathlib.Path, say) -> dict:
-    """Form a fleet, let it idle, change its configuration, hurt it; the figures.
-
-    Example: ``await whole(Shape(), Acts(), folder, print)``
-    """
+    """Form a fleet, let it idle, change its configuration, hurt it; the figures."""
     empty = memory()
     fleet = Fleet(shape, folder)
     told: dict = {"shape": dataclasses.asdict(shape), "clock": "virtual"}
@@ -588,10 +507,7 @@
 
 
 async def idled(fleet: Fleet, acts: Acts, told: dict) -> None:
-    """Measure a fleet that does nothing but live.
-
-    Example: ``await idled(fleet, Acts(idle=20), told)``
-    """
+    """Measure a fleet that does nothing but live."""
     profile = None
     if acts.profile:
         profile = cProfile.Profile()
@@ -607,10 +523,7 @@
 
 
 async def restarted(fleet: Fleet, names: list[str]) -> dict:
-    """Planned restarts, one after another: each leaves, ends, and starts again after a second.
-
-    Example: ``await restarted(fleet, ["edge-1:1"])``
-    """
+    """Planned restarts, one after another: each leaves, ends, and starts again after a second."""
     rows, before = [], Books.of(fleet)
     for name in names:
         virtual.context_of(name).run(fleet.nodes[name].ring.leave)
@@ -628,10 +541,7 @@
 
 
 async def led(fleet: Fleet) -> dict:
-    """Lose the control primary's machine: when another serves, and how many nodes lost their claim to act meanwhile.
-
-    Example: ``await led(fleet)``
-    """
+    """Lose the control primary's machine: when another serves, and how many nodes lost their claim to act meanwhile."""
     victim = fleet.leader().address
     fleet.kill(victim, True)
     began, stale, ahead, change = fleet.loop.time(), set(), -1.0, None
@@ -652,10 +562,7 @@
 
 
 async def parted(fleet: Fleet, seconds: float) -> dict:
-    """Cut one region without the control primary off from all others, and let it come back.
-
-    Example: ``await parted(fleet, 30)``
-    """
+    """Cut one region without the control primary off from all others, and let it come back."""
     home = wire.region_of(fleet.zones[fleet.leader().address])
     regions = sorted({wire.region_of(zone) for zone in fleet.zones.values()})
     away = next((one for one in regions if one != home), None)
@@ -697,10 +604,7 @@
 
 
 async def written_outside(fleet: Fleet, inside: set[str]) -> float:
-    """How long a change takes while a region is cut off, said to a node outside of it.
-
-    Example: ``await written_outside(fleet, set())``
-    """
+    """How long a change takes while a region is cut off, said to a node outside of it."""
     own = next(one for name, one in fleet.nodes.items() if name not in inside and fleet.roles[name] == settings.EDGE)
     began = fleet.loop.time()
     try:
@@ -714,10 +618,7 @@
 
 
 def run(shape: Shape, acts: Acts, say=lambda text: None) -> dict:
-    """Run a hollow fleet in a folder of its own; the figures.
-
-    Example: ``run(Shape(nodes=16), Acts())["idle"]["all"]``
-    """
+    """Run a hollow fleet in a folder of its own; the figures."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-hollow-"))
     began = time.monotonic()
     try:
@@ -730,16 +631,10 @@
 
 
 def line(began: float, text: str) -> None:
-    """Say on standard error how far a run is.
-
-    Example: ``functools.partial(line, time.monotonic())``
-    """
+    """Say on standard error how far a run is."""
     print(f"{time.monotonic() - began:7.1f} s  {text}", file=sys.stderr, flush=True)
 
 
 def progress():
-    """A function that says how far a run is.
-
-    Example: ``run(shape, acts, progress())``
-    """
+    """A function that says how far a run is."""
     return functools.partial(line, time.monotonic())
--- a/aspencroft/benchmarks/real.py
+++ b/aspencroft/benchmarks/real.py
@@ -28,10 +28,7 @@
 
 
 async def measured(drive: fleet.Drive, seconds: float) -> dict:
-    """Processor share of each role's processes over so many seconds, and their memory.
-
-    Example: ``await measured(drive, 20)``
-    """
+    """Processor share of each role's processes over so many seconds, and their memory."""
     place = drive.yard
     before = {number: used(one.pid) for number, one in place.processes.items()}
     began = drive.loop.time()
--- a/aspencroft/benchmarks/repair.py
+++ b/aspencroft/benchmarks/repair.py
@@ -30,10 +30,7 @@
         self.longest: dict[str, float] = {}
 
     def call_soon(self, callback, *arguments, context=None):
-        """Run a callback next, and note how long it held the loop.
-
-        Example: ``loop.call_soon(print, 1)``
-        """
+        """Run a callback next, and note how long it held the loop."""
         owner = context.get(virtual.OWNER, "") if context is not None else ""
 
         def timed(*given):
@@ -47,18 +44,12 @@
 
     @staticmethod
     def booked_now() -> float:
-        """Processor seconds of this thread so far.
-
-        Example: ``loop.booked_now()``
-        """
+        """Processor seconds of this thread so far."""
         return time.thread_time()
 
 
 async def fill(fleet: hollow.Fleet, turns: int, size: int, chance: random.Random) -> None:
-    """Begin and end so many turns, each of a program of its own, from an edge.
-
-    Example: ``await fill(fleet, 100, 1000, random.Random(1))``
-    """
+    """Begin and end so many turns, each of a program of its own, from an edge."""
     own = fleet.nodes["edge-0:1"]
     numbers = iter(range(turns))
     life = own.life()
@@ -101,10 +92,7 @@
 
 
 def served(fleet: hollow.Fleet, without: str) -> bool:
-    """Whether the group is served with all its copies, none of them on a node.
-
-    Example: ``served(fleet, "storage-1:1")``
-    """
+    """Whether the group is served with all its copies, none of them on a node."""
     for own in fleet.nodes.values():
         held = own.hosts.get(GROUP)
         if held is not None and held.claimed() and held.why == "serving":
@@ -114,10 +102,7 @@
 
 
 async def whole(turns: int, size: int, seed: int, folder: pathlib.Path, timer: slopes.Clock) -> None:
-    """Fill a group, lose its backup, its primary, and start one again; figures go to the clock.
-
-    Example: ``await whole(100, 1000, 1, folder, slopes.Clock())``
-    """
+    """Fill a group, lose its backup, its primary, and start one again; figures go to the clock."""
     fleet = hollow.Fleet(SHAPE, folder)
     loop = fleet.loop
     for name in fleet.roles:
--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -36,19 +36,13 @@
 
 
 class Clock:
-    """Processor milliseconds of pieces of work, by name, over repeats.
-
-    Example: ``with clock("compile"): ...``
-    """
+    """Processor milliseconds of pieces of work, by name, over repeats."""
 
     def __init__(self):
         self.rows: dict[str, list[float]] = {}
 
     def __call__(self, name: str, work, count: int = 1):
-        """Time a piece of work that is done so many times within; what it gave.
-
-        Example: ``clock("compile", lambda: plan.of(document))``
-        """
+        """Time a piece of work that is done so many times within; what it gave."""
         gc.collect()
         began = time.process_time()
         found = work()
@@ -56,10 +50,7 @@
         return found
 
     def memory(self, name: str, work, scale: float):
-        """Note the memory that a piece of work's result holds, by the interpreter's own count, divided by a scale.
-
-        Example: ``clock.memory("memory, bytes a turn", lambda: turned(10, 1, 400, chance), 10)``
-        """
+        """Note the memory that a piece of work's result holds, by the interpreter's own count, divided by a scale."""
         gc.collect()
         tracemalloc.start()
         found = work()
@@ -69,17 +60,11 @@
         return found
 
     def note(self, name: str, value: float) -> None:
-        """Note a figure that is no time.
-
-        Example: ``clock.note("bytes", 5)``
-        """
+        """Note a figure that is no time."""
         self.rows.setdefault(name, []).append(value)
 
     def shown(self) -> dict:
-        """Least, median and most of each row.
-
-        Example: ``clock.shown()["compile, ms"]``
-        """
+        """Least, median and most of each row."""
         return {
             name: [float(f"{one:.4g}") for one in (min(row), statistics.median(row), max(row))]
             for name, row in self.rows.items()
@@ -87,10 +72,7 @@
 
 
 def table(name: str, seed: int, rows: list[dict]) -> None:
-    """Print a slope's rows, least, median and most of each figure, as one JSON object.
-
-    Example: ``table("configuration", 1, rows)``
-    """
+    """Print a slope's rows, least, median and most of each figure, as one JSON object."""
     print(
         json.dumps(
             {
@@ -106,10 +88,7 @@
 
 
 def bounded(sizes: list[int], least: int, most: int) -> None:
-    """End the program when a size is out of bounds.
-
-    Example: ``bounded([100], 1, 1000)``
-    """
+    """End the program when a size is out of bounds."""
     if not sizes or not all(least <= one <= most for one in sizes):
         sys.exit(f"sizes: from {least} to {most} each")
 
@@ -183,10 +162,7 @@
 
 
 def believed(workers: int, programs: int, chance: random.Random) -> residency.Residency:
-    """A residency duty that believes so many workers full of parked KV, and has heard so many programs.
-
-    Example: ``believed(10, 100, random.Random(1)).decide(moment.seconds(100))``
-    """
+    """A residency duty that believes so many workers full of parked KV, and has heard so many programs."""
     services = {f"model-{number}": {"kind": "model", "size": 15_000_000_000} for number in range(SERVICES)}
     typed = resources.of({"services": services, "lanes": {"chat": {"kind": "turns", "services": sorted(services)}}})
     relays = types.SimpleNamespace(plan=typed, topics={})
@@ -265,10 +241,7 @@
 
 
 def turned(programs: int, turns: int, size: int, chance: random.Random) -> ledger.Ledger:
-    """A ledger of so many programs of so many turns each, with so many bytes a turn.
-
-    Example: ``turned(10, 3, 100, random.Random(1)).size()``
-    """
+    """A ledger of so many programs of so many turns each, with so many bytes a turn."""
     held, now = ledger.Ledger(), clock.ZERO
     for number in range(programs):
         previous = ""
@@ -294,10 +267,7 @@
 
 
 def begun(program: str, attempt: str, previous: str) -> entry.BeginTurn:
-    """The start of a turn, from an edge that holds nothing of its chain.
-
-    Example: ``begun("p", "p-t1", "p-t0")``
-    """
+    """The start of a turn, from an edge that holds nothing of its chain."""
     return entry.BeginTurn(
         program,
         "s",
@@ -403,10 +373,7 @@
 
 
 def synced(path: pathlib.Path) -> None:
-    """Make a file or folder last.
-
-    Example: ``synced(folder)``
-    """
+    """Make a file or folder last."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -456,10 +423,7 @@
 
 
 def main() -> None:
-    """The command's entry.
-
-    Example: ``python -m aspencroft.benchmarks.slopes configuration --sizes 100 1000``
-    """
+    """The command's entry."""
     logging.disable(logging.CRITICAL)
     defopt.run(
         {
--- a/aspencroft/benchmarks/virtual.py
+++ b/aspencroft/benchmarks/virtual.py
@@ -56,8 +56,6 @@
     ``booked`` holds seconds of processor time by owner. A thousand nodes in one process keep their time-outs,
     as work that takes
     long does not make the clock run.
-
-    Example: ``asyncio.Runner(loop_factory=VirtualLoop)``
     """
 
     def __init__(self):
@@ -66,26 +64,17 @@
         super().__init__(self.leap)
 
     def time(self) -> float:
-        """Virtual seconds.
-
-        Example: ``loop.time()``
-        """
+        """Virtual seconds."""
         return self.leap.now
 
     def call_soon(self, callback, *arguments, context=None):
-        """Run a callback next.
-
-        Example: ``loop.call_soon(print, 1)``
-        """
+        """Run a callback next."""
         handle = Booked(callback, arguments, self, context)
         self._ready.append(handle)
         return handle
 
     def call_at(self, when, callback, *arguments, context=None):
-        """Run a callback at a virtual time.
-
-        Example: ``loop.call_at(loop.time() + 1, print, 1)``
-        """
+        """Run a callback at a virtual time."""
         timer = BookedTimer(when, callback, arguments, self, context)
         heapq.heappush(self._scheduled, timer)
         timer._scheduled = True
@@ -93,10 +82,7 @@
 
 
 def context_of(owner: str) -> contextvars.Context:
-    """A context whose work is booked to an owner.
-
-    Example: ``loop.create_task(work(), context=context_of("edge-1"))``
-    """
+    """A context whose work is booked to an owner."""
     context = contextvars.copy_context()
     context.run(OWNER.set, owner)
     return context
--- a/aspencroft/benchmarks/wire.py
+++ b/aspencroft/benchmarks/wire.py
@@ -11,10 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Distance:
-    """One-way delays in seconds: within a zone, between zones of a region, between regions.
-
-    Example: ``Distance(0.00025, 0.001, 0.04)``
-    """
+    """One-way delays in seconds: within a zone, between zones of a region, between regions."""
 
     zone: float = 0.00025
     region: float = 0.001
@@ -54,18 +51,12 @@
         self.lost = False
 
     def send(self, data: bytes) -> None:
-        """Let bytes arrive after the delay, in the order in which they were sent: timers of one moment keep none.
-
-        Example: ``pipe.send(b"x")``
-        """
+        """Let bytes arrive after the delay, in the order in which they were sent: timers of one moment keep none."""
         self.on_the_way.append(data)
         self.wire.later(self.delay, self.arrive)
 
     def arrive(self) -> None:
-        """The next bytes are there.
-
-        Example: ``pipe.arrive()``
-        """
+        """The next bytes are there."""
         data = self.on_the_way.popleft()
         if self.broken:
             return
@@ -73,18 +64,12 @@
         self.wake()
 
     def wake(self) -> None:
-        """Let the reader look again.
-
-        Example: ``pipe.wake()``
-        """
+        """Let the reader look again."""
         if self.waiting is not None and not self.waiting.done():
             self.waiting.set_result(None)
 
     def break_off(self) -> None:
-        """No more bytes come.
-
-        Example: ``pipe.break_off()``
-        """
+        """No more bytes come."""
         self.broken = True
         self.wake()
 
@@ -98,10 +83,7 @@
         self.outward = outward
 
     async def read(self, count: int) -> bytes:
-        """Exactly so many bytes; EOFError once the stream is broken.
-
-        Example: ``await stream.read(28)``
-        """
+        """Exactly so many bytes; EOFError once the stream is broken."""
         pipe = self.inward
         while len(pipe.buffer) < count:
             if pipe.broken:
@@ -113,10 +95,7 @@
         return data
 
     async def write(self, data: bytes) -> None:
-        """Send bytes; they are lost without a word where the way is cut or the other machine is gone.
-
-        Example: ``await stream.write(b"x")``
-        """
+        """Send bytes; they are lost without a word where the way is cut or the other machine is gone."""
         pipe, wire = self.outward, self.wire
         if pipe.broken:
             raise ConnectionResetError("the stream is broken")
@@ -132,10 +111,7 @@
         pipe.send(data)
 
     def close(self) -> None:
-        """Close both directions; the other end hears of it, unless the way is cut.
-
-        Example: ``stream.close()``
-        """
+        """Close both directions; the other end hears of it, unless the way is cut."""
         self.inward.break_off()
         pipe = self.outward
         if not pipe.broken and not pipe.lost and not self.wire.is_cut(pipe.source, pipe.target):
@@ -144,10 +120,7 @@
 
 
 class Wire:
-    """All streams of a hollow fleet.
-
-    Example: ``wire.cut("r1", "r2")``
-    """
+    """All streams of a hollow fleet."""
 
     def __init__(self, distance: Distance, zones: dict[str, str]):
         self.loop = asyncio.get_running_loop()
@@ -159,70 +132,46 @@
         self.traffic: dict[str, Traffic] = collections.defaultdict(Traffic)
 
     def later(self, delay: float, function, *arguments) -> None:
-        """Do what the network does, booked to nobody.
-
-        Example: ``wire.later(0.1, pipe.break_off)``
-        """
+        """Do what the network does, booked to nobody."""
         self.loop.call_later(delay, function, *arguments, context=contextvars.Context())
 
     def delay(self, source: str, target: str) -> float:
-        """The one-way delay between two nodes.
-
-        Example: ``wire.delay("a:1", "b:1")``
-        """
+        """The one-way delay between two nodes."""
         one, other = self.zones[source], self.zones[target]
         if one == other:
             return self.distance.zone
         return self.distance.region if region_of(one) == region_of(other) else self.distance.far
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether nothing gets from one node to another.
-
-        Example: ``wire.is_cut("a:1", "b:1")``
-        """
+        """Whether nothing gets from one node to another."""
         if source in self.dark or target in self.dark:
             return True
         return bool(self.cuts) and (region_of(self.zones[source]), region_of(self.zones[target])) in self.cuts
 
     def cut(self, one: str, other: str) -> None:
-        """Regions lose each other; streams between them are silent and never come back to life.
-
-        Example: ``wire.cut("r1", "r2")``
-        """
+        """Regions lose each other; streams between them are silent and never come back to life."""
         self.cuts |= {(one, other), (other, one)}
 
     def heal(self) -> None:
-        """Regions find each other again.
-
-        Example: ``wire.heal()``
-        """
+        """Regions find each other again."""
         self.cuts.clear()
 
 
 class Network:
-    """The network as one hollow node sees it.
-
-    Example: ``surroundings.Surroundings(Network(wire, "edge-1:1"), ...)``
-    """
+    """The network as one hollow node sees it."""
 
     def __init__(self, wire: Wire, address: str):
         self.wire = wire
         self.address = address
 
     async def listen(self, address: str) -> asyncio.Queue:
-        """Accept streams.
-
-        Example: ``accepted = await network.listen("edge-1:1")``
-        """
+        """Accept streams."""
         accepted: asyncio.Queue = asyncio.Queue(BACKLOG)
         self.wire.listeners[address] = accepted
         return accepted
 
     async def connect(self, address: str) -> Stream:
-        """Open a stream; it hangs where the way is cut, and is refused where nobody listens.
-
-        Example: ``stream = await network.connect("edge-2:1")``
-        """
+        """Open a stream; it hangs where the way is cut, and is refused where nobody listens."""
         if address not in self.wire.zones:
             raise ConnectionError(f"{address!r} is no address")
         await asyncio.sleep(2 * self.wire.delay(self.address, address))
--- a/aspencroft/cli/acctl.py
+++ b/aspencroft/cli/acctl.py
@@ -11,10 +11,7 @@
 
 
 def say(response: httpx.Response) -> int:
-    """Print an answer; zero for a good one.
-
-    Example: ``sys.exit(say(response))``
-    """
+    """Print an answer; zero for a good one."""
     try:
         print(json.dumps(response.json(), indent=1))
     except ValueError:
@@ -23,10 +20,7 @@
 
 
 def body_of(file: str) -> bytes:
-    """A file's bytes, or standard input's for "-".
-
-    Example: ``body_of("plan.json")``
-    """
+    """A file's bytes, or standard input's for "-"."""
     if file == "-":
         return sys.stdin.buffer.read()
     try:
@@ -116,10 +110,7 @@
 
 
 def screen(shown: dict, plan: dict, topics: dict) -> str:
-    """The fleet's state as one node sees it, on one screen.
-
-    Example: ``print(screen(status, plan, topics))``
-    """
+    """The fleet's state as one node sees it, on one screen."""
     lines = [
         f"seen by {shown['address']} ({shown['role']}, {shown['area']}): plan {shown['plan']['revision']}"
         f"{' in force' if shown['plan']['current'] else ' NOT CURRENT'}, "
@@ -181,10 +172,7 @@
 
 
 def main() -> None:
-    """The command's entry.
-
-    Example: ``acctl get 127.0.0.1:7300 lanes/catalogue``
-    """
+    """The command's entry."""
     try:
         sys.exit(defopt.run([status, get, put, patch, delete, watch]))
     except httpx.HTTPError as error:
--- a/aspencroft/cli/acwhy.py
+++ b/aspencroft/cli/acwhy.py
@@ -9,10 +9,7 @@
 
 
 def told(shown: dict) -> str:
-    """The stories of a request as text, a line for each thing that happened.
-
-    Example: ``print(told(response.json()))``
-    """
+    """The stories of a request as text, a line for each thing that happened."""
     lines = [f"request {shown['request']}"]
     for story in shown["stories"]:
         lines.append(f"  on {story['node']}, lane {story['lane']}")
@@ -40,8 +37,5 @@
 
 
 def main() -> None:
-    """The command's entry.
-
-    Example: ``acwhy 127.0.0.1:7300 5f0c...``
-    """
+    """The command's entry."""
     sys.exit(defopt.run(acwhy))
--- a/aspencroft/cli/cplane.py
+++ b/aspencroft/cli/cplane.py
@@ -12,10 +12,7 @@
 
 
 def build(own: node.Node) -> tuple:
-    """Handlers, works and drain of a control-plane node.
-
-    Example: ``more, works, drain = build(own)``
-    """
+    """Handlers, works and drain of a control-plane node."""
 
     async def nothing_under_way() -> None:
         await clock.sleep(clock.ZERO)
@@ -66,8 +63,5 @@
 
 
 def main() -> None:
-    """The command's entry.
-
-    Example: ``cplane node.toml --role storage --data /var/lib/aspencroft``
-    """
+    """The command's entry."""
     defopt.run(cplane)
--- a/aspencroft/cli/daemon.py
+++ b/aspencroft/cli/daemon.py
@@ -31,18 +31,12 @@
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Leave signals alone.
-
-        Example: ``with server.capture_signals(): ...``
-        """
+        """Leave signals alone."""
         yield
 
 
 def server_of(own: node.Node, more: list) -> Server:
-    """The HTTP server of a node, not yet started; the operator's interface is loaded when it is first asked.
-
-    Example: ``await server_of(own, []).serve()``
-    """
+    """The HTTP server of a node, not yet started; the operator's interface is loaded when it is first asked."""
 
     def application() -> collections.abc.Callable:
         return importlib.import_module("aspencroft.node.operator").application(own, more)
@@ -73,8 +67,6 @@
 
     The handlers themselves are never taken away, as ``loop.add_signal_handler`` does when a loop is closed: a signal
     between that and the end of the process would end it with a code of its own.
-
-    Example: ``with signals_handled(process_signals.RECEIVED, stop.set, reload.reload): ...``
     """
 
     def act() -> None:
@@ -102,10 +94,7 @@
 
 
 async def started(own: node.Node, stop: asyncio.Event) -> bool:
-    """Wait until a node has started; false when it is to stop before.
-
-    Example: ``if not await started(own, stop): return``
-    """
+    """Wait until a node has started; false when it is to stop before."""
     waits = [asyncio.ensure_future(own.started.wait()), asyncio.ensure_future(stop.wait())]
     try:
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -122,10 +111,7 @@
     drain: collections.abc.Callable,
     reload: settings_reload.SettingsReload,
 ) -> None:
-    """Run a node, its HTTP server and its program's own work until a signal comes, then stop gracefully.
-
-    Example: ``await live(own, [], [duty.run], drain, reload)``
-    """
+    """Run a node, its HTTP server and its program's own work until a signal comes, then stop gracefully."""
     stop = asyncio.Event()
     with signals_handled(process_signals.RECEIVED, stop.set, reload.reload):
         async with supervision.Group() as group:
@@ -147,10 +133,7 @@
 
 
 async def hand_over_work(own: node.Node, drain: collections.abc.Callable) -> None:
-    """Tell the others that this node leaves, let what is under way end and others take its groups.
-
-    Example: ``await hand_over_work(own, drain)``
-    """
+    """Tell the others that this node leaves, let what is under way end and others take its groups."""
     own.stopping.set()
     own.ring.leave()
     async with supervision.Group() as ending:
@@ -163,8 +146,6 @@
     """The last resort of a stop: say which tasks would not end, and leave with a code of its own.
 
     What must last was synced before it was answered, so nothing is lost.
-
-    Example: ``leave(left)``
     """
     for task in left:
         task.print_stack()
@@ -175,10 +156,7 @@
 
 
 async def end(tasks: list[asyncio.Task]) -> list[asyncio.Task]:
-    """Cancel tasks once and let them end; those that did not in time are handed back.
-
-    Example: ``left = await end(tasks)``
-    """
+    """Cancel tasks once and let them end; those that did not in time are handed back."""
     for task in tasks:
         task.cancel()
     if tasks:
@@ -187,10 +165,7 @@
 
 
 async def transfer_leadership(own: node.Node) -> None:
-    """Wait until this node leads no pair, or the time for it is over.
-
-    Example: ``await hand_over(own)``
-    """
+    """Wait until this node leads no pair, or the time for it is over."""
     end = clock.now() + HAND_OVER
     while clock.now() < end and any(
         held.known is not None and held.known.primary == held.me() for held in own.hosts.values()
@@ -199,10 +174,7 @@
 
 
 def log_ring(place: settings.Settings) -> logbook.Handler:
-    """A ring of log lines in memory, written out once something goes wrong.
-
-    Example: ``with log_ring(place).applicationbound(): ...``
-    """
+    """A ring of log lines in memory, written out once something goes wrong."""
     if place.log is not None:
         place.log.parent.mkdir(parents=True, exist_ok=True)
         inner = logbook.FileHandler(str(place.log), level=logbook.DEBUG, delay=True)
@@ -218,10 +190,7 @@
     flags: dict,
     build: collections.abc.Callable[[node.Node], tuple[list, list, collections.abc.Callable]],
 ) -> None:
-    """Check settings, then live; bad settings end the program with a clear line.
-
-    Example: ``start("node.toml", {}, build)``
-    """
+    """Check settings, then live; bad settings end the program with a clear line."""
     given = {name: value for name, value in flags.items() if value}
     begin(settings_reload.SettingsSource(place_file, lambda: settings.read(place_file, given)), build)
 
@@ -233,8 +202,6 @@
     """Live with the settings that a source gives; bad ones end the program with a clear line.
 
     A stop that was asked for while the program was loaded ends it before anything is begun.
-
-    Example: ``begin(SettingsSource("node.toml", lambda: settings.read("node.toml")), build)``
     """
     process_signals.RECEIVED.install()
     allocator.return_large_blocks()
--- a/aspencroft/cli/days.py
+++ b/aspencroft/cli/days.py
@@ -31,29 +31,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class DayOutcome:
-    """A day and its report; ``detail`` says why there is no report when the bench gave none.
-
-    Example: ``DayOutcome("quiet", report).broken()``
-    """
+    """A day and its report; ``detail`` says why there is no report when the bench gave none."""
 
     name: str
     report: DayReport | None
     detail: str = ""
 
     def broken(self) -> bool:
-        """Whether a rule was broken, the gate failed, a process ended by itself, or nothing was reported.
-
-        Example: ``DayOutcome("quiet", None).broken()``
-        """
+        """Whether a rule was broken, the gate failed, a process ended by itself, or nothing was reported."""
         if self.report is None:
             return True
         return bool(self.report.breaks or self.report.fault or self.report.shortfalls or self.report.exits)
 
     def line(self) -> str:
-        """The day's line of the summary.
-
-        Example: ``print(outcome.line())``
-        """
+        """The day's line of the summary."""
         report = self.report
         if report is None:
             return f"{self.name}: NOT PLAYED; {self.detail}"
@@ -67,10 +58,7 @@
 
 
 def read_report(name: str, written: bytes) -> DayOutcome:
-    """The outcome that a written report tells; a report that cannot be read is an outcome without one.
-
-    Example: ``read_report("quiet", path.read_bytes())``
-    """
+    """The outcome that a written report tells; a report that cannot be read is an outcome without one."""
     try:
         return DayOutcome(name, msgspec.json.decode(written, type=DayReport))
     except msgspec.DecodeError as error:
@@ -86,10 +74,7 @@
     why: str,
     seed: int | None = None,
 ) -> list[str]:
-    """The bench's command line for one day.
-
-    Example: ``subprocess.run(command(bench, site, day, report, 1, "trial"))``
-    """
+    """The bench's command line for one day."""
     words = [
         str(bench),
         "run",
@@ -110,10 +95,7 @@
 def play_day(
     bench: pathlib.Path, site: pathlib.Path, day: pathlib.Path, jobs: int, why: str, seed: int | None
 ) -> DayOutcome:
-    """Play one day to its end and read its report.
-
-    Example: ``play_day(bench, site, pathlib.Path("deploy/days/quiet.toml"), 1, "trial", None)``
-    """
+    """Play one day to its end and read its report."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         words = command(bench, site, day, report, jobs, why, seed)
@@ -129,10 +111,7 @@
 
 
 def sum_up(outcomes: collections.abc.Iterable[DayOutcome]) -> int:
-    """Print a line for each day as it comes, then a total; the exit code tells whether one broke.
-
-    Example: ``sys.exit(sum_up(outcomes))``
-    """
+    """Print a line for each day as it comes, then a total; the exit code tells whether one broke."""
     played = 0
     broken = []
     for outcome in outcomes:
@@ -168,10 +147,7 @@
 
 
 def main() -> None:
-    """The command's entry.
-
-    Example: ``python -m aspencroft.cli.days BENCH SITE deploy/days/01-leader-cut-20s.toml``
-    """
+    """The command's entry."""
     sys.exit(defopt.run(play))
 
 
--- a/aspencroft/cli/dplane.py
+++ b/aspencroft/cli/dplane.py
@@ -9,10 +9,7 @@
 
 
 def build(own: node.Node) -> tuple:
-    """Handlers, works and drain of a data-plane node.
-
-    Example: ``more, works, drain = build(own)``
-    """
+    """Handlers, works and drain of a data-plane node."""
     back = adapter.Adapter(own.environment, own.outside)
     edge = path.Path(own, back)
     own.stories = edge.stories
@@ -55,8 +52,5 @@
 
 
 def main() -> None:
-    """The command's entry.
-
-    Example: ``dplane node.toml --area north``
-    """
+    """The command's entry."""
     defopt.run(dplane)
--- a/aspencroft/cli/fleet.py
+++ b/aspencroft/cli/fleet.py
@@ -44,10 +44,7 @@
 
 
 async def serve(application, port: int) -> tuple[uvicorn.Server, asyncio.Task]:
-    """Serve a stand-in's pages on a port.
-
-    Example: ``server, task = await serve(world.platform(), 7500)``
-    """
+    """Serve a stand-in's pages on a port."""
     server = daemon.Server(
         uvicorn.Config(
             application, host=local_cluster.HOST, port=port, log_config=None, access_log=False, lifespan="off"
@@ -60,10 +57,7 @@
 
 
 class Drive:
-    """A run of a local fleet: what is done to it, and all that callers, workers and operators saw.
-
-    Example: ``await Drive(place, mix, random.Random(1)).run(60, 10, ("kill",), 8)``
-    """
+    """A run of a local fleet: what is done to it, and all that callers, workers and operators saw."""
 
     def __init__(self, place: local_cluster.LocalCluster, mix: shape.Shape, chance: random.Random):
         self.yard = place
@@ -82,24 +76,15 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The running loop, whose clock times all that is noted.
-
-        Example: ``drive.loop.time()``
-        """
+        """The running loop, whose clock times all that is noted."""
         return asyncio.get_running_loop()
 
     def names(self) -> list[str]:
-        """The HTTP addresses that operators may talk to.
-
-        Example: ``drive.names()[0] == "127.0.0.1:7300"``
-        """
+        """The HTTP addresses that operators may talk to."""
         return [self.yard.http(number) for number in self.yard.running()]
 
     async def begin(self) -> None:
-        """Start stand-ins and processes, wait until they know each other, write the plan.
-
-        Example: ``await drive.begin()``
-        """
+        """Start stand-ins and processes, wait until they know each other, write the plan."""
         for place, one in enumerate(self.world.workers()):
             port = local_cluster.BACK + self.yard.offset + place
             self.world.addresses[one.name] = f"{local_cluster.HOST}:{port}"
@@ -122,10 +107,7 @@
         await asyncio.sleep(1.5)
 
     async def until_whole(self, within: float, plan_needed: bool) -> float:
-        """Wait until the whole fleet serves; seconds waited.
-
-        Example: ``await drive.until_whole(60, plan_needed=True)``
-        """
+        """Wait until the whole fleet serves; seconds waited."""
         began = self.loop.time()
         while not local_cluster.whole(self.yard, await local_cluster.states(self.client, self.yard), plan_needed):
             if self.loop.time() - began > within:
@@ -135,10 +117,7 @@
         return self.loop.time() - began
 
     async def run(self, seconds: float, rate: float, faults: tuple[str, ...], every: float) -> None:
-        """Drive traffic and operators for so long, with a fault every so many seconds; then ask once more.
-
-        Example: ``await drive.run(600, 10, FAULTS, 12)``
-        """
+        """Drive traffic and operators for so long, with a fault every so many seconds; then ask once more."""
         end = self.loop.time() + seconds
         async with asyncio.TaskGroup() as group:
             works = [self.traffic(rate), self.swing()] + (
@@ -162,10 +141,7 @@
             await self.operators.read()
 
     async def traffic(self, rate: float) -> None:
-        """Programs and signals by the mix.
-
-        Example: ``group.create_task(drive.traffic(10))``
-        """
+        """Programs and signals by the mix."""
         async with asyncio.TaskGroup() as group:
             while not self.over:
                 self.programs += 1
@@ -173,10 +149,7 @@
                 await asyncio.sleep(self.chance.expovariate(rate))
 
     async def swing(self) -> None:
-        """Signals on a lane whose services operators change.
-
-        Example: ``group.create_task(drive.swing())``
-        """
+        """Signals on a lane whose services operators change."""
         number = 0
         while not self.over:
             number += 1
@@ -184,19 +157,13 @@
             await asyncio.sleep(0.5)
 
     async def sample(self) -> None:
-        """Note what the processes take, now and then.
-
-        Example: ``group.create_task(drive.sample())``
-        """
+        """Note what the processes take, now and then."""
         while True:
             self.samples.append(self.yard.taken())
             await asyncio.sleep(5)
 
     async def fault(self, kind: str) -> None:
-        """Cause one kind of failure that one machine allows, and end it.
-
-        Example: ``await drive.fault("kill")``
-        """
+        """Cause one kind of failure that one machine allows, and end it."""
         place, chance = self.yard, self.chance
         victim = chance.choice([number for number, role in place.roles.items() if role != "edge"])
         storage = chance.choice(place.numbers("storage"))
@@ -255,10 +222,7 @@
                     group.create_task(self.asking.vanish(f"vanish-{self.loop.time():.3f}-{number}"))
 
     async def restart(self, number: int) -> None:
-        """A planned restart: SIGTERM, wait for the exit, start; nothing under way may be dropped.
-
-        Example: ``await drive.restart(3)``
-        """
+        """A planned restart: SIGTERM, wait for the exit, start; nothing under way may be dropped."""
         place, began = self.yard, self.loop.time()
         place.signal(number, signal.SIGTERM)
         process = place.processes[number]
@@ -273,10 +237,7 @@
         place.start(number)
 
     async def replace_worker(self, one, long: float) -> None:
-        """A worker is marked as leaving, ends, and comes back anew.
-
-        Example: ``await drive.replace_worker(world.models[0], 2.0)``
-        """
+        """A worker is marked as leaving, ends, and comes back anew."""
         self.world.leaving.add(one.name)
         self.marked[one.name] = self.loop.time()
         await asyncio.sleep(3.5 + long)
@@ -292,10 +253,7 @@
         )
 
     async def write(self, path: str, spec: dict) -> bool:
-        """An operator's write, said again until it is acknowledged.
-
-        Example: ``await drive.write("machines/127.0.0.1:7108", {"emptied": True})``
-        """
+        """An operator's write, said again until it is acknowledged."""
         for _ in range(10):
             try:
                 response = await self.client.put(f"http://{self.chance.choice(self.names())}/plan/{path}", json=spec)
@@ -308,10 +266,7 @@
         return False
 
     async def empty(self, number: int) -> None:
-        """An operator has a machine emptied; once it holds nothing it is swapped for one at a new address.
-
-        Example: ``await drive.empty(8)``
-        """
+        """An operator has a machine emptied; once it holds nothing it is swapped for one at a new address."""
         place, address, began = self.yard, self.yard.link(number), self.loop.time()
         if not await self.write(f"machines/{address}", {"emptied": True}):
             return
@@ -327,10 +282,7 @@
         place.start(place.swap(number))
 
     async def change_seeds(self) -> None:
-        """An operator names other witnesses; all nodes must come to use them.
-
-        Example: ``await drive.change_seeds()``
-        """
+        """An operator names other witnesses; all nodes must come to use them."""
         place, began = self.yard, self.loop.time()
         chosen = sorted(self.chance.sample(place.numbers("core"), 3))
         wished = [place.link(number) for number in chosen]
@@ -346,10 +298,7 @@
         self.told.append(f"witnesses are not {wished} everywhere")
 
     def history(self) -> dict:
-        """All that was noted, as JSON that the judge can read again.
-
-        Example: ``verdict(drive.history())``
-        """
+        """All that was noted, as JSON that the judge can read again."""
         allowed = [[lane, service] for lane, spec in self.mix.document["lanes"].items() for service in spec["services"]]
         allowed.extend(["swing", service] for service in self.operators.plain)
         return {
@@ -368,10 +317,7 @@
         }
 
     async def end(self) -> None:
-        """Stop processes and stand-ins; a process that leaves a stop with another code than 0 is told.
-
-        Example: ``await drive.end()``
-        """
+        """Stop processes and stand-ins; a process that leaves a stop with another code than 0 is told."""
         codes = await asyncio.to_thread(self.yard.stop)
         self.told.extend(f"node {number} left the stop with code {code}" for number, code in codes.items() if code)
         for server, task in self.servers.values():
@@ -380,10 +326,7 @@
         await self.client.aclose()
 
     def report(self, seconds: float) -> dict:
-        """What an operator wants to read of a run.
-
-        Example: ``print(json.dumps(drive.report(60)))``
-        """
+        """What an operator wants to read of a run."""
         firsts, waits, returned = (sorted(row) for row in (self.asking.firsts, self.operators.waits, self.returned))
         return {
             "deployment": self.mix.name,
@@ -400,10 +343,7 @@
         }
 
     def growth(self) -> dict:
-        """What the processes of each role took early and late in the run: the median process's figures.
-
-        Example: ``drive.growth()["edge"]``
-        """
+        """What the processes of each role took early and late in the run: the median process's figures."""
         found = {}
         early, late = self.samples[len(self.samples) // 4 :][:3], self.samples[-3:]
         for role in ("edge", "storage", "core"):
@@ -426,20 +366,14 @@
 
 
 def spread(row: list[float]) -> str:
-    """Median, 95 % and most of a sorted row.
-
-    Example: ``spread([1.0, 2.0, 3.0])``
-    """
+    """Median, 95 % and most of a sorted row."""
     if not row:
         return "none"
     return f"{row[len(row) // 2]:.2f} / {row[int(len(row) * 0.95)]:.2f} / {row[-1]:.2f} of {len(row)}"
 
 
 def verdict(history: dict) -> list[str]:
-    """What must never happen and did, by the same judge as in simulation.
-
-    Example: ``verdict(json.loads(path.read_text())) == []``
-    """
+    """What must never happen and did, by the same judge as in simulation."""
     noted = tuple(caller.Noted(**one) for one in history["noted"])
     plain = oracle.History(
         noted,
@@ -472,10 +406,7 @@
 
 
 def place_of(folder: str, offset: int, keep: bool) -> local_cluster.LocalCluster:
-    """A yard in a folder, emptied unless it is to be kept.
-
-    Example: ``place_of("run", 0, False)``
-    """
+    """A yard in a folder, emptied unless it is to be kept."""
     logging.disable(logging.CRITICAL)
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     path = pathlib.Path(folder)
@@ -485,10 +416,7 @@
 
 
 def mix_of(deployment: str) -> shape.Shape:
-    """A deployment by its name; another name ends the program.
-
-    Example: ``mix_of("tills").kinds``
-    """
+    """A deployment by its name; another name ends the program."""
     if deployment not in (shape.ARCHIVE, shape.TILLS):
         sys.exit("deployment: archive or tills")
     return shape.shape_of(deployment)
@@ -646,8 +574,5 @@
 
 
 def main() -> None:
-    """The command's entry.
-
-    Example: ``fleet drive --deployment tills --seconds 60 --faults kill leader``
-    """
+    """The command's entry."""
     defopt.run({"start": start, "drive": drive, "judge": judge_again, "hollow": hollow})
--- a/aspencroft/cli/lazy_application.py
+++ b/aspencroft/cli/lazy_application.py
@@ -5,10 +5,7 @@
 
 
 class LazyApplication:
-    """Builds an application when it is first needed, once, off the event loop.
-
-    Example: ``LazyApplication(lambda: importlib.import_module("aspencroft.node.operator").application(own, []))``
-    """
+    """Builds an application when it is first needed, once, off the event loop."""
 
     def __init__(self, build: collections.abc.Callable[[], collections.abc.Callable]):
         self.build = build
@@ -16,19 +13,13 @@
         self.building = asyncio.Lock()
 
     async def __call__(self, scope, receive, send) -> None:
-        """Answer a request, after the application was built if this is the first one.
-
-        Example: ``await application(scope, receive, send)``
-        """
+        """Answer a request, after the application was built if this is the first one."""
         if self.application is None:
             await self.load()
         await self.application(scope, receive, send)
 
     async def load(self) -> None:
-        """Build the application, unless another request has done so meanwhile.
-
-        Example: ``await application.load()``
-        """
+        """Build the application, unless another request has done so meanwhile."""
         async with self.building:
             if self.application is None:
                 self.application = await asyncio.to_thread(self.build)
--- a/aspencroft/cli/local_cluster.py
+++ b/aspencroft/cli/local_cluster.py
@@ -22,10 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Taken:
-    """What a process takes of the machine at one moment.
-
-    Example: ``yard.taken()[0].memory``
-    """
+    """What a process takes of the machine at one moment."""
 
     number: int
     role: str
@@ -36,10 +33,7 @@
 
 
 class LocalCluster:
-    """Processes by number; a machine that is swapped gets a new number and new addresses.
-
-    Example: ``yard = Yard(pathlib.Path("run"), 0)``
-    """
+    """Processes by number; a machine that is swapped gets a new number and new addresses."""
 
     def __init__(self, folder: pathlib.Path, offset: int):
         self.folder = folder
@@ -50,45 +44,27 @@
         self.processes: dict[int, subprocess.Popen] = {}
 
     def link(self, number: int) -> str:
-        """A node's link address.
-
-        Example: ``yard.link(0) == "127.0.0.1:7100"``
-        """
+        """A node's link address."""
         return f"{HOST}:{LINK + self.offset + number}"
 
     def http(self, number: int) -> str:
-        """A node's HTTP address.
-
-        Example: ``yard.http(0) == "127.0.0.1:7300"``
-        """
+        """A node's HTTP address."""
         return f"{HOST}:{HTTP + self.offset + number}"
 
     def numbers(self, role: str) -> list[int]:
-        """The nodes of a role.
-
-        Example: ``yard.numbers("edge") == list(range(8))``
-        """
+        """The nodes of a role."""
         return [number for number, one in self.roles.items() if one == role]
 
     def running(self) -> list[int]:
-        """The nodes whose process runs.
-
-        Example: ``yard.running()``
-        """
+        """The nodes whose process runs."""
         return [number for number, process in self.processes.items() if process.poll() is None]
 
     def place(self, number: int) -> pathlib.Path:
-        """A node's folder.
-
-        Example: ``yard.place(3) / "ring.log"``
-        """
+        """A node's folder."""
         return self.folder / f"node-{number}"
 
     def write_settings(self, number: int) -> None:
-        """A node's settings file; storage nodes and two cores have a disk.
-
-        Example: ``yard.write_settings(0)``
-        """
+        """A node's settings file; storage nodes and two cores have a disk."""
         folder, role = self.place(number), self.roles[number]
         folder.mkdir(parents=True, exist_ok=True)
         lines = [
@@ -105,10 +81,7 @@
         (folder / "node.toml").write_text("\n".join(lines) + "\n")
 
     def start(self, number: int) -> None:
-        """Start one node's process.
-
-        Example: ``yard.start(0)``
-        """
+        """Start one node's process."""
         self.write_settings(number)
         program = "dplane" if self.roles[number] == "edge" else "cplane"
         with open(self.place(number) / "output.txt", "ab") as output:
@@ -124,26 +97,17 @@
             )
 
     def signal(self, number: int, what: int) -> None:
-        """Send a node's process a signal.
-
-        Example: ``yard.signal(8, signal.SIGKILL)``
-        """
+        """Send a node's process a signal."""
         if self.processes[number].poll() is None:
             os.kill(self.processes[number].pid, what)
 
     def kill(self, number: int) -> None:
-        """End a node's process without a word.
-
-        Example: ``yard.kill(8)``
-        """
+        """End a node's process without a word."""
         self.signal(number, signal.SIGKILL)
         self.processes[number].wait()
 
     def swap(self, number: int) -> int:
-        """A machine is gone for good; an empty one takes its part at a new address. The new number.
-
-        Example: ``fresh = yard.swap(8)``
-        """
+        """A machine is gone for good; an empty one takes its part at a new address. The new number."""
         fresh = max(self.roles) + 1
         self.roles[fresh], self.areas[fresh] = self.roles.pop(number), self.areas[number]
         self.processes.pop(number, None)
@@ -151,10 +115,7 @@
         return fresh
 
     def stop(self) -> dict[int, int]:
-        """Stop all processes gracefully; exit codes by node, -9 for one that did not end.
-
-        Example: ``yard.stop()``
-        """
+        """Stop all processes gracefully; exit codes by node, -9 for one that did not end."""
         for number in self.running():
             self.signal(number, signal.SIGCONT)
             self.signal(number, signal.SIGTERM)
@@ -168,10 +129,7 @@
         return codes
 
     def taken(self) -> list[Taken]:
-        """What each running process takes now.
-
-        Example: ``max(one.memory for one in yard.taken())``
-        """
+        """What each running process takes now."""
         found = []
         for number in self.running():
             home = pathlib.Path("/proc") / str(self.processes[number].pid)
@@ -194,10 +152,7 @@
 
 
 async def states(client: httpx.AsyncClient, yard: LocalCluster) -> dict[int, dict]:
-    """The status page of each running node that answers.
-
-    Example: ``(await states(client, yard))[8]["pairs"]``
-    """
+    """The status page of each running node that answers."""
     found = {}
     for number in yard.running():
         with contextlib.suppress(httpx.HTTPError, ValueError):
@@ -206,10 +161,7 @@
 
 
 def whole(yard: LocalCluster, shown: dict[int, dict], plan_needed: bool) -> bool:
-    """Whether every running node answers, and as they say all pairs have two copies and a primary that serves.
-
-    Example: ``whole(yard, await states(client, yard), plan_needed=True)``
-    """
+    """Whether every running node answers, and as they say all pairs have two copies and a primary that serves."""
     if len(shown) < len(yard.running()) or not shown:
         return False
     if plan_needed and not all(one["plan"]["current"] for one in shown.values()):
--- a/aspencroft/cli/process_signals.py
+++ b/aspencroft/cli/process_signals.py
@@ -10,38 +10,26 @@
 
 
 class ProcessSignals:
-    """What the platform asked of this process by signals, until somebody takes it up.
-
-    Example: ``received = process_signals.install()``
-    """
+    """What the platform asked of this process by signals, until somebody takes it up."""
 
     def __init__(self) -> None:
         self.stop = False
         self.reload = False
 
     def install(self) -> None:
-        """Note signals from now on, for as long as the process lives.
-
-        Example: ``received.install()``
-        """
+        """Note signals from now on, for as long as the process lives."""
         for number in (*STOPS, RELOAD):
             signal.signal(number, self.note)
 
     def note(self, number: int, _frame) -> None:
-        """Note one signal; the handler that the interpreter calls.
-
-        Example: ``received.note(signal.SIGHUP, None)``
-        """
+        """Note one signal; the handler that the interpreter calls."""
         if number == RELOAD:
             self.reload = True
         else:
             self.stop = True
 
     def take_reload(self) -> bool:
-        """Whether the settings are to be read again; asking clears it.
-
-        Example: ``if received.take_reload(): reader.reload()``
-        """
+        """Whether the settings are to be read again; asking clears it."""
         asked, self.reload = self.reload, False
         return asked
 
--- a/aspencroft/cli/settings_reload.py
+++ b/aspencroft/cli/settings_reload.py
@@ -15,20 +15,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class SettingsSource:
-    """Where a program's settings come from: the file's path, empty without one, and how they are read and checked.
-
-    Example: ``SettingsSource("node.toml", lambda: settings.read("node.toml"))``
-    """
+    """Where a program's settings come from: the file's path, empty without one, and how they are read and checked."""
 
     path: str
     read: collections.abc.Callable[[], settings.Settings]
 
 
 class SettingsReload:
-    """Keeps a running node's settings as new as their file, as far as they may change while it runs.
-
-    Example: ``group.create_task(SettingsReload(own, source).watch())``
-    """
+    """Keeps a running node's settings as new as their file, as far as they may change while it runs."""
 
     def __init__(self, own: node.Node, source: SettingsSource):
         self.node = own
@@ -37,10 +31,7 @@
         self.counts = {"reloads": 0, "refused reloads": 0}
 
     def fingerprint(self) -> tuple[int, int, int] | None:
-        """What changes when the file is written anew or replaced; none without a file.
-
-        Example: ``reload.fingerprint()``
-        """
+        """What changes when the file is written anew or replaced; none without a file."""
         try:
             found = os.stat(self.source.path)
         except OSError:
@@ -48,10 +39,7 @@
         return found.st_mtime_ns, found.st_size, found.st_ino
 
     def reload(self) -> None:
-        """Read the settings again and take what may change; settings that cannot be used change nothing.
-
-        Example: ``reload.reload()``
-        """
+        """Read the settings again and take what may change; settings that cannot be used change nothing."""
         self.seen = self.fingerprint()
         try:
             fresh = self.source.read()
@@ -69,10 +57,7 @@
         self.node.ring.seeds = merged.seeds
 
     async def watch(self) -> None:
-        """Read the settings again whenever their file changed, also without a signal.
-
-        Example: ``group.create_task(reload.watch())``
-        """
+        """Read the settings again whenever their file changed, also without a signal."""
         while True:
             await clock.sleep(LOOK)
             if self.fingerprint() not in (self.seen, None):
--- a/aspencroft/configuration/alert_expression.py
+++ b/aspencroft/configuration/alert_expression.py
@@ -33,10 +33,7 @@
 
 
 def parsed(text: str):
-    """The expression's tree, checked; Unusable names what cannot be used.
-
-    Example: ``parsed("sum(aspencroft_parked) > 5")``
-    """
+    """The expression's tree, checked; Unusable names what cannot be used."""
     if len(text) > LONGEST:
         raise Unusable(f"longer than {LONGEST} letters")
     try:
@@ -48,10 +45,7 @@
 
 
 def check(tree) -> None:
-    """Refuse what is outside the supported part.
-
-    Example: ``check(promql_parser.parse("a > 1"))``
-    """
+    """Refuse what is outside the supported part."""
     if isinstance(tree, promql_parser.ParenExpr):
         check(tree.expr)
         return
@@ -70,10 +64,7 @@
 
 
 def check_left(tree) -> None:
-    """The left side of a comparison: a metric, or one of four aggregations over it.
-
-    Example: ``check_left(promql_parser.parse("sum(a)"))``
-    """
+    """The left side of a comparison: a metric, or one of four aggregations over it."""
     if isinstance(tree, promql_parser.AggregateExpr):
         if str(tree.op) not in OVER:
             raise Unusable(f"{tree.op}: the aggregation is not supported")
@@ -104,10 +95,7 @@
 
 
 def holds(tree, samples: tuple[sample.Sample, ...]) -> bool:
-    """Whether a checked expression holds over samples; where samples are missing nothing holds.
-
-    Example: ``holds(parsed("a > 1"), (sample.sample("a", 2.0),))``
-    """
+    """Whether a checked expression holds over samples; where samples are missing nothing holds."""
     if isinstance(tree, promql_parser.ParenExpr):
         return holds(tree.expr, samples)
     if str(tree.op) in ("and", "or"):
--- a/aspencroft/configuration/alert_rule.py
+++ b/aspencroft/configuration/alert_rule.py
@@ -15,10 +15,7 @@
 
 
 def usable(text) -> str:
-    """The expression's text, if it can be used.
-
-    Example: ``usable("sum(aspencroft_parked) > 5")``
-    """
+    """The expression's text, if it can be used."""
     if not isinstance(text, str):
         raise voluptuous.Invalid("expected an expression")
     try:
@@ -29,10 +26,7 @@
 
 
 def span(text) -> str:
-    """The text of a duration such as 30s or 5m, at most a day.
-
-    Example: ``span("30s")``
-    """
+    """The text of a duration such as 30s or 5m, at most a day."""
     try:
         found = promql_parser.parse_duration(text)
     except Exception:
@@ -43,10 +37,7 @@
 
 
 def complete(spec: dict) -> dict:
-    """Labels that act name what they need: shed an urgency from 1 to 9, the others none.
-
-    Example: ``complete({"labels": {"control": "shed", "urgency": "5"}})``
-    """
+    """Labels that act name what they need: shed an urgency from 1 to 9, the others none."""
     labels = spec.get("labels", {})
     control, urgency = labels.get("control"), labels.get("urgency")
     if control is not None and control not in (KEEP_AWAKE, HOLD_MOVES, SHED):
@@ -76,10 +67,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rule:
-    """A rule as the alerts duty uses it.
-
-    Example: ``of("crowd", {"alert": "Crowd", "expr": "sum(aspencroft_parked) > 50"}).control == ""``
-    """
+    """A rule as the alerts duty uses it."""
 
     name: str
     tree: object
@@ -90,10 +78,7 @@
 
 
 def of(name: str, spec: dict) -> Rule:
-    """The typed rule of a checked resource.
-
-    Example: ``of("crowd", {"alert": "Crowd", "expr": "a > 1", "for": "5s"}).wait``
-    """
+    """The typed rule of a checked resource."""
     labels = spec.get("labels", {})
     control = labels.get("control", "")
     return Rule(
--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -155,10 +155,7 @@
 
 
 class ControlState:
-    """Plan, operator's configuration and duties, folded from events.
-
-    Example: ``events, reply = control.decide(WritePlan(...), now, epoch)``
-    """
+    """Plan, operator's configuration and duties, folded from events."""
 
     def __init__(self):
         self.revision = NEVER
@@ -171,10 +168,7 @@
         self.claims: dict[str, datetime.timedelta] = {}
 
     def decide(self, command, now: datetime.timedelta, epoch: int) -> tuple[tuple, object]:
-        """Events and reply for a command, or a Refusal; nothing changes here but duty claims.
-
-        Example: ``control.decide(ReadPlan(NEVER), now, 1)``
-        """
+        """Events and reply for a command, or a Refusal; nothing changes here but duty claims."""
         if isinstance(command, ReadPlan):
             return (), self.read_plan(command.after)
         if isinstance(command, operator_configuration.ApplyConfiguration):
@@ -188,10 +182,7 @@
         raise result.RequestError(result.ResultCode.MALFORMED, detail=type(command).__name__)
 
     def read_plan(self, after: Revision) -> PlanRead:
-        """What is new since a revision: steps where they are still held, else the whole document.
-
-        Example: ``control.read_plan(NEVER)``
-        """
+        """What is new since a revision: steps where they are still held, else the whole document."""
         if not after < self.revision:
             return PlanRead(self.revision, "", ())
         row, place = [], after
@@ -207,10 +198,7 @@
     def decide_configuration(
         self, command: operator_configuration.ApplyConfiguration, epoch: int
     ) -> tuple[tuple, object]:
-        """An operator's configuration, checked whole before anything is stored; one that was taken is known again.
-
-        Example: ``control.decide_configuration(command, 1)``
-        """
+        """An operator's configuration, checked whole before anything is stored; one that was taken is known again."""
         known = self.configuration.known(command)
         if known is not None:
             return (), operator_configuration.Applied(known.revision, 0, True)
@@ -222,10 +210,7 @@
         return (event,), operator_configuration.Applied(revision.text(), len(decided.changes), False)
 
     def decide_write(self, command: WritePlan, epoch: int) -> tuple[tuple, object]:
-        """A plan write, checked whole before anything is stored.
-
-        Example: ``control.decide_write(WritePlan("merge", "", "", "{}", None), 1)``
-        """
+        """A plan write, checked whole before anything is stored."""
         single = command.way in ("put", "delete")
         if command.condition is not None:
             path = f"{command.kind}/{command.name}"
@@ -246,10 +231,7 @@
         return (event,), PlanWritten(revision, len(changes))
 
     async def look_ahead(self, command: WritePlan) -> None:
-        """Check what a write would change in slices, so that deciding it holds the loop for a moment only.
-
-        Example: ``await control.look_ahead(command)``
-        """
+        """Check what a write would change in slices, so that deciding it holds the loop for a moment only."""
         try:
             fresh = self.after(command)
             changes = () if resources.crowded(fresh) else self.changes_of(command, fresh)
@@ -262,10 +244,7 @@
                 await clock.sleep(clock.ZERO)
 
     def changes_of(self, command: WritePlan, fresh: dict) -> tuple[tuple[str, str, str], ...]:
-        """The resources that a write would change; one resource's write looks at no other.
-
-        Example: ``control.changes_of(command, control.after(command))``
-        """
+        """The resources that a write would change; one resource's write looks at no other."""
         if command.way not in ("put", "delete"):
             return resources.differences(self.document, fresh)
         held, wanted = (whole.get(command.kind, {}) for whole in (self.document, fresh))
@@ -275,10 +254,7 @@
         )
 
     def after(self, command: WritePlan) -> dict:
-        """The whole plan as it would be after a write.
-
-        Example: ``control.after(WritePlan("whole", "", "", "{}", None)) == {}``
-        """
+        """The whole plan as it would be after a write."""
         body = json.loads(command.body) if command.body else None
         if command.way == "whole":
             return body
@@ -294,10 +270,7 @@
         return {**self.document, command.kind: group}
 
     def decide_duty(self, command: TakeDuty, now: datetime.timedelta) -> tuple[tuple, object]:
-        """A duty is handed to another only once its holder's claim ran out; each time under a new epoch.
-
-        Example: ``control.decide_duty(TakeDuty("rest", "a:1", 5), now)``
-        """
+        """A duty is handed to another only once its holder's claim ran out; each time under a new epoch."""
         held = self.duties.get(command.duty)
         if held is not None and (held.holder, held.incarnation) == (command.holder, command.incarnation):
             self.claims[command.duty] = now + DUTY_LEASE
@@ -313,10 +286,7 @@
         return (taken,), taken
 
     def fold(self, event) -> None:
-        """Take an event in.
-
-        Example: ``control.fold(PlanChanged(Revision(1, 1), ()))``
-        """
+        """Take an event in."""
         if isinstance(event, DutyTaken):
             self.duties[event.duty] = event
         elif isinstance(event, ConfigurationTaken):
@@ -326,10 +296,7 @@
             self.fold_changes(event)
 
     def fold_changes(self, event: PlanChanged) -> None:
-        """Take changed resources in, and remember the step that leads there.
-
-        Example: ``control.fold_changes(PlanChanged(Revision(1, 1), ()))``
-        """
+        """Take changed resources in, and remember the step that leads there."""
         text = event.revision.text()
         patch: dict = {"plan": {}, "revisions": {}, "version": self.configuration.version}
         for change in event.changes:
@@ -355,24 +322,15 @@
         self.revision = event.revision
 
     def due(self, now: datetime.timedelta, gone: collections.abc.Callable[[str], bool]) -> tuple:
-        """No clock events here.
-
-        Example: ``control.due(now, gone) == ()``
-        """
+        """No clock events here."""
         return ()
 
     def rest_clocks(self) -> None:
-        """This node is the primary no more: claims that it saw renewed count for nothing if it is one again.
-
-        Example: ``control.rest_clocks()``
-        """
+        """This node is the primary no more: claims that it saw renewed count for nothing if it is one again."""
         self.claims = {}
 
     def snapshot(self) -> bytes:
-        """All of it as bytes.
-
-        Example: ``Control().restore(control.picture())``
-        """
+        """All of it as bytes."""
         duties = [dataclasses.asdict(one) for one in self.duties.values()]
         return json.dumps(
             {
@@ -385,17 +343,11 @@
         ).encode()
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The picture, in one part: a plan is bounded.
-
-        Example: ``b"".join(control.picture_parts()) == control.picture()``
-        """
+        """The picture, in one part: a plan is bounded."""
         return iter([self.snapshot()])
 
     def size(self) -> int:
-        """How much a picture holds.
-
-        Example: ``control.size() == 0``
-        """
+        """How much a picture holds."""
         return 0
 
     def payload_bytes(self) -> int:
@@ -406,16 +358,10 @@
         return 0
 
     def limit_payload(self, most: int) -> None:
-        """Nothing to bound: the control group holds nothing of what callers send.
-
-        Example: ``ControlState().limit_payload(8 << 20)``
-        """
+        """Nothing to bound: the control group holds nothing of what callers send."""
 
     def restore(self, body: bytes) -> None:
-        """Become what a picture shows.
-
-        Example: ``control.restore(body)``
-        """
+        """Become what a picture shows."""
         shown = json.loads(body)
         self.revision = revision_of(shown["revision"])
         self.document, self.revisions = shown["document"], shown["revisions"]
--- a/aspencroft/configuration/http_route.py
+++ b/aspencroft/configuration/http_route.py
@@ -42,10 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a route's requests go to, in proportion to its weight among the route's targets.
-
-    Example: ``Target("planner", 90.0)``
-    """
+    """A service that a route's requests go to, in proportion to its weight among the route's targets."""
 
     service: str
     weight: float
@@ -58,8 +55,6 @@
     ``rank`` 0 is the most urgent; ``attempts`` is the most workers that one attempt of a caller may be sent to;
     ``timeout`` the longest that it is held, ``aim`` the time within which an answer is worth most, ``keep`` how
     long retained turns last, ``gap`` the longest good pause between two events. An aim or gap of zero: none.
-
-    Example: ``http_route.of("a", {"host": "a.example", "prefix": "/", "targets": [{"service": "planner"}]})``
     """
 
     name: str
@@ -78,10 +73,7 @@
     gap: datetime.timedelta
 
     def services(self) -> tuple[str, ...]:
-        """The services that requests may go to: targets whose weight is above 0.
-
-        Example: ``route.services() == ("planner",)``
-        """
+        """The services that requests may go to: targets whose weight is above 0."""
         return tuple(one.service for one in self.targets if one.weight > 0)
 
 
@@ -102,10 +94,7 @@
 
 
 def of(name: str, spec: dict) -> HttpRoute:
-    """The typed route of a checked resource.
-
-    Example: ``of("a", spec).timeout``
-    """
+    """The typed route of a checked resource."""
     full = msgspec.convert(spec, Spec)
 
     def span(count: float) -> datetime.timedelta:
@@ -139,10 +128,7 @@
 
 
 class Index:
-    """Where routes lie and which services they use: what must agree between routes, kept up change by change.
-
-    Example: ``index.put("a", spec)``, then ``index.faults({"b": other}, {}, services)``
-    """
+    """Where routes lie and which services they use: what must agree between routes, kept up change by change."""
 
     def __init__(self):
         self.places: dict[tuple[str, str], str] = {}
@@ -150,10 +136,7 @@
         self.uses: collections.Counter = collections.Counter()
 
     def put(self, name: str, spec: dict) -> None:
-        """Take a checked route in, in the place of one of the same name.
-
-        Example: ``index.put("a", spec)``
-        """
+        """Take a checked route in, in the place of one of the same name."""
         self.drop(name)
         place, services = outline(spec)
         self.routes[name] = (place, services)
@@ -161,10 +144,7 @@
         self.uses.update(services)
 
     def drop(self, name: str) -> None:
-        """Forget a route, if there is one of that name.
-
-        Example: ``index.drop("a")``
-        """
+        """Forget a route, if there is one of that name."""
         place, services = self.routes.pop(name, (None, ()))
         if place is not None:
             if self.places.get(place) == name:
@@ -184,8 +164,6 @@
         """The faults that a change would bring: path and meaning; its cost follows the change, not the routes held.
 
         ``known`` tells whether a service is there after the change, ``lost`` names those that go with it.
-
-        Example: ``index.faults({"a": spec}, (), {"planner"}.__contains__, ()) == []``
         """
         found, taken, fewer = [], {}, collections.Counter()
         for name in {*put, *dropped}:
@@ -213,8 +191,5 @@
 
 
 def outline(spec: dict) -> tuple[tuple[str, str], tuple[str, ...]]:
-    """A checked route's place and the services that it names.
-
-    Example: ``outline(spec) == (("a.example", "/"), ("planner",))``
-    """
+    """A checked route's place and the services that it names."""
     return (bare(spec["host"]), spec["prefix"]), tuple(one["service"] for one in spec["targets"])
--- a/aspencroft/configuration/lane.py
+++ b/aspencroft/configuration/lane.py
@@ -41,10 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Lane:
-    """A lane's wish, checked and typed.
-
-    Example: ``lane.of("chat", {"kind": "turns", "services": ["planner"]})``
-    """
+    """A lane's wish, checked and typed."""
 
     name: str
     kind: str
--- a/aspencroft/configuration/lane_route.py
+++ b/aspencroft/configuration/lane_route.py
@@ -19,10 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LaneRoute:
-    """Where calls of a lane for a tool go now.
-
-    Example: ``lane_route.of("chat-code", {"lane": "chat", "tool": "code", "services": ["coder"]})``
-    """
+    """Where calls of a lane for a tool go now."""
 
     name: str
     lane: str
--- a/aspencroft/configuration/limits.py
+++ b/aspencroft/configuration/limits.py
@@ -25,10 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """The most bytes of a request's head and body, how long the head may take, how long a connection may rest.
-
-    Example: ``limits.of({}).body_bytes == 4 << 20``
-    """
+    """The most bytes of a request's head and body, how long the head may take, how long a connection may rest."""
 
     header_bytes: int
     body_bytes: int
@@ -37,10 +34,7 @@
 
 
 def of(spec: dict) -> Limits:
-    """The typed limits of a checked resource.
-
-    Example: ``of({"header_timeout": 3}).header_timeout``
-    """
+    """The typed limits of a checked resource."""
     full = {**DEFAULTS, **spec}
     return Limits(
         full["header_bytes"],
--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -19,10 +19,7 @@
 @codec.kind(79)
 @dataclasses.dataclass(frozen=True)
 class Item:
-    """One item: its list, its name there, its words, and the resource that it stands for (kind empty: none).
-
-    Example: ``Item("route-list", "a", '{"name": "a"}', "http_routes", "a", "{...}")``
-    """
+    """One item: its list, its name there, its words, and the resource that it stands for (kind empty: none)."""
 
     group: str
     label: str
@@ -106,10 +103,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decided:
-    """What a command comes to: items to keep, orders of lists to set, changed resources (an empty text removes).
-
-    Example: ``decided = document.decide(command, plan_document, index)``
-    """
+    """What a command comes to: items to keep, orders of lists to set, changed resources (an empty text removes)."""
 
     kept: tuple[Kept, ...]
     orders: tuple[Order, ...]
@@ -132,8 +126,6 @@
 
         Refused as unknown where such a record would have been given up by now: it may have been taken, and an order
         that was taken is never called refused. A condition at or above the version tells that it never was.
-
-        Example: ``document.known(command)``
         """
         found = self.taken.find(command.version)
         if found is not None and found.digest == command.digest:
@@ -147,10 +139,7 @@
         return None
 
     def decide(self, command: ApplyConfiguration, document: dict, index: http_route.Index) -> Decided:
-        """What a command would change; a RequestError when its condition is not met or what it gives is not sound.
-
-        Example: ``document.decide(command, {}, http_route.Index())``
-        """
+        """What a command would change; a RequestError when its condition is not met or what it gives is not sound."""
         if command.condition != self.version:
             raise result.RequestError(result.ResultCode.REVISION_DIFFERS, detail=f"the version is {self.version}")
         faults = []
@@ -185,10 +174,7 @@
         return Decided(tuple(kept), self.orders(command), tuple(changes))
 
     def items(self, command: ApplyConfiguration) -> tuple[list[Kept], list[Kept]]:
-        """Items that a command changes, as they will be kept, and the old ones that go or give way.
-
-        Example: ``kept, dropped = document.items(command)``
-        """
+        """Items that a command changes, as they will be kept, and the old ones that go or give way."""
         kept, dropped, named = [], [], set()
         for one in command.upserts:
             fresh = Kept(one.group, one.label, one.text, one.kind, one.name)
@@ -210,10 +196,7 @@
         return kept, dropped
 
     def orders(self, command: ApplyConfiguration) -> tuple[Order, ...]:
-        """The lists of a whole document whose items would otherwise stand in another order.
-
-        Example: ``document.orders(command)``
-        """
+        """The lists of a whole document whose items would otherwise stand in another order."""
         if not command.whole:
             return ()
         wanted: dict[str, list[str]] = {}
@@ -228,10 +211,7 @@
         return tuple(found)
 
     def fold(self, taken: taken_orders.Taken, kept: tuple[Kept, ...], orders: tuple[Order, ...]) -> None:
-        """Take in a configuration that was decided.
-
-        Example: ``document.fold(taken, decided.kept, decided.orders)``
-        """
+        """Take in a configuration that was decided."""
         self.version = taken.version
         self.taken.add(taken)
         for one in kept:
@@ -247,17 +227,11 @@
             self.groups[one.group] = {label: held[label] for label in one.labels}
 
     def read(self) -> ConfigurationRead:
-        """The newest configuration.
-
-        Example: ``document.read().version``
-        """
+        """The newest configuration."""
         return ConfigurationRead(self.version, tuple(one for group in self.groups.values() for one in group.values()))
 
     def snapshot(self) -> dict:
-        """All of it as JSON's types.
-
-        Example: ``Configuration().restore(document.snapshot())``
-        """
+        """All of it as JSON's types."""
         return {
             "version": self.version,
             "items": [dataclasses.astuple(one) for group in self.groups.values() for one in group.values()],
@@ -265,10 +239,7 @@
         }
 
     def restore(self, shown: dict) -> None:
-        """Become what a snapshot shows.
-
-        Example: ``document.restore(shown)``
-        """
+        """Become what a snapshot shows."""
         self.version, self.groups = shown["version"], {}
         for one in shown["items"]:
             kept = Kept(*one)
@@ -324,10 +295,7 @@
 
 
 def refusal(faults: list[resources.Fault]) -> result.RequestError:
-    """The refusal that lists faults.
-
-    Example: ``raise refusal([plan.Fault("version", "3 is not above 3")])``
-    """
+    """The refusal that lists faults."""
     return result.RequestError(
         result.ResultCode.PLAN_INVALID,
         detail=json.dumps([dataclasses.asdict(one) for one in faults[:MOST_FAULTS]]),
--- a/aspencroft/configuration/operator_configuration_test.py
+++ b/aspencroft/configuration/operator_configuration_test.py
@@ -14,20 +14,14 @@
 
 
 def service(name: str, text: str = "") -> operator_configuration.Item:
-    """An item that stands for a service.
-
-    Example: ``service("s")``
-    """
+    """An item that stands for a service."""
     return operator_configuration.Item(
         "services here", name, text or f"words of {name}", "services", name, '{"kind": "plain"}'
     )
 
 
 def route(name: str, place: str, to: str, text: str = "") -> operator_configuration.Item:
-    """An item that stands for a route of one host at a prefix.
-
-    Example: ``route("r", "/", "s")``
-    """
+    """An item that stands for a route of one host at a prefix."""
     spec = {"host": "h", "prefix": place, "targets": [{"service": to}]}
     return operator_configuration.Item(
         "routes here", name, text or f"{place} {to}", "http_routes", name, json.dumps(spec)
@@ -37,10 +31,7 @@
 def order(
     version: int, condition: int, upserts: list, removals: list | None = None, digest: bytes = b""
 ) -> operator_configuration.ApplyConfiguration:
-    """A command; whole when no removals are given.
-
-    Example: ``order(1, 0, [service("s")])``
-    """
+    """A command; whole when no removals are given."""
     told = hashlib.blake2b(digest or repr((version, condition, upserts, removals)).encode(), digest_size=16).digest()
     return operator_configuration.ApplyConfiguration(
         version, condition, removals is None, tuple(upserts), tuple(removals or ()), told
@@ -48,19 +39,13 @@
 
 
 class Store:
-    """The control group's view as a primary uses it, and as a copy that folds the same events.
-
-    Example: ``Store().apply(command)``
-    """
+    """The control group's view as a primary uses it, and as a copy that folds the same events."""
 
     def __init__(self):
         self.view, self.follower = control_state.ControlState(), control_state.ControlState()
 
     def apply(self, command):
-        """The reply, or the refusal's result; nothing may change by a refusal or a repeat.
-
-        Example: ``store.apply(order(1, 0, []))``
-        """
+        """The reply, or the refusal's result; nothing may change by a refusal or a repeat."""
         before = self.view.snapshot()
         command = codec.untagged(codec.tagged(command))
         try:
@@ -76,10 +61,7 @@
         return reply
 
     def restart(self) -> None:
-        """Both copies anew from a picture.
-
-        Example: ``store.restart()``
-        """
+        """Both copies anew from a picture."""
         shown = self.view.snapshot()
         for name in ("view", "follower"):
             fresh = control_state.ControlState()
@@ -92,10 +74,7 @@
         )
 
     def items(self) -> dict[str, list[tuple[str, str]]]:
-        """Labels and words of each list, in order.
-
-        Example: ``store.items()``
-        """
+        """Labels and words of each list, in order."""
         found: dict[str, list] = {}
         for one in self.view.configuration.read().items:
             found.setdefault(one.group, []).append((one.label, one.text))
@@ -103,10 +82,7 @@
 
 
 class Model:
-    """What a configuration store should do, said plainly: a list of items, checked by looking at all of them.
-
-    Example: ``Model().apply(command)``
-    """
+    """What a configuration store should do, said plainly: a list of items, checked by looking at all of them."""
 
     def __init__(self):
         self.version = 0
@@ -114,10 +90,7 @@
         self.taken: list[tuple[int, bytes]] = []
 
     def apply(self, command):
-        """True, "again", or the refusals that would be right.
-
-        Example: ``model.apply(order(1, 0, []))``
-        """
+        """True, "again", or the refusals that would be right."""
         if (command.version, command.digest) in self.taken:
             return "again"
         wrong = set()
@@ -156,10 +129,7 @@
 
 
 def drawn(chance: random.Random, model: Model, said: list) -> operator_configuration.ApplyConfiguration:
-    """An order of some operator: new, raced, repeated, faulty.
-
-    Example: ``drawn(random.Random(1), Model(), [])``
-    """
+    """An order of some operator: new, raced, repeated, faulty."""
     if said and chance.random() < 0.2:
         return chance.choice(said[-12:])
     condition = (
--- a/aspencroft/configuration/orders_stateful_test.py
+++ b/aspencroft/configuration/orders_stateful_test.py
@@ -175,27 +175,18 @@
 def drawn(
     version: int, condition: int, mark: int, faulty: bool, whole: bool
 ) -> operator_configuration.ApplyConfiguration:
-    """An order whose content depends on a mark; a faulty one names a service that is not there.
-
-    Example: ``drawn(3, 0, 1, False, True)``
-    """
+    """An order whose content depends on a mark; a faulty one names a service that is not there."""
     items = [service("s", f"words {mark}"), route("r", f"/{mark}/", MISSING if faulty else "s")]
     return order(version, condition, items, None if whole else [])
 
 
 def names_a_missing_service(command: operator_configuration.ApplyConfiguration) -> bool:
-    """Whether an order is one of the faulty ones.
-
-    Example: ``not names_a_missing_service(drawn(3, 0, 1, False, True))``
-    """
+    """Whether an order is one of the faulty ones."""
     return any(MISSING in one.spec for one in command.upserts)
 
 
 def walk() -> None:
-    """Walk at random; a walk that fails is shown as it is, since making it shorter takes minutes.
-
-    Example: ``walk()``
-    """
+    """Walk at random; a walk that fails is shown as it is, since making it shorter takes minutes."""
     settings = hypothesis.settings(
         max_examples=EXAMPLES,
         stateful_step_count=STEPS,
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -35,10 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """One fault of a plan: where it is and what is wrong.
-
-    Example: ``Fault("lanes/chat/urgency", "expected int")``
-    """
+    """One fault of a plan: where it is and what is wrong."""
 
     path: str
     meaning: str
@@ -46,10 +43,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """The plan as nodes use it.
-
-    Example: ``plan.of({"lanes": {...}, ...}).lanes["chat"]``
-    """
+    """The plan as nodes use it."""
 
     services: dict[str, service.Service]
     lanes: dict[str, lane.Lane]
@@ -64,10 +58,7 @@
     version: int = 0
 
     def allowed(self, lane_name: str, tool: str) -> tuple[str, ...]:
-        """The services that a lane's call may go to now, for a tool or in general.
-
-        Example: ``plan.allowed("chat", "code")``
-        """
+        """The services that a lane's call may go to now, for a tool or in general."""
         whole = self.lanes[lane_name].services
         current = self.lane_routes.get((lane_name, tool)) or self.lane_routes.get((lane_name, ""))
         if current is None:
@@ -76,10 +67,7 @@
 
 
 def check(document: dict, changed: tuple[tuple[str, str], ...] | None = None) -> tuple[Fault, ...]:
-    """All faults of a plan; given changed resources, only those are checked on their own.
-
-    Example: ``check({"lanes": {"chat": {}}})[0].path == "lanes/chat/kind"``
-    """
+    """All faults of a plan; given changed resources, only those are checked on their own."""
     faults = [Fault(kind, "unknown kind of resource") for kind in document if kind not in SCHEMAS]
     if crowded(document):
         return (Fault("", f"more than {MOST_RESOURCES} resources"),)
@@ -101,18 +89,12 @@
 
 
 def crowded(document: dict) -> bool:
-    """Whether a document holds more resources than may be.
-
-    Example: ``not crowded({})``
-    """
+    """Whether a document holds more resources than may be."""
     return sum(len(group) for group in document.values() if isinstance(group, dict)) > MOST_RESOURCES
 
 
 def check_anew(kind: str, name: str, text: str) -> tuple[Fault, ...]:
-    """The faults of one resource on its own, given as JSON.
-
-    Example: ``check_anew("workers", "w1", '{"leaving": 3}')``
-    """
+    """The faults of one resource on its own, given as JSON."""
     faults = [
         Fault("/".join([kind, name, path]).rstrip("/"), meaning)
         for path, meaning in (http_route.faults(text) if kind == HTTP_ROUTES else ())
@@ -132,18 +114,12 @@
 
 @functools.lru_cache(CHECKS_KEPT)
 def check_one(kind: str, name: str, text: str) -> tuple[Fault, ...]:
-    """The faults of one resource, kept, as a write is checked ahead in slices.
-
-    Example: ``check_one("workers", "w1", '{"leaving": 3}')``
-    """
+    """The faults of one resource, kept, as a write is checked ahead in slices."""
     return check_anew(kind, name, text)
 
 
 def references(document: dict) -> list[Fault]:
-    """The faults between resources: names that no resource bears.
-
-    Example: ``references({"lanes": {"a": {"services": ["x"]}}})``
-    """
+    """The faults between resources: names that no resource bears."""
     faults = []
     services, lanes = document.get("services", {}), document.get("lanes", {})
     for name, spec in services.items():
@@ -190,9 +166,8 @@
 
 
 def after(before: Plan, document: dict, patch: dict, version: int) -> Plan:
-    """The typed plan of a document that differs from another by a merge patch; its cost follows what the patch names.
-
-    Example: ``after(of({}), {"machines": {"a": {}}}, {"machines": {"a": {}}}, 0)``
+    """The typed plan of a document that differs from another by a merge patch; its cost follows what the
+    patch names.
     """
     fresh: dict = {"version": version}
 
--- a/aspencroft/configuration/route_table.py
+++ b/aspencroft/configuration/route_table.py
@@ -15,10 +15,7 @@
 
 
 class RouteTable:
-    """Routes by host and prefix, never changed once made; a change gives another table that shares most with it.
-
-    Example: ``table.match("a.example:80", "/a/b")``
-    """
+    """Routes by host and prefix, never changed once made; a change gives another table that shares most with it."""
 
     __slots__ = ("hosts",)
 
@@ -30,8 +27,6 @@
 
         The host is compared without its port and without regard to case; the path is without its query. The
         cost follows the slashes of the host's deepest prefix, not the number of routes.
-
-        Example: ``table.match("A.example:80", "/a/b").prefix == "/a/"``
         """
         held = self.hosts.get(http_route.bare(host))
         if held is None or not path.startswith("/"):
@@ -51,10 +46,7 @@
         gone: collections.abc.Iterable[http_route.HttpRoute],
         come: collections.abc.Iterable[http_route.HttpRoute],
     ) -> "RouteTable":
-        """The table without some routes and with others; only the hosts that they belong to are made anew.
-
-        Example: ``table.changed((old,), (new,))``
-        """
+        """The table without some routes and with others; only the hosts that they belong to are made anew."""
         hosts, fresh = dict(self.hosts), {}
 
         def routes_of(host: str) -> dict[str, http_route.HttpRoute]:
--- a/aspencroft/configuration/route_table_test.py
+++ b/aspencroft/configuration/route_table_test.py
@@ -38,10 +38,7 @@
 
 
 def spec(host: str, prefix: str, service: str) -> dict:
-    """A route's resource.
-
-    Example: ``spec("h", "/", "s")``
-    """
+    """A route's resource."""
     return {"host": host, "prefix": prefix, "targets": [{"service": service}]}
 
 
--- a/aspencroft/configuration/service.py
+++ b/aspencroft/configuration/service.py
@@ -45,8 +45,6 @@
 class Engine:
     """What a model's worker can do: requests at once, tokens of KV memory, bytes of KV a token, its link in bit/s
     (0: not told), tokens in one event of a stream, and the models that it serves.
-
-    Example: ``Engine(32, 994_921, 35_136, 2.2e12, 20, ("m",))``
     """
 
     slots: int
@@ -63,8 +61,6 @@
 
     ``max_connections`` is what one worker takes from all callers together, 0 when it is not told; ``health_path`` is
     empty when there is none; ``keeps_keys``: the service has a record of operation keys of its own.
-
-    Example: ``service.of("coder", {"kind": "model", "size": 15_200_000_000})``
     """
 
     name: str
--- a/aspencroft/configuration/taken_orders.py
+++ b/aspencroft/configuration/taken_orders.py
@@ -41,17 +41,11 @@
         return len(self.records) // RECORD.size
 
     def version_at(self, place: int) -> int:
-        """The version of the record at a place.
-
-        Example: ``orders.version_at(0)``
-        """
+        """The version of the record at a place."""
         return RECORD.unpack_from(self.records, place * RECORD.size)[0]
 
     def find(self, version: int) -> Taken | None:
-        """The order that was taken under a version, if it is still on record.
-
-        Example: ``orders.find(7).digest``
-        """
+        """The order that was taken under a version, if it is still on record."""
         place = bisect.bisect_left(range(len(self)), version, key=self.version_at)
         if place == len(self) or self.version_at(place) != version:
             return None
@@ -59,17 +53,11 @@
         return Taken(version, digest, f"{epoch}.{number}")
 
     def forgotten(self, version: int) -> bool:
-        """Whether an order under a version may have been taken so long ago that its record is gone.
-
-        Example: ``orders.forgotten(7)``
-        """
+        """Whether an order under a version may have been taken so long ago that its record is gone."""
         return version <= self.horizon
 
     def add(self, taken: Taken) -> None:
-        """Record an order; its version is above all others. The oldest record goes where there are too many.
-
-        Example: ``orders.add(Taken(3, bytes(16), "1.7"))``
-        """
+        """Record an order; its version is above all others. The oldest record goes where there are too many."""
         epoch, number = map(int, taken.revision.split("."))
         self.records += RECORD.pack(taken.version, epoch, number, taken.digest)
         excess = len(self) - MOST_RECORDS
@@ -78,16 +66,12 @@
             del self.records[: excess * RECORD.size]
 
     def snapshot(self) -> dict:
-        """The whole record as JSON's types.
-
-        Example: ``TakenOrders().restore(orders.snapshot())``
-        """
+        """The whole record as JSON's types."""
         return {"horizon": self.horizon, "records": base64.b64encode(self.records).decode()}
 
     def restore(self, shown: dict | list) -> None:
-        """Become what a snapshot shows; earlier software wrote a list of the last 256 orders: a full one has a horizon.
-
-        Example: ``orders.restore(shown)``
+        """Become what a snapshot shows; earlier software wrote a list of the last 256 orders: a full one has a
+        horizon.
         """
         if isinstance(shown, dict):
             self.horizon, self.records = shown["horizon"], bytearray(base64.b64decode(shown["records"]))
--- a/aspencroft/consensus/ballot.py
+++ b/aspencroft/consensus/ballot.py
@@ -39,38 +39,26 @@
 
 
 def granted(answers: Answers) -> dict[str, replica_set.BallotReply]:
-    """Those answers that grant.
-
-    Example: ``voter_set.quorum(granted(answers))``
-    """
+    """Those answers that grant."""
     return {address: one for address, one in answers.items() if one.granted}
 
 
 def settled(voter_set: replica_set.VoterSet, answers: Answers) -> bool:
-    """Whether more answers change nothing: a majority grants, or so many refused that none can.
-
-    Example: ``settled(voter_set, answers)``
-    """
+    """Whether more answers change nothing: a majority grants, or so many refused that none can."""
     agreeing = granted(answers)
     refused = set(answers) - set(agreeing)
     return voter_set.quorum(agreeing) or not voter_set.quorum(set(voter_set.everyone()) - refused)
 
 
 def newest_accepted(promised: Answers) -> replica_set.Ballot:
-    """Of what those who promised had accepted, the one of the highest ballot: the value that may be chosen already.
-
-    Example: ``newest_accepted(promised).value``
-    """
+    """Of what those who promised had accepted, the one of the highest ballot: the value that may be chosen already."""
     return max((one.ballot for one in promised.values()), key=lambda one: one.accepted)
 
 
 def accept_messages(
     voter_set: replica_set.VoterSet, register: int, ballot: int, value: bytes, promised: Answers
 ) -> dict[str, replica_set.Accept]:
-    """The second phase, for those who promised alone, each named by the incarnation that did.
-
-    Example: ``accept_messages(voter_set, 0, 7, value, promised)["a:1"].incarnation``
-    """
+    """The second phase, for those who promised alone, each named by the incarnation that did."""
     return {
         address: replica_set.Accept(register, ballot, value, one.incarnation, voter_set.number)
         for address, one in promised.items()
@@ -80,10 +68,7 @@
 def is_chosen(
     voter_set: replica_set.VoterSet, answers: Answers, started: datetime.timedelta, now: datetime.timedelta
 ) -> bool:
-    """Whether a ballot chose its value: a majority accepted it, before a wiped witness could have been taught again.
-
-    Example: ``is_chosen(voter_set, answers, started, clock.now())``
-    """
+    """Whether a ballot chose its value: a majority accepted it, before a wiped witness could have been taught again."""
     return now - started <= witness_state.LEASE and voter_set.quorum(granted(answers))
 
 
@@ -94,10 +79,7 @@
     started: datetime.timedelta,
     length: datetime.timedelta,
 ) -> LeaseOutcome:
-    """What answers to a lease request come to; the lease is counted from before it was asked for.
-
-    Example: ``lease_outcome(voter_set, answers, chosen, started, LEASE).end``
-    """
+    """What answers to a lease request come to; the lease is counted from before it was asked for."""
     newest = max((one.ballot for one in answers.values()), key=lambda one: one.accepted, default=None)
     value = newest.value if newest is not None and newest.accepted > chosen.ballot else b""
     if voter_set.quorum(granted(answers)):
--- a/aspencroft/consensus/proposer.py
+++ b/aspencroft/consensus/proposer.py
@@ -16,10 +16,7 @@
 
 
 class Proposer:
-    """The witnesses as a node knows them.
-
-    Example: ``await proposer.change(0, "me", lambda value: fresh)``
-    """
+    """The witnesses as a node knows them."""
 
     def __init__(self, around: environment.Environment, links: connections.Link, first_voter_set: replica_set.VoterSet):
         self.environment = around
@@ -28,18 +25,12 @@
         self.highest = 0
 
     def ballot(self) -> int:
-        """A ballot number above all that were seen, and nobody else's.
-
-        Example: ``proposer.ballot() > proposer.highest``
-        """
+        """A ballot number above all that were seen, and nobody else's."""
         self.highest = ballots.next_ballot(self.highest, self.environment.randomness)
         return self.highest
 
     def heed(self, answers: dict) -> None:
-        """Learn higher ballots and newer voter sets from answers; tell witnesses that are behind of the newest set.
-
-        Example: ``proposer.heed(answers)``
-        """
+        """Learn higher ballots and newer voter sets from answers; tell witnesses that are behind of the newest set."""
         for one in answers.values():
             self.highest = max(self.highest, one.ballot.raised)
             self.learn(one.voter_set)
@@ -48,20 +39,14 @@
                 self.link.tell(address, replica_set.VoterSetChosen(self.voter_set))
 
     def learn(self, voter_set: replica_set.VoterSet) -> None:
-        """Take a newer voter set.
-
-        Example: ``proposer.learn(voter_set)``
-        """
+        """Take a newer voter set."""
         if voter_set.number > self.voter_set.number:
             self.voter_set = voter_set
 
     async def ask_all(
         self, messages: dict[str, object], enough: collections.abc.Callable[[dict], bool]
     ) -> dict[str, replica_set.BallotReply]:
-        """Ask witnesses at once; answers by address, as soon as they are enough or nobody is left.
-
-        Example: ``answers = await proposer.ask_all(messages, lambda answers: False)``
-        """
+        """Ask witnesses at once; answers by address, as soon as they are enough or nobody is left."""
         answers: dict[str, replica_set.BallotReply] = {}
 
         async def ask(address: str, message) -> None:
@@ -81,10 +66,7 @@
     async def ask_voters(
         self, voter_set: replica_set.VoterSet, messages: dict[str, object]
     ) -> dict[str, replica_set.BallotReply]:
-        """Ask voters until more answers change nothing, and learn from what they tell.
-
-        Example: ``answers = await proposer.ask_voters(voter_set, messages)``
-        """
+        """Ask voters until more answers change nothing, and learn from what they tell."""
         answers = await self.ask_all(messages, lambda found: ballots.settled(voter_set, found))
         self.heed(answers)
         return answers
@@ -94,8 +76,6 @@
 
         The value is finished, unchanged, when the function hands it back. Refused with the time to
         wait when a lease stands in the way or another ballot is higher.
-
-        Example: ``chosen = await proposer.change(0, asker, lambda value: value)``
         """
         voter_set, started = self.voter_set, clock.now()
         ballot = self.ballot()
@@ -120,10 +100,7 @@
     async def claim(
         self, chosen: Chosen, register: int, claimant: str, length: datetime.timedelta
     ) -> tuple[datetime.timedelta | None, bytes, bool]:
-        """Renew a lease: its end, counted from before it was asked for, or none; the newest value; if most answered.
-
-        Example: ``end, newest, answered = await proposer.claim(chosen, 0, claimant, witness.LEASE)``
-        """
+        """Renew a lease: its end, counted from before it was asked for, or none; the newest value; if most answered."""
         voter_set, started = self.voter_set, clock.now()
         message = replica_set.LeaseRequest(register, chosen.ballot, chosen.value, claimant, length, voter_set.number)
         answers = await self.ask_voters(voter_set, dict.fromkeys(voter_set.everyone(), message))
@@ -132,8 +109,5 @@
 
 
 def replica_set_of(value: bytes) -> replica_set.ReplicaSet | None:
-    """The replica set in a register's value.
-
-    Example: ``replica_set_of(chosen.value).epoch``
-    """
+    """The replica set in a register's value."""
     return codec.untagged(value) if value else None
--- a/aspencroft/consensus/record_recovery.py
+++ b/aspencroft/consensus/record_recovery.py
@@ -23,8 +23,6 @@
     has not heard of. Nobody would ever lead the group then. The record is not passed on as it is,
     since it may have been
     accepted by few: a ballot settles what stands, and that is told. A lease in force refuses that ballot.
-
-    Example: ``group.create_task(recovery.run())``
     """
 
     def __init__(
@@ -43,10 +41,7 @@
         self.due: dict[tuple[int, int], datetime.timedelta] = {}
 
     async def run(self) -> None:
-        """Settle records that stay unheard of.
-
-        Example: ``group.create_task(recovery.run())``
-        """
+        """Settle records that stay unheard of."""
         while True:
             await clock.sleep(STEP)
             for register in self.overdue():
@@ -56,10 +51,7 @@
                     LOG.info("record of group {}: {}", register, refusal)
 
     def overdue(self) -> list[int]:
-        """The groups of which this witness accepted a record that stays unheard of; the witnesses take turns.
-
-        Example: ``recovery.overdue() == []``
-        """
+        """The groups of which this witness accepted a record that stays unheard of; the witnesses take turns."""
         unheard = self.unheard()
         voters = sorted(self.proposer.voter_set.everyone())
         place = voters.index(self.address) if self.address in voters else len(voters)
@@ -71,10 +63,7 @@
         return [register for register, _ in ready]
 
     def unheard(self) -> list[tuple[int, int]]:
-        """Group and epoch of accepted records that are newer than those told of.
-
-        Example: ``recovery.unheard() == []``
-        """
+        """Group and epoch of accepted records that are newer than those told of."""
         found = []
         if not self.witness.voting:
             return found
@@ -88,10 +77,7 @@
         return found
 
     async def settle(self, register: int) -> None:
-        """Finish the ballot of a record, whatever it turns out to be, and tell of it.
-
-        Example: ``await recovery.settle(1)``
-        """
+        """Finish the ballot of a record, whatever it turns out to be, and tell of it."""
 
         def standing(value: bytes) -> bytes:
             if not value:
--- a/aspencroft/consensus/replica_placement.py
+++ b/aspencroft/consensus/replica_placement.py
@@ -16,10 +16,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """A node with a disk that could hold a replica.
-
-    Example: ``Candidate("127.0.0.1:7001", "north")``
-    """
+    """A node with a disk that could hold a replica."""
 
     address: str
     area: str
@@ -27,20 +24,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """A member whose place in a group is better taken by another disk.
-
-    Example: ``Move(standing.backups[0], Candidate("a:1", "north")).target.area``
-    """
+    """A member whose place in a group is better taken by another disk."""
 
     leaving: replica_set.ReplicaId
     target: Candidate
 
 
 def replica_counts(records: collections.abc.Iterable[replica_set.ReplicaSet]) -> collections.Counter[str]:
-    """How many replicas each address holds, by the records of all groups.
-
-    Example: ``replica_counts([standing])[standing.primary.address] == 1``
-    """
+    """How many replicas each address holds, by the records of all groups."""
     return collections.Counter(member.address for record in records for member in record.members())
 
 
@@ -58,10 +49,7 @@
     areas: collections.abc.Collection[str],
     held: collections.Counter[str],
 ) -> list[Candidate]:
-    """Candidates for one more member of a group that has members in some areas, the best first.
-
-    Example: ``preferred(1, candidates, {"north"}, replica_counts(records))[0].area != "north"``
-    """
+    """Candidates for one more member of a group that has members in some areas, the best first."""
     return sorted(
         candidates,
         key=lambda one: (one.area in areas, held[one.address], stable_order(group, one.address)),
@@ -77,8 +65,6 @@
     """The first members of a group beside groups founded before it, the primary first.
 
     Primaries are spread first, as they do the most work, then replicas.
-
-    Example: ``first_members(1, candidates, 3, [])[0]``
     """
     held = replica_counts(founded)
     led = collections.Counter(record.primary.address for record in founded)
@@ -101,8 +87,6 @@
     Nothing is to be moved while a member is not among the candidates, the live disks: repair comes first. Each move
     adds an area, or keeps their number and brings two disks nearer to each other, so that a row of them ends.
     Of equally good moves one of a backup is taken: a primary has to hand over first, and the next one would do so too.
-
-    Example: ``improving_move(standing, candidates, replica_counts(records))``
     """
     area_of = {one.address: one.area for one in candidates}
     members = standing.members()
--- a/aspencroft/consensus/replica_set.py
+++ b/aspencroft/consensus/replica_set.py
@@ -22,10 +22,7 @@
 @codec.kind(20)
 @dataclasses.dataclass(frozen=True)
 class ReplicaId:
-    """A copy's holder: the node's address and the identity that its store was born with.
-
-    Example: ``Member("127.0.0.1:7001", "5f3a...")``; a store that was lost has another identity.
-    """
+    """A copy's holder: the node's address and the identity that its store was born with."""
 
     address: str
     identity: str
@@ -34,10 +31,7 @@
 @codec.kind(21)
 @dataclasses.dataclass(frozen=True)
 class ReplicaSet:
-    """Primary and backups of a group under an epoch: each of them holds all that was answered.
-
-    Example: ``Holding(0, 3, primary, ())``: one copy, no write is taken.
-    """
+    """Primary and backups of a group under an epoch: each of them holds all that was answered."""
 
     pair: int
     epoch: int
@@ -45,10 +39,7 @@
     backups: tuple[ReplicaId, ...]
 
     def members(self) -> tuple[ReplicaId, ...]:
-        """The primary and the backups.
-
-        Example: ``Holding(0, 3, primary, (backup,)).members() == (primary, backup)``
-        """
+        """The primary and the backups."""
         return (self.primary, *self.backups)
 
 
@@ -60,8 +51,6 @@
     Number zero is what settings name before any roster is in force,
     number one what they name to witnesses that vote from their
     first start on; later numbers are never used twice.
-
-    Example: ``Roster(1, ("a:1", "b:1", "c:1"), ())``
     """
 
     number: int
@@ -69,17 +58,11 @@
     coming: tuple[str, ...]
 
     def everyone(self) -> tuple[str, ...]:
-        """All witnesses to ask.
-
-        Example: ``Roster(2, ("a:1",), ("b:1",)).everyone() == ("a:1", "b:1")``
-        """
+        """All witnesses to ask."""
         return tuple(dict.fromkeys(self.present + self.coming))
 
     def quorum(self, answered) -> bool:
-        """Whether those who answered are a majority of each set.
-
-        Example: ``Roster(1, ("a", "b", "c"), ()).quorum({"a", "c"})``
-        """
+        """Whether those who answered are a majority of each set."""
         return all(
             2 * len(set(group) & set(answered)) > len(set(group)) for group in (self.present, self.coming) if group
         )
--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -18,10 +18,7 @@
 
 
 class Witness:
-    """One witness: its state and its store; diskless ones lose it at a restart and then do not vote at first.
-
-    Example: ``await witness.prepare(Prepare(0, 7, "me", 1))``
-    """
+    """One witness: its state and its store; diskless ones lose it at a restart and then do not vote at first."""
 
     def __init__(
         self,
@@ -54,24 +51,15 @@
         return self.state.ballots
 
     def ballot(self, register: int) -> replica_set.Ballot:
-        """What is kept of a register.
-
-        Example: ``witness.ballot(0).raised``
-        """
+        """What is kept of a register."""
         return self.state.ballot(register)
 
     def waits_out_leases(self) -> bool:
-        """Whether leases that were granted in an earlier life may still be in force.
-
-        Example: ``if witness.waits_out_leases(): return``
-        """
+        """Whether leases that were granted in an earlier life may still be in force."""
         return clock.now() < self.state.awake
 
     async def start(self, founding: bool = False) -> None:
-        """Read what the disk holds; with ``founding`` an empty disk is one that never held anything.
-
-        Example: ``await witness.start()``
-        """
+        """Read what the disk holds; with ``founding`` an empty disk is one that never held anything."""
         values, condition = [], None
         if self.folder is not None:
             self.kept, items, condition = await self.environment.disk.perform(
@@ -89,10 +77,7 @@
         self.state = state
 
     async def keep(self, *values) -> None:
-        """Sync values before anybody is told of them.
-
-        Example: ``await witness.keep(ballot)``
-        """
+        """Sync values before anybody is told of them."""
         if self.kept is None or not values:
             return
         async with self.writing:
@@ -108,8 +93,6 @@
         """Take a step's state into memory, sync it, and then hand out its reply.
 
         An asker that needs no more answers may go away in the middle; what memory holds is synced all the same.
-
-        Example: ``return await witness.settle(step)``
         """
         self.state = step.state
         if step.writes:
@@ -117,53 +100,32 @@
         return step.reply
 
     async def prepare(self, message: replica_set.Prepare) -> replica_set.BallotReply:
-        """First phase of a ballot.
-
-        Example: ``await witness.prepare(Prepare(0, 7, "me", 1))``
-        """
+        """First phase of a ballot."""
         return await self.settle(self.state.prepare(message, clock.now()))
 
     async def accept(self, message: replica_set.Accept) -> replica_set.BallotReply:
-        """Second phase of a ballot.
-
-        Example: ``await witness.accept(Accept(0, 7, value, incarnation, 1))``
-        """
+        """Second phase of a ballot."""
         return await self.settle(self.state.accept(message))
 
     async def claim(self, message: replica_set.LeaseRequest) -> replica_set.BallotReply:
-        """Renew a primary's lease; a chosen value that was missed is learnt first.
-
-        Example: ``await witness.claim(request)``
-        """
+        """Renew a primary's lease; a chosen value that was missed is learnt first."""
         await self.settle(self.state.learn_chosen(message))
         return await self.settle(self.state.renew(message, clock.now()))
 
     async def adopt(self, voter_set: replica_set.VoterSet) -> None:
-        """Take a newer voter set that was chosen.
-
-        Example: ``await witness.adopt(voter_set)``
-        """
+        """Take a newer voter set that was chosen."""
         await self.settle(self.state.adopt(voter_set))
 
     async def remember(self, known: replica_set.RememberedCluster) -> None:
-        """Keep what this node knows of the cluster, for the start after a full stop.
-
-        Example: ``await witness.remember(RememberedCluster(voter_set, disks))``
-        """
+        """Keep what this node knows of the cluster, for the start after a full stop."""
         if known != self.known:
             self.known = known
             await self.keep(known)
 
     def survey(self) -> replica_set.WitnessState:
-        """All that is kept, for a blank witness that wants to learn.
-
-        Example: ``witness.survey().voting``
-        """
+        """All that is kept, for a blank witness that wants to learn."""
         return self.state.survey()
 
     async def learn(self, voter_set: replica_set.VoterSet, ballots: tuple[replica_set.Ballot, ...]) -> None:
-        """Take the newest of what others keep, and vote from now on.
-
-        Example: ``await witness.learn(voter_set, ballots)``
-        """
+        """Take the newest of what others keep, and vote from now on."""
         await self.settle(self.state.learn(voter_set, ballots, clock.now()))
--- a/aspencroft/consensus/witness_bootstrap.py
+++ b/aspencroft/consensus/witness_bootstrap.py
@@ -24,10 +24,7 @@
 
 
 class WitnessBootstrap:
-    """A node's seat among the witnesses.
-
-    Example: ``group.create_task(seat.run())``
-    """
+    """A node's seat among the witnesses."""
 
     def __init__(
         self,
@@ -52,10 +49,7 @@
         self.settled: tuple[datetime.timedelta, tuple] = (clock.ZERO, ())
 
     async def run(self) -> None:
-        """Try to vote whenever this node is in the roster and blank.
-
-        Example: ``group.create_task(seat.run())``
-        """
+        """Try to vote whenever this node is in the roster and blank."""
         while True:
             if self.witness.voting:
                 self.why = "voting"
@@ -74,29 +68,20 @@
             await clock.sleep(AGAIN)
 
     def disks(self) -> tuple[str, ...]:
-        """The live nodes whose disks may hold groups.
-
-        Example: ``seat.disks() == ("a:1", "b:1")``
-        """
+        """The live nodes whose disks may hold groups."""
         return tuple(
             sorted({one.address for sort in (replica_set.CONTROL, replica_set.TALK) for one in self.holders(sort)})
         )
 
     def short(self) -> str:
-        """The sort of groups for which too few disks are known, or nothing.
-
-        Example: ``seat.short() == ""``
-        """
+        """The sort of groups for which too few disks are known, or nothing."""
         return next(
             (sort for sort in (replica_set.CONTROL, replica_set.TALK) if len(self.holders(sort)) < self.copies),
             "",
         )
 
     async def ask_each(self, addresses: tuple[str, ...], message) -> dict:
-        """Ask several nodes at once; those that answer.
-
-        Example: ``await seat.ask_each(("a:1",), holding.Report())``
-        """
+        """Ask several nodes at once; those that answer."""
         found = {}
 
         async def ask(address: str) -> None:
@@ -109,10 +94,7 @@
         return found
 
     async def try_to_vote(self) -> None:
-        """Wait out a claim, then learn from a majority of the others; or start from the disks.
-
-        Example: ``await seat.try_to_vote()``
-        """
+        """Wait out a claim, then learn from a majority of the others; or start from the disks."""
         if self.witness.waits_out_leases():
             self.why = "waiting out claims"
             return
@@ -151,18 +133,13 @@
             self.proposer.learn(voter_set)
 
     def unfounded(self) -> tuple[int, ...]:
-        """The groups of which this witness holds no record.
-
-        Example: ``seat.unfounded() == ()`` in a fleet that was founded.
-        """
+        """The groups of which this witness holds no record."""
         return tuple(pair for pair in range(self.pairs) if not self.witness.ballot(pair).value)
 
     async def found(self) -> None:
         """Have the very first holders recorded, by ballots like any others: a record that is there already stays.
 
         The first witness begins; another one goes ahead a while later, should the first be gone.
-
-        Example: ``await seat.found()``
         """
         names = self.disks()
         if names != self.settled[1]:
@@ -198,10 +175,7 @@
             await self.ask_each((standing.primary.address,), messages.Appoint(standing))
 
     async def from_disks(self, ballots: tuple[replica_set.Ballot, ...]) -> tuple[replica_set.Ballot, ...] | None:
-        """First state of the registers out of what disks report; none while too few answered.
-
-        Example: ``await seat.from_disks(())``
-        """
+        """First state of the registers out of what disks report; none while too few answered."""
         names = self.disks()
         if names != self.settled[1]:
             self.settled = (clock.now(), names)
@@ -242,20 +216,14 @@
 
 
 def numbered(counter: int, randomness: random.Random) -> int:
-    """A roster's number: it grows with the counter and is nobody else's.
-
-    Example: ``numbered(2, randomness) > numbered(1, randomness)``
-    """
+    """A roster's number: it grows with the counter and is nobody else's."""
     return counter * COUNTER_UNIT + randomness.randrange(COUNTER_UNIT)
 
 
 def newest_holdings(
     reports: dict[str, replica_set.ReplicaReports], ballots: tuple[replica_set.Ballot, ...]
 ) -> dict[int, replica_set.ReplicaSet]:
-    """The newest record of holders of each pair, from disks and from witnesses that still vote.
-
-    Example: ``newest_holdings(reports, ()) == {}`` at the very first start.
-    """
+    """The newest record of holders of each pair, from disks and from witnesses that still vote."""
     found: dict[int, replica_set.ReplicaSet] = {}
     told = [one.holding for report in reports.values() for one in report.copies]
     told.extend(codec.untagged(one.value) for one in ballots if one.value and one.register != replica_set.VOTER_SET)
@@ -268,10 +236,7 @@
 def present_members(
     standing: replica_set.ReplicaSet, reports: dict[str, replica_set.ReplicaReports]
 ) -> list[replica_set.ReplicaId]:
-    """The members of a record whose own disks answered, known by their identity.
-
-    Example: ``present_members(record, reports) == list(record.members())``
-    """
+    """The members of a record whose own disks answered, known by their identity."""
     return [
         one
         for one in standing.members()
@@ -285,10 +250,7 @@
 def first_ballots(
     reports: dict[str, replica_set.ReplicaReports], pairs: int, copies: int
 ) -> tuple[replica_set.Ballot, ...]:
-    """The very first holders: spread evenly over the disks, each in an area of its own where there are enough.
-
-    Example: ``first_ballots(reports, 5, 2)``
-    """
+    """The very first holders: spread evenly over the disks, each in an area of its own where there are enough."""
     founded: list[replica_set.ReplicaSet] = []
     for pair in range(pairs):
         identities = {
--- a/aspencroft/consensus/witness_changes.py
+++ b/aspencroft/consensus/witness_changes.py
@@ -19,10 +19,7 @@
 
 
 def following(value: bytes, voter_set: replica_set.VoterSet, fresh: replica_set.VoterSet) -> bytes:
-    """What a ballot on the voter set records: the fresh one, unless one newer than the one it follows may be chosen.
-
-    Example: ``codec.untagged(following(b"", voter_set, fresh)) == fresh``
-    """
+    """What a ballot on the voter set records: the fresh one, unless one newer than the one it follows may be chosen."""
     standing = codec.untagged(value) if value else voter_set
     return value if standing.number > voter_set.number else codec.tagged(fresh)
 
@@ -33,8 +30,6 @@
     """Whether a joint voter set may give way to the coming one.
 
     Leases of before it must have run out, and a majority of the coming voters must vote under it.
-
-    Example: ``may_end(joint, joint.coming, JOINT_LEAST + clock.seconds(1))``
     """
     return waited > JOINT_LEAST and 2 * len(set(voter_set.coming) & set(ready)) > len(set(voter_set.coming))
 
@@ -43,17 +38,12 @@
     """Whether a majority of the present voters votes under a joint set, so that no quorum of the former one is left.
 
     Leases that the former set granted run from before that moment.
-
-    Example: ``in_force(joint, joint.present)``
     """
     return 2 * len(set(voter_set.present) & set(ready)) > len(set(voter_set.present))
 
 
 class WitnessChanges:
-    """The control primary's work on the roster; any later primary goes on where this one stopped.
-
-    Example: ``group.create_task(reseat.run())``
-    """
+    """The control primary's work on the roster; any later primary goes on where this one stopped."""
 
     def __init__(
         self,
@@ -72,10 +62,7 @@
         self.counts = {"rosters": 0}
 
     async def run(self) -> None:
-        """One step at a time while this node leads the control pair.
-
-        Example: ``group.create_task(reseat.run())``
-        """
+        """One step at a time while this node leads the control pair."""
         while True:
             await clock.sleep(JOINT_STEP if self.proposer.voter_set.coming else STEP)
             if self.leads() and self.proposer.voter_set.number > 0:
@@ -89,8 +76,6 @@
 
         A joint voter set is ended only once leases of before it ran out, and a majority of the coming
         witnesses vote under it.
-
-        Example: ``await changes.step()``
         """
         voter_set = self.proposer.voter_set
         if voter_set.coming:
@@ -101,10 +86,7 @@
             await self.record(voter_set, voter_set.present, wished)
 
     async def step_joint(self, voter_set: replica_set.VoterSet) -> None:
-        """End a joint voter set if it may end; else tell those who do not vote under it yet.
-
-        Example: ``await changes.step_joint(voter_set)``
-        """
+        """End a joint voter set if it may end; else tell those who do not vote under it yet."""
         ready = await self.ready(voter_set)
         if in_force(voter_set, ready) and self.joint_since[0] != voter_set.number:
             self.joint_since = (voter_set.number, clock.now())
@@ -115,10 +97,7 @@
             await self.tell(voter_set, (), frozenset(ready))
 
     async def ready(self, voter_set: replica_set.VoterSet) -> list[str]:
-        """The present and coming witnesses that vote under this voter set.
-
-        Example: ``await changes.ready(voter_set)``
-        """
+        """The present and coming witnesses that vote under this voter set."""
         ready = []
 
         async def ask(address: str) -> None:
@@ -133,10 +112,7 @@
         return ready
 
     async def record(self, voter_set: replica_set.VoterSet, present: tuple[str, ...], coming: tuple[str, ...]) -> None:
-        """Have the next roster chosen by those who vote under this one, and tell everybody concerned.
-
-        Example: ``await reseat.record(roster, roster.coming, ())``
-        """
+        """Have the next roster chosen by those who vote under this one, and tell everybody concerned."""
         counter = voter_set.number // witness_bootstrap.COUNTER_UNIT + 1
         fresh = replica_set.VoterSet(
             witness_bootstrap.numbered(counter, self.proposer.environment.randomness), present, coming
@@ -157,10 +133,7 @@
         others: tuple[str, ...] = (),
         informed: frozenset[str] = frozenset(),
     ) -> None:
-        """Tell present, coming and former witnesses of a chosen voter set, but for those that know it.
-
-        Example: ``await changes.tell(voter_set)``
-        """
+        """Tell present, coming and former witnesses of a chosen voter set, but for those that know it."""
 
         async def one(address: str) -> None:
             with contextlib.suppress(result.RequestError):
--- a/aspencroft/consensus/witness_state.py
+++ b/aspencroft/consensus/witness_state.py
@@ -33,10 +33,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class WitnessState:
-    """All that a witness knows. Leases are in memory alone; ``awake`` is when those of an earlier life have run out.
-
-    Example: ``WitnessState("a:1", 7, VoterSet(1, ("a:1",), ()))``
-    """
+    """All that a witness knows. Leases are in memory alone; ``awake`` is when those of an earlier life have run out."""
 
     address: str
     incarnation: int
@@ -47,40 +44,25 @@
     awake: datetime.timedelta = clock.ZERO
 
     def ballot(self, register: int) -> replica_set.Ballot:
-        """What is kept of a register.
-
-        Example: ``state.ballot(0).raised``
-        """
+        """What is kept of a register."""
         return self.ballots.get(register, replica_set.Ballot(register, BLANK_BALLOT, BLANK_BALLOT, b""))
 
     def answer(self, granted: bool, register: int, wait: datetime.timedelta = clock.ZERO) -> replica_set.BallotReply:
-        """The reply to a prepare, an accept or a lease request.
-
-        Example: ``state.answer(False, 0)``
-        """
+        """The reply to a prepare, an accept or a lease request."""
         return replica_set.BallotReply(granted, self.incarnation, self.ballot(register), self.voter_set, wait)
 
     def refused(self, register: int, wait: datetime.timedelta = clock.ZERO) -> Step:
-        """Nothing changes; the reply tells what stands in the way.
-
-        Example: ``state.refused(0).reply.granted is False``
-        """
+        """Nothing changes; the reply tells what stands in the way."""
         return Step(self, self.answer(False, register, wait))
 
     def uses(self, voter_set: int) -> bool:
-        """Whether the asker uses the very voter set in force here; a blank witness answers nobody.
-
-        Example: ``state.uses(message.voter_set)``
-        """
+        """Whether the asker uses the very voter set in force here; a blank witness answers nobody."""
         if not self.voting:
             raise result.RequestError(result.ResultCode.WITNESS_BLANK)
         return voter_set == self.voter_set.number
 
     def lease_wait(self, register: int, asker: str, now: datetime.timedelta) -> datetime.timedelta:
-        """How long somebody else's lease on a register may still be in force.
-
-        Example: ``state.lease_wait(0, "me", now) > clock.ZERO``
-        """
+        """How long somebody else's lease on a register may still be in force."""
         if register == replica_set.VOTER_SET:
             return clock.ZERO
         grant = self.grants.get(register)
@@ -99,8 +81,6 @@
 
         Leases of an earlier life count as granted until they have run out. With ``founding`` the disk never held
         anything, so that this witness of the first voter set votes at once: it can have forgotten nothing.
-
-        Example: ``state, writes = WitnessState("a:1", 8, first).started(values, now)``
         """
         voter_set, ballots, recorded = self.voter_set, {}, False
         for value in values:
@@ -122,10 +102,7 @@
         return dataclasses.replace(state, voter_set=first, awake=clock.ZERO, voting=True), (first,)
 
     def prepare(self, message: replica_set.Prepare, now: datetime.timedelta) -> Step:
-        """First phase; refused while somebody else's lease may be in force.
-
-        Example: ``state.prepare(Prepare(0, 7, "me", 1), now).reply.granted``
-        """
+        """First phase; refused while somebody else's lease may be in force."""
         if not self.uses(message.voter_set):
             return self.refused(message.register)
         current = self.ballot(message.register)
@@ -139,8 +116,6 @@
 
         A voter set is not in force here before it was chosen: one that few accepted would keep this witness and all who
         hear of it from every quorum.
-
-        Example: ``state.accept(Accept(0, 7, value, 8, 1)).reply.granted``
         """
         if not self.uses(message.voter_set):
             return self.refused(message.register)
@@ -158,10 +133,7 @@
         return dataclasses.replace(step, state=dataclasses.replace(step.state, grants=grants))
 
     def settled(self, ballot: replica_set.Ballot) -> Step:
-        """A register's new state, granted once it is synced.
-
-        Example: ``state.settled(ballot).writes == (ballot, ballot)``
-        """
+        """A register's new state, granted once it is synced."""
         state = dataclasses.replace(self, ballots={**self.ballots, ballot.register: ballot})
         return Step(state, state.answer(True, ballot.register), lasting(ballot))
 
@@ -169,8 +141,6 @@
         """Take a newer voter set; askers with an older one are refused from then on.
 
         A witness that the set does not name forgets its ballots: it may vote again only once others taught it.
-
-        Example: ``state.adopt(voter_set).state.voter_set``
         """
         if voter_set.number <= self.voter_set.number or not self.voting:
             return Step(self, None)
@@ -180,20 +150,14 @@
         return Step(state, None, lasting(voter_set))
 
     def learn_chosen(self, message: replica_set.LeaseRequest) -> Step:
-        """Take the chosen value that a lease request carries, where this witness had no part in its ballot.
-
-        Example: ``state.learn_chosen(request).writes == ()`` where it had one.
-        """
+        """Take the chosen value that a lease request carries, where this witness had no part in its ballot."""
         current = self.ballot(message.register)
         if not self.uses(message.voter_set) or message.ballot <= current.accepted or message.ballot < current.raised:
             return self.refused(message.register)
         return self.settled(replica_set.Ballot(message.register, message.ballot, message.ballot, message.value))
 
     def renew(self, message: replica_set.LeaseRequest, now: datetime.timedelta) -> Step:
-        """Renew a primary's lease under the record that stands; nobody's while a higher ballot is raised.
-
-        Example: ``state.renew(request, now).reply.granted``
-        """
+        """Renew a primary's lease under the record that stands; nobody's while a higher ballot is raised."""
         if not self.uses(message.voter_set):
             return self.refused(message.register)
         current = self.ballot(message.register)
@@ -213,19 +177,13 @@
         return Step(dataclasses.replace(self, grants=grants), self.answer(True, message.register))
 
     def survey(self) -> replica_set.WitnessState:
-        """All that is kept, for a blank witness that wants to learn.
-
-        Example: ``state.survey().voting``
-        """
+        """All that is kept, for a blank witness that wants to learn."""
         return replica_set.WitnessState(self.voting, self.incarnation, self.voter_set, tuple(self.ballots.values()))
 
     def learn(
         self, voter_set: replica_set.VoterSet, ballots: typing.Iterable[replica_set.Ballot], now: datetime.timedelta
     ) -> Step:
-        """Take the newest of what others keep, and vote from now on; leases count as granted.
-
-        Example: ``state.learn(voter_set, ballots, now).state.voting``
-        """
+        """Take the newest of what others keep, and vote from now on; leases count as granted."""
         if self.voting:
             return Step(self, None)
         held = dict(self.ballots)
@@ -245,10 +203,7 @@
 
 
 def lasting(value) -> tuple:
-    """A value as it is written: twice, as a disk may lose its last value though it was synced.
-
-    Example: ``lasting(ballot) == (ballot, ballot)``
-    """
+    """A value as it is written: twice, as a disk may lose its last value though it was synced."""
     return value, value
 
 
@@ -260,17 +215,12 @@
     Any quorum that ever counted this witness has one of them in common with those. They must hold the very voter set
     under which it is to vote: one that still votes under the former set may accept more there afterwards, which a
     quorum of the next set that counts this witness would not know.
-
-    Example: ``taught(VoterSet(1, ("a", "b", "c"), ()), "c", {"a": survey, "b": survey})``
     """
     sources = {one for one, survey in voting.items() if survey.voter_set.number == voter_set.number}
     return majority_votes(voter_set, address, sources)
 
 
 def majority_votes(voter_set: replica_set.VoterSet, address: str, voting: typing.Collection[str]) -> bool:
-    """Whether a majority of the present witnesses but this one votes, under whatever voter set.
-
-    Example: ``majority_votes(VoterSet(1, ("a", "b", "c"), ()), "c", {"a", "b"})``
-    """
+    """Whether a majority of the present witnesses but this one votes, under whatever voter set."""
     others = [one for one in voter_set.present if one != address]
     return 2 * len([one for one in others if one in voting]) > len(others)
--- a/aspencroft/distribution/plan_transfer.py
+++ b/aspencroft/distribution/plan_transfer.py
@@ -25,19 +25,13 @@
 
 
 class WholePlans:
-    """The parent's side: encoded plans, each kept for as long as somebody fetches it.
-
-    Example: ``part = wholes.part(message, relay)``
-    """
+    """The parent's side: encoded plans, each kept for as long as somebody fetches it."""
 
     def __init__(self):
         self.plans: dict[bytes, WholePlan] = {}
 
     def newest(self, revision: control_state.Revision, shown: dict) -> WholePlan:
-        """The plan of a revision, encoded once.
-
-        Example: ``wholes.newest(relay.revision, relay.shown())``
-        """
+        """The plan of a revision, encoded once."""
         now = clock.now()
         for one in self.plans.values():
             if one.revision == revision:
@@ -50,10 +44,7 @@
         return fresh
 
     def part(self, message: updates.FetchPlan, revision: control_state.Revision, shown: dict) -> updates.PlanPart:
-        """The next part of the plan that a child fetches; of the newest from its start where that one is not kept.
-
-        Example: ``wholes.part(updates.FetchPlan(b"", 0), relay.revision, relay.shown())``
-        """
+        """The next part of the plan that a child fetches; of the newest from its start where that one is not kept."""
         whole, offset = self.plans.get(message.digest), message.offset
         if whole is None or offset > len(whole.body):
             whole, offset = self.newest(revision, shown), 0
@@ -63,27 +54,18 @@
 
 
 class PartialPlan:
-    """The child's side: what came of a plan so far; kept when the parent fails, for the next try.
-
-    Example: ``done = partial.take(part)``
-    """
+    """The child's side: what came of a plan so far; kept when the parent fails, for the next try."""
 
     def __init__(self):
         self.digest = NO_DIGEST
         self.body = bytearray()
 
     def next_part(self) -> updates.FetchPlan:
-        """What to ask for.
-
-        Example: ``await link.ask(parent, partial.next_part(), ASK)``
-        """
+        """What to ask for."""
         return updates.FetchPlan(self.digest, len(self.body))
 
     def take(self, part: updates.PlanPart) -> updates.News | None:
-        """Add a part; the plan once it is whole, none before.
-
-        Example: ``partial.take(part)``
-        """
+        """Add a part; the plan once it is whole, none before."""
         if part.digest != self.digest:
             self.digest, self.body = part.digest, bytearray()
         if part.offset == len(self.body):
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -64,10 +64,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Subtree:
-    """A node and all below it with the revisions that they confirmed, and the digest of that.
-
-    Example: ``subtree_of({"a:1": control.NEVER}).digest``
-    """
+    """A node and all below it with the revisions that they confirmed, and the digest of that."""
 
     nodes: dict[str, control_state.Revision]
     digest: bytes
@@ -83,10 +80,7 @@
 
 
 def names_digest(names: tuple[str, ...]) -> bytes:
-    """The digest of sorted names.
-
-    Example: ``names_digest(("a:1", "b:1"))``
-    """
+    """The digest of sorted names."""
     return hashlib.blake2b("\n".join(names).encode(), digest_size=16).digest()
 
 
@@ -94,10 +88,7 @@
 
 
 class Relay:
-    """A node's place in the tree: what it knows, its parent, its children, its claim on currency.
-
-    Example: ``relay.current()`` is true while this node may act on ``relay.plan``.
-    """
+    """A node's place in the tree: what it knows, its parent, its children, its claim on currency."""
 
     def __init__(
         self, links: connections.Link, members: failure_detector.FailureDetector, currency: datetime.timedelta
@@ -142,10 +133,7 @@
         }
 
     def current(self) -> bool:
-        """Whether this node holds a plan whose currency is claimed at this moment.
-
-        Example: ``if not relay.current(): refuse``
-        """
+        """Whether this node holds a plan whose currency is claimed at this moment."""
         return clock.now() < self.currency_end and self.revision != control_state.NEVER
 
     def parent(self) -> str | None:
@@ -153,8 +141,6 @@
 
         While the parent in the tree is left out, the root itself is asked, and while that is left out too, another
         core: a node that reaches the root is never more than one failed parent away from it.
-
-        Example: ``relay.parent()``
         """
         held = self.ring.holdings.get(0)
         if held is None or held.primary.address == self.address:
@@ -171,10 +157,7 @@
         return parent
 
     def learn(self, one: updates.News) -> bool:
-        """Take a topic's newer state; a patch upon another base than ours is not taken.
-
-        Example: ``relay.learn(News("quiet", revision, None, "{}"))``
-        """
+        """Take a topic's newer state; a patch upon another base than ours is not taken."""
         held = self.topics.get(one.topic)
         known = self.revision if one.topic == updates.PLAN else held.revision if held else control_state.NEVER
         if not known < one.revision or (one.base is not None and one.base != known):
@@ -205,17 +188,11 @@
         return True
 
     async def changed(self, topic: str) -> None:
-        """Wait until a topic changes.
-
-        Example: ``await relay.changed("plan")``
-        """
+        """Wait until a topic changes."""
         await self.versions.setdefault(topic, asyncio.Event()).wait()
 
     def push(self) -> None:
-        """Tell the children at once that there is something new.
-
-        Example: ``relay.push()``
-        """
+        """Tell the children at once that there is something new."""
         self.hurry.set()
         now = clock.now()
         for address, end in list(self.children.items()):
@@ -232,8 +209,6 @@
 
         The row is as long as one message may be. A whole plan that is too large for one message is only named, and
         fetched in parts.
-
-        Example: ``relay.plan_news(control_state.NEVER)``
         """
         if not known < self.revision:
             return ()
@@ -252,26 +227,17 @@
         return tuple(row)
 
     def shown(self) -> dict:
-        """The whole plan as it is told to others.
-
-        Example: ``relay.shown()["version"]``
-        """
+        """The whole plan as it is told to others."""
         return {"plan": self.document, "revisions": self.revisions, "version": self.plan.version}
 
     def answer_fetch(self, message: updates.FetchPlan) -> updates.PlanPart:
-        """Give a child the next part of a whole plan.
-
-        Example: ``relay.answer_fetch(updates.FetchPlan(b"", 0))``
-        """
+        """Give a child the next part of a whole plan."""
         if self.revision == control_state.NEVER:
             raise result.RequestError(result.ResultCode.NO_CLAIM, detail="no plan is held here yet")
         return self.wholes.part(message, self.revision, self.shown())
 
     async def fetch_plan(self, parent: str) -> None:
-        """Fetch a whole plan from a parent, part by part; what came before it failed is kept.
-
-        Example: ``await relay.fetch_plan("a:1")``
-        """
+        """Fetch a whole plan from a parent, part by part; what came before it failed is kept."""
         while True:
             part = await self.link.ask(parent, self.partial.next_part(), ASK)
             whole = self.partial.take(part)
@@ -281,10 +247,7 @@
                 return
 
     def subtree(self) -> Subtree:
-        """This node and all below it, each with the plan revision it confirmed.
-
-        Example: ``relay.subtree().nodes[relay.address] == relay.revision``
-        """
+        """This node and all below it, each with the plan revision it confirmed."""
         now = clock.now()
         found = {}
         for child, end in self.children.items():
@@ -296,10 +259,7 @@
         return self.own
 
     def taken(self, message: updates.Pull) -> Subtree | None:
-        """The subtree that a pull names; none when its differences are upon one that is not held here.
-
-        Example: ``relay.taken(message).nodes``
-        """
+        """The subtree that a pull names; none when its differences are upon one that is not held here."""
         held = self.below.get(message.address)
         named = {one.address: one.revision for one in message.subtree}
         if not message.base:
@@ -315,10 +275,7 @@
         return found if found.digest == message.digest else None
 
     def counted_of(self, child: str, below: Subtree, rooted: bool) -> tuple[tuple[str, ...], bytes]:
-        """Those below a child that the root counted, and their digest.
-
-        Example: ``names, digest = relay.counted_of("b:1", below, True)``
-        """
+        """Those below a child that the root counted, and their digest."""
         upon = below.digest, None if rooted else self.counted_digest
         known = self.counted_below.get(child)
         if known is None or known[0] != upon:
@@ -331,8 +288,6 @@
 
         A child below a relay gets currency only once the root counted it: the root must know all
         who may act on a plan. Nothing is granted without the plan that the grant is for.
-
-        Example: ``relay.answer_pull(message, rooted=False)``
         """
         now = clock.now()
         below = self.taken(message)
@@ -365,10 +320,7 @@
         )
 
     async def run(self) -> None:
-        """Pull from the parent again and again, at once when there is something to pull or tell.
-
-        Example: ``group.create_task(relay.run())``
-        """
+        """Pull from the parent again and again, at once when there is something to pull or tell."""
         while True:
             try:
                 async with clock.limit(PULL):
@@ -381,36 +333,25 @@
                 await self.pull(parent)
 
     def age(self) -> datetime.timedelta:
-        """How long ago the root was last heard of, by way of the relays between.
-
-        Example: ``relay.age() < STALE``
-        """
+        """How long ago the root was last heard of, by way of the relays between."""
         return clock.now() - self.root_heard
 
     def is_stale(self, age: datetime.timedelta) -> bool:
         """Whether a parent that heard of the root so long ago is to be left out.
 
         Each relay above it may put it behind by one pull.
-
-        Example: ``if relay.is_stale(reply.age): ...``
         """
         return age > min(STALE + PULL * self.parent_depth, self.currency / 2)
 
     def leave_out(self, parent: str) -> None:
-        """Ask others than this parent for a while, at once unless all were tried.
-
-        Example: ``relay.leave_out("a:1")``
-        """
+        """Ask others than this parent for a while, at once unless all were tried."""
         now = clock.now()
         if self.shunned.get(parent, clock.ZERO) <= now:
             self.hurry.set()
         self.shunned[parent] = now + SHUN
 
     def pull_of(self, parent: str, have: tuple[updates.Have, ...], own: Subtree) -> updates.Pull:
-        """A pull that names the subtree: what differs from the one that this parent took last, else the whole.
-
-        Example: ``relay.pull_of("a:1", (), relay.subtree()).base == b""``
-        """
+        """A pull that names the subtree: what differs from the one that this parent took last, else the whole."""
         taker, held = self.taken_by
         nodes, base, gone = own.nodes, b"", ()
         if taker == parent:
@@ -425,10 +366,7 @@
         return updates.Pull(self.address, have, named, base, gone, own.digest, self.counted_digest)
 
     async def pull(self, parent: str) -> None:
-        """One pull; a parent that fails, or that heard nothing of the root for long, is left out for a while.
-
-        Example: ``await relay.pull("a:1")``
-        """
+        """One pull; a parent that fails, or that heard nothing of the root for long, is left out for a while."""
         asked = clock.now()
         have = tuple(updates.Have(one.topic, one.revision) for one in self.topics.values())
         have += (updates.Have(updates.PLAN, self.revision),)
@@ -473,18 +411,13 @@
         """Begin to grant, once all that was committed before is held here.
 
         Grants of the root before are unknown: count one as running for everybody.
-
-        Example: ``relay.become_root()``
         """
         self.root = True
         self.grants = {}
         self.stranger_end = clock.now() + self.currency
 
     def take_committed(self, read: control_state.PlanRead) -> None:
-        """As root: take the plan that the copies hold, keeping the steps for those that are behind.
-
-        Example: ``relay.take_committed(read)``
-        """
+        """As root: take the plan that the copies hold, keeping the steps for those that are behind."""
         for step in read.steps:
             self.learn(updates.News(updates.PLAN, step.revision, step.base, step.patch))
         if not read.document:
@@ -501,10 +434,7 @@
             self.learn(updates.News(updates.PLAN, read.revision, None, read.document))
 
     async def everywhere(self, revision: control_state.Revision) -> None:
-        """As root: wait until all who may act on a plan confirmed this one or may not act any more.
-
-        Example: ``await relay.everywhere(revision)``
-        """
+        """As root: wait until all who may act on a plan confirmed this one or may not act any more."""
         while self.revision < revision:
             await self.changed(updates.PLAN)
         snapshot = dict(self.grants)
--- a/aspencroft/emulator/agent.py
+++ b/aspencroft/emulator/agent.py
@@ -45,10 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Use:
-    """What an agent knows of a route: where it is, what it is for and how long an answer may take, in seconds.
-
-    Example: ``Use("chat", "h.example", "/chat/", "stream", aim=0.25, within=3.0, more=1)``
-    """
+    """What an agent knows of a route: where it is, what it is for and how long an answer may take, in seconds."""
 
     name: str
     host: str
@@ -65,10 +62,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Habit:
-    """How a kind of program behaves: figures are means or shares.
-
-    Example: ``Habit(chat, (light,), turns=4)``
-    """
+    """How a kind of program behaves: figures are means or shares."""
 
     turn: Use
     tools: tuple[Use, ...]
@@ -112,24 +106,15 @@
     repeat: bool = False
 
     def good(self) -> bool:
-        """Whether a whole answer with a 2xx came.
-
-        Example: ``one.good()``
-        """
+        """Whether a whole answer with a 2xx came."""
         return self.whole and 200 <= self.status < 300
 
     def promised(self) -> bool:
-        """Whether the refusal promises that nothing ran or will run.
-
-        Example: ``one.promised()``
-        """
+        """Whether the refusal promises that nothing ran or will run."""
         return self.refusal is not None and self.refusal.ran is result.Ran.NOT_RUN
 
     def output(self) -> bytes:
-        """The data of the events that came, each with a line feed behind.
-
-        Example: ``one.output()``
-        """
+        """The data of the events that came, each with a line feed behind."""
         reader = events.Reader()
         reader.feed(self.heard)
         return reader.output()
@@ -164,8 +149,6 @@
     """All callers: they run programs through the edges that take callers, and note what they saw.
 
     ``doors`` names the edges that take new connections now.
-
-    Example: ``agents = Agents(lambda: doors, habits, random.Random(1)); await agents.program(habit)``
     """
 
     def __init__(self, doors: collections.abc.Callable[[], list[Door]], chance: random.Random):
@@ -179,25 +162,16 @@
         self.background: set[asyncio.Task] = set()
 
     def now(self) -> float:
-        """The loop's seconds.
-
-        Example: ``agents.now()``
-        """
+        """The loop's seconds."""
         return asyncio.get_running_loop().time()
 
     def name(self, kind: str) -> str:
-        """A fresh name, the same in every run.
-
-        Example: ``agents.name("t") == "t1"``
-        """
+        """A fresh name, the same in every run."""
         self.numbers[kind] += 1
         return f"{kind}{self.numbers[kind]}"
 
     def make(self, use: Use, body: bytes, method: str = "POST", headers: call.Headers = (), **more) -> call.Call:
-        """One try's call, with an attempt id of its own.
-
-        Example: ``agents.make(use, b"in", key="k1")``
-        """
+        """One try's call, with an attempt id of its own."""
         attempt = self.name("a")
         target = f"{use.prefix}{more.pop('leaf', 'x')}"
         held = ((b"Host", use.host.encode()), (worker_server.ATTEMPT, attempt.encode()), *headers)
@@ -223,10 +197,7 @@
         )
 
     def again(self, one: call.Call, within: float, **more) -> call.Call:
-        """The same call as a further try: with another attempt id, and the time that is left.
-
-        Example: ``agents.again(one, 0.5)``
-        """
+        """The same call as a further try: with another attempt id, and the time that is left."""
         attempt = self.name("a")
         headers = tuple(
             (name, attempt.encode() if name == worker_server.ATTEMPT else value)
@@ -242,10 +213,7 @@
     # -- one request -----------------------------------------------------------------------------
 
     async def once(self, use: Use, one: call.Call, door: Door | None = None, leaves: float | None = None) -> Try:
-        """One try through one edge; a caller that leaves does so after so many seconds.
-
-        Example: ``found = await agents.once(use, one)``
-        """
+        """One try through one edge; a caller that leaves does so after so many seconds."""
         doors = self.doors()
         if door is None and doors:
             door = self.chance.choice(doors)
@@ -268,10 +236,7 @@
         return found
 
     async def hear(self, found: Try, door: Door) -> None:
-        """Ask and take in all that comes.
-
-        Example: ``await agents.hear(found, door)``
-        """
+        """Ask and take in all that comes."""
         use = found.use
         answer = await door.ask(found.call)
         found.status = answer.status
@@ -292,10 +257,7 @@
         found.whole, found.outcome = True, ANSWERED
 
     def may_again(self, found: Try) -> bool:
-        """Whether a caller may send its request once more after this try.
-
-        Example: ``agents.may_again(found)``
-        """
+        """Whether a caller may send its request once more after this try."""
         if found.good() or (found.whole and found.status in ENDS) or found.outcome == GONE:
             return False
         if found.refusal is not None and found.refusal.result.name in FINAL:
@@ -305,10 +267,7 @@
         return found.promised() or not found.read
 
     async def ask(self, use: Use, one: call.Call, leaves: float | None = None) -> Try:
-        """A request with its further tries, within its time; the last try.
-
-        Example: ``found = await agents.ask(use, agents.make(use, b""))``
-        """
+        """A request with its further tries, within its time; the last try."""
         end = self.now() + one.within.total_seconds()
         found = await self.once(use, one, leaves=leaves)
         for _ in range(use.more):
@@ -332,10 +291,7 @@
     # -- programs --------------------------------------------------------------------------------
 
     async def run(self, habits: tuple[tuple[Habit, float], ...], stopped: collections.abc.Callable[[], bool]) -> None:
-        """Begin programs of each habit at its rate a second until stopped, and let them end.
-
-        Example: ``await agents.run(((habit, 2.0),), lambda: over)``
-        """
+        """Begin programs of each habit at its rate a second until stopped, and let them end."""
 
         async def row(group, habit: Habit, rate: float) -> None:
             while not stopped():
@@ -349,10 +305,7 @@
             await asyncio.wait(set(self.background))
 
     async def program(self, habit: Habit, previous: str = "", lead: bytes = b"") -> Program:
-        """One program, from its first turn to its end.
-
-        Example: ``done = await agents.program(habit)``
-        """
+        """One program, from its first turn to its end."""
         chance, now = self.chance, self.now()
         turns = max(1, round(chance.gauss(habit.turns, habit.turns / 3)))
         runaway = chance.random() < habit.runaway
@@ -383,10 +336,7 @@
         shared: tuple[str, int],
         first_line: bool,
     ) -> None:
-        """A row of turns, each behind the one before, with tools and helpers between them.
-
-        Example: ``await agents.line(program, "p1.0", 4, "", b"", ("s0", 2000), True)``
-        """
+        """A row of turns, each behind the one before, with tools and helpers between them."""
         chance, habit = self.chance, one.habit
         number = 0
         while number < turns or (one.runaway and first_line):
@@ -421,10 +371,7 @@
     async def turn(
         self, one: Program, session: str, previous: str, lead: bytes, shared: tuple[str, int], number: int
     ) -> Try:
-        """One turn; a failed one is sent again from its start, twice at most.
-
-        Example: ``found = await agents.turn(program, "p1.0", "", b"", ("s0", 2000), 1)``
-        """
+        """One turn; a failed one is sent again from its start, twice at most."""
         habit, use = one.habit, one.habit.turn
         fresh = f"[{session} {number} {self.chance.randrange(1 << 30)}]".encode()
         body = fresh if use.retained else lead + fresh
@@ -471,10 +418,7 @@
         raise Stop(FAILED, f"turn {found.call.attempt} three times: {found.refusal or found.outcome}")
 
     async def tool(self, one: Program, session: str, use: Use) -> Try:
-        """One tool call of a program; keyed ones are sent again now and then after a good answer.
-
-        Example: ``await agents.tool(program, "p1.0", use)``
-        """
+        """One tool call of a program; keyed ones are sent again now and then after a good answer."""
         method = "GET" if use.kind == http_route.SAFE else "POST"
         body = b"" if method == "GET" else f"<{self.name('b')}>".encode()
         key = self.name("k") if use.kind == http_route.KEYED else ""
@@ -508,10 +452,7 @@
         return found
 
     async def repeat(self, use: Use, made: call.Call, times: int = 1, pause: float = 1.0) -> None:
-        """Send a keyed request again, through any edges.
-
-        Example: ``await agents.repeat(use, call, times=3)``
-        """
+        """Send a keyed request again, through any edges."""
         for _ in range(times):
             await clock.sleep(clock.seconds(self.chance.random() * pause))
             found = await self.once(use, self.again(made, use.within))
@@ -520,10 +461,7 @@
     # -- after a closing fault -------------------------------------------------------------------
 
     async def go_on(self, span: float, keep: float) -> None:
-        """After a closing fault: programs go on from kept turns, asking until the span is over; keys are sent again.
-
-        Example: ``await agents.go_on(12.0, 60.0)``
-        """
+        """After a closing fault: programs go on from kept turns, asking until the span is over; keys are sent again."""
         end = self.now() + span
         kept = [one for one in self.kept if self.now() - one[2].ended < keep - 2 * span]
         keyed = [one for one in self.keyed if self.now() - one[2].began < 20.0]
@@ -560,10 +498,7 @@
 
 
 def first_of(group: BaseExceptionGroup) -> Stop:
-    """The first Stop within groups of groups.
-
-    Example: ``first_of(ExceptionGroup("", [Stop(FAILED, "")]))``
-    """
+    """The first Stop within groups of groups."""
     for one in group.exceptions:
         if isinstance(one, BaseExceptionGroup):
             return first_of(one)
--- a/aspencroft/emulator/backend.py
+++ b/aspencroft/emulator/backend.py
@@ -20,10 +20,7 @@
 
 @dataclasses.dataclass
 class Faults:
-    """What a stand-in does wrong, and how often, in shares of requests.
-
-    Example: ``Faults(put_back=0.1, lose_answer=0.02)``
-    """
+    """What a stand-in does wrong, and how often, in shares of requests."""
 
     put_back: float = 0.0
     lose_answer: float = 0.0
@@ -50,8 +47,6 @@
     """A model worker: memory, models, parked KV, streaming answers; counts what it ran.
 
     Times are the paper's, shrunk by ``SHRINK`` so that runs stay short.
-
-    Example: ``ModelWorker("m1", ("planner",), sizes, random.Random(1))``
     """
 
     def __init__(
@@ -86,10 +81,7 @@
         self.old_report: dict = {"memory": memory, "kept": []}
 
     def row(self, url: str, leaving: bool = False) -> dict:
-        """This worker's row in the platform's list.
-
-        Example: ``stand.row("http://127.0.0.1:9001")``
-        """
+        """This worker's row in the platform's list."""
         return {
             "name": self.name,
             "url": url,
@@ -104,8 +96,6 @@
         """Add what the machine took since this was last asked; all of it in joules.
 
         Called before each change of state.
-
-        Example: ``stand.count_energy()``
         """
         now = clock.now().total_seconds()
         watts = self.power.asleep if self.asleep else self.power.busy if self.running else self.power.idle
@@ -115,10 +105,7 @@
         return self.joules
 
     def rest(self, asleep: bool) -> dict:
-        """Go to sleep, which empties the memory, or wake, which takes its time.
-
-        Example: ``stand.rest(False)["awake_in"]``
-        """
+        """Go to sleep, which empties the memory, or wake, which takes its time."""
         self.count_energy()
         now = clock.now().total_seconds()
         if asleep and not self.asleep:
@@ -132,24 +119,15 @@
         return {"asleep": asleep, "awake_in": 0 if asleep else max(0.0, self.awake_at - now)}
 
     def sleeps(self) -> bool:
-        """Whether the machine is asleep or not awake yet.
-
-        Example: ``stand.sleeps()``
-        """
+        """Whether the machine is asleep or not awake yet."""
         return self.asleep or clock.now().total_seconds() < self.awake_at
 
     def used(self) -> int:
-        """Bytes taken on the device.
-
-        Example: ``stand.used() <= stand.memory``
-        """
+        """Bytes taken on the device."""
         return sum(one["size"] for one in self.kept.values() if one["place"] != keep_plan.HOST)
 
     def report(self) -> dict:
-        """What the report page shows; a late one shows the state before.
-
-        Example: ``stand.report()["kept"]``
-        """
+        """What the report page shows; a late one shows the state before."""
         fresh = {
             "memory": self.memory,
             "kept": [{"name": name, **one} for name, one in sorted(self.kept.items())],
@@ -159,10 +137,7 @@
         return shown
 
     async def load(self, name: str) -> None:
-        """Bring a model in, making room by dropping idle things as an engine left alone would.
-
-        Example: ``await stand.load("model:planner")``
-        """
+        """Bring a model in, making room by dropping idle things as an engine left alone would."""
         if name in self.kept and self.kept[name]["place"] in (keep_plan.DEVICE, keep_plan.LOADING):
             await self.ready[name].wait()
             return
@@ -179,10 +154,7 @@
         self.ready[name].set()
 
     async def order(self, order: dict) -> tuple[int, dict]:
-        """Take an order; those of an epoch that passed are refused, those seen before do no harm.
-
-        Example: ``await stand.order({"epoch": 1, "load": ["model:a"]})``
-        """
+        """Take an order; those of an epoch that passed are refused, those seen before do no harm."""
         if order["epoch"] < self.epoch:
             return 409, {"error": "lower epoch"}
         self.epoch = order["epoch"]
@@ -204,10 +176,7 @@
         return 200, {"held": sorted(self.kept)}
 
     async def generate(self, body: dict) -> collections.abc.AsyncIterator[bytes]:
-        """Run one request and stream numbered pieces with an explicit end.
-
-        Example: ``async for line in stand.generate(body): ...``
-        """
+        """Run one request and stream numbered pieces with an explicit end."""
         name = keep_plan.key(candidate.MODEL, body["model"])
         try:
             if name not in self.kept:
@@ -245,10 +214,7 @@
                     del self.kept[self.chance.choice(idle)]
 
     def handlers(self) -> list:
-        """The pages that a model worker serves.
-
-        Example: ``litestar.Litestar(stand.handlers())``
-        """
+        """The pages that a model worker serves."""
 
         @litestar.post("/api/generate", status_code=200)
         async def generate(request: litestar.Request) -> litestar.Response:
@@ -291,10 +257,7 @@
 
 
 class PlainWorker:
-    """A plain worker for notices, images and signalling; counts what it ran.
-
-    Example: ``PlainWorker("p1", ("notice",), random.Random(1))``
-    """
+    """A plain worker for notices, images and signalling; counts what it ran."""
 
     def __init__(self, name: str, services: tuple[str, ...], chance: random.Random, faults: Faults | None = None):
         self.name = name
@@ -307,10 +270,7 @@
         self.counts: collections.Counter = collections.Counter()
 
     def row(self, url: str, leaving: bool = False) -> dict:
-        """This worker's row in the platform's list.
-
-        Example: ``stand.row("http://127.0.0.1:9101")``
-        """
+        """This worker's row in the platform's list."""
         return {
             "name": self.name,
             "url": url,
@@ -321,10 +281,7 @@
         }
 
     def handlers(self) -> list:
-        """The pages that a plain worker serves.
-
-        Example: ``litestar.Litestar(stand.handlers())``
-        """
+        """The pages that a plain worker serves."""
 
         @litestar.post("/api/run", status_code=200)
         async def run(request: litestar.Request) -> litestar.Response:
@@ -350,18 +307,12 @@
 
 
 def line(shown: dict) -> bytes:
-    """One line of a stream.
-
-    Example: ``line({"end": True})``
-    """
+    """One line of a stream."""
     return json.dumps(shown).encode() + b"\n"
 
 
 def answer_words(body: dict) -> list[str]:
-    """What a model says: a digest of all it was given, and a tool call if the input asks for one.
-
-    Example: ``answer_words({"model": "a", "history": [], "input": "x", "turn": 1})``
-    """
+    """What a model says: a digest of all it was given, and a tool call if the input asks for one."""
     given = json.dumps([body["history"], body["input"]])
     mark = format(sum(given.encode()) % 65536, "04x")
     words = [f"{body['model']}", f" turn {body['turn']}", f" mark {mark}"]
--- a/aspencroft/emulator/caller.py
+++ b/aspencroft/emulator/caller.py
@@ -13,10 +13,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Noted:
-    """What a caller saw of one request.
-
-    Example: ``Noted("chat", "", "p", "", 1, "hi", "done", 1001, "text", 12)``
-    """
+    """What a caller saw of one request."""
 
     lane: str
     request: str
@@ -35,10 +32,7 @@
 
 
 class Caller:
-    """Asks nodes for work as the platform's clients do, and notes each answer.
-
-    Example: ``await Caller(shape, addresses, transport, random.Random(1)).program("p1")``
-    """
+    """Asks nodes for work as the platform's clients do, and notes each answer."""
 
     def __init__(
         self,
@@ -67,10 +61,7 @@
         tool: str = "",
         budget: int = 0,
     ) -> Noted:
-        """One request to a node at random; never asked twice by itself.
-
-        Example: ``noted = await caller.ask("alert", {"text": "nova"}, operation="k1")``
-        """
+        """One request to a node at random; never asked twice by itself."""
         body = {
             "lane": lane,
             "input": given,
@@ -144,10 +135,7 @@
         return noted
 
     def check_refusal(self, request: str, error: dict, headers) -> None:
-        """What was given up names when to come back, in the body and, before a stream began, in the header.
-
-        Example: ``caller.check_refusal(request, shown["error"], response.headers)``
-        """
+        """What was given up names when to come back, in the body and, before a stream began, in the header."""
         given_up = (
             1100 <= error["result"] < 1300
             or 1400 <= error["result"] < 1500
@@ -159,10 +147,7 @@
             self.faults.append(f"{request}: Retry-After {headers.get('retry-after')!r} of {error!r}")
 
     async def one(self, name: str) -> None:
-        """One program or signal by the mix.
-
-        Example: ``await caller.one("p17")``
-        """
+        """One program or signal by the mix."""
         kind = shape.draw_kind(self.shape, self.chance)
         if kind.turns:
             await self.program(name, kind)
@@ -170,10 +155,7 @@
             await self.signal(name, kind)
 
     async def signal(self, name: str, kind: shape.Kind) -> None:
-        """A signal or fetch with a key; said again after a loss, as its callers do.
-
-        Example: ``await caller.signal("s1", kind)``
-        """
+        """A signal or fetch with a key; said again after a loss, as its callers do."""
         operation = name if self.chance.random() < 0.8 else ""
         for _ in range(3):
             noted = await self.ask(kind.lane, {"name": name, "keyed": bool(operation)}, operation=operation)
@@ -182,10 +164,7 @@
             await clock.sleep(clock.seconds(1 + self.chance.random()))
 
     async def program(self, name: str, kind: shape.Kind) -> None:
-        """Turns that build on each other; a planner's tool call is followed by a helper's turn.
-
-        Example: ``await caller.program("p1", kind)``
-        """
+        """Turns that build on each other; a planner's tool call is followed by a helper's turn."""
         after, tries, said = 0, 0, []
         turns = 1 + min(int(self.chance.expovariate(1 / kind.turns)), 12)
         while len(said) < turns and tries < turns + 6:
@@ -209,10 +188,7 @@
             await clock.sleep(clock.seconds(self.chance.random() * 0.3))
 
     async def vanish(self, name: str) -> None:
-        """A first turn whose caller goes away after its first piece.
-
-        Example: ``await caller.vanish("v1")``
-        """
+        """A first turn whose caller goes away after its first piece."""
         kind = next(one for one in self.shape.kinds if one.turns)
         body = {"lane": kind.lane, "input": f"long {name}", "program": name}
         self.counts["vanished"] += 1
@@ -226,10 +202,7 @@
             pass
 
     async def still_kept(self) -> list[str]:
-        """Ask every program whose turns were answered for one more turn, and each kind once more; what is wrong.
-
-        Example: ``assert await caller.still_kept() == []``
-        """
+        """Ask every program whose turns were answered for one more turn, and each kind once more; what is wrong."""
         said: dict[str, list[Noted]] = collections.defaultdict(list)
         unsure: set[str] = set()
         found = []
@@ -256,10 +229,7 @@
         return found
 
     def check(self, noted: Noted, said: list, given: str) -> None:
-        """A turn must be built from its own earlier turns and the new input, and be whole.
-
-        Example: ``caller.check(noted, said, given)``
-        """
+        """A turn must be built from its own earlier turns and the new input, and be whole."""
         mark = backend.answer_words({"model": "m", "history": said, "input": given, "turn": len(said) + 1})[1:3]
         if "".join(mark) not in noted.text:
             self.faults.append(f"{noted.request}: {noted.text!r} is not built from {said!r}")
--- a/aspencroft/emulator/engine.py
+++ b/aspencroft/emulator/engine.py
@@ -30,8 +30,6 @@
     first, and the time for the prompt tokens read within it (at most ``chunk``, ``reading`` of them a second).
     ``memory`` is in tokens; ``stride`` tokens make an event;
     ``at_once`` steps are modelled in one go when nothing is read.
-
-    Example: ``Shape(slots=16, memory=60_000)``
     """
 
     slots: int = 8
@@ -46,10 +44,7 @@
 
 
 class Job:
-    """One request in an engine: its prompt by parts, the tokens that it puts out, and how far it got.
-
-    Example: ``Job("m", (("5c", 800), ("own", 50)), 100, moment.now() + moment.seconds(1))``
-    """
+    """One request in an engine: its prompt by parts, the tokens that it puts out, and how far it got."""
 
     def __init__(self, model: str, parts: tuple[tuple[str, int], ...], most: int, end: datetime.timedelta):
         self.parts = tuple((f"{model} {name}", count) for name, count in parts)
@@ -65,10 +60,7 @@
         self.news = asyncio.Event()
 
     def whole(self) -> bool:
-        """Whether all tokens were put out.
-
-        Example: ``job.whole()``
-        """
+        """Whether all tokens were put out."""
         return self.made >= self.most
 
 
@@ -77,8 +69,6 @@
 
     ``offer`` and ``drop`` may be called at any time; ``begin_step`` and ``end_step`` are the model itself, driven
     by ``run``.
-
-    Example: ``engine = Engine(Shape()); group.create_task(engine.run()); engine.offer(job)``
     """
 
     def __init__(self, shape: Shape, slowness: float = 1.0):
@@ -95,10 +85,7 @@
     # -- requests --------------------------------------------------------------------------------
 
     def offer(self, job: Job) -> None:
-        """Take a request in, or raise Full.
-
-        Example: ``engine.offer(job)``
-        """
+        """Take a request in, or raise Full."""
         free = self.shape.slots - len(self.active)
         if job.prompt + job.most > self.shape.memory or len(self.waiting) >= self.shape.queue + free:
             raise Full
@@ -106,10 +93,7 @@
         self.hurry.set()
 
     def drop(self, job: Job) -> None:
-        """Forget a request, wherever it is; what it read stays kept.
-
-        Example: ``engine.drop(job)``
-        """
+        """Forget a request, wherever it is; what it read stays kept."""
         if job in self.active:
             self.active.remove(job)
             self.unpin(job)
@@ -118,43 +102,30 @@
         self.over(job)
 
     def over(self, job: Job) -> None:
-        """A request's work is at an end.
-
-        Example: ``engine.over(job)``
-        """
+        """A request's work is at an end."""
         job.state = OVER
         job.news.set()
 
     # -- memory ----------------------------------------------------------------------------------
 
     def in_use(self) -> int:
-        """Tokens of memory that cannot give way.
-
-        Example: ``engine.in_use() <= engine.shape.memory``
-        """
+        """Tokens of memory that cannot give way."""
         return sum(self.kept[name] for name in self.pins) + sum(one.made for one in self.active)
 
     def taken(self) -> int:
-        """Tokens of memory taken, kept parts included.
-
-        Example: ``engine.taken() <= engine.shape.memory``
-        """
+        """Tokens of memory taken, kept parts included."""
         return sum(self.kept.values()) + sum(one.made for one in self.active)
 
     def held(self, job: Job) -> int:
-        """How many of a prompt's first parts are kept: a part counts only if all before it are kept too.
-
-        Example: ``engine.held(job)``
-        """
+        """How many of a prompt's first parts are kept: a part counts only if all before it are kept too."""
         for place, (name, _) in enumerate(job.parts):
             if name not in self.ready:
                 return place
         return len(job.parts)
 
     def unpin(self, job: Job) -> None:
-        """A request leaves its parts; those that were not read whole are gone, the others are kept while there is room.
-
-        Example: ``engine.unpin(job)``
+        """A request leaves its parts; those that were not read whole are gone, the others are kept while there is
+        room.
         """
         for name, _ in job.parts:
             self.pins[name] -= 1
@@ -166,10 +137,7 @@
                     del self.kept[name]
 
     def make_room(self, tokens: int) -> bool:
-        """Let the parts longest unused give way until so many tokens fit; whether they do.
-
-        Example: ``engine.make_room(100)``
-        """
+        """Let the parts longest unused give way until so many tokens fit; whether they do."""
         taken = self.taken()
         if taken + tokens <= self.shape.memory:
             return True
@@ -184,10 +152,7 @@
     # -- steps -----------------------------------------------------------------------------------
 
     def admit(self, now: datetime.timedelta) -> None:
-        """Let requests in, in the order in which they came, while slots and memory last.
-
-        Example: ``engine.admit(moment.now())``
-        """
+        """Let requests in, in the order in which they came, while slots and memory last."""
         for job in [one for one in (*self.waiting, *self.active) if one.end <= now]:
             job.late = True
             self.drop(job)
@@ -214,10 +179,7 @@
             self.active.append(job)
 
     def put_back(self, tokens: int) -> None:
-        """When memory runs out, put the newest request back to the front of the queue, to be read anew.
-
-        Example: ``engine.put_back(3)``
-        """
+        """When memory runs out, put the newest request back to the front of the queue, to be read anew."""
         while len(self.active) > 1 and not self.make_room(tokens):
             job = self.active.pop()
             self.unpin(job)
@@ -227,10 +189,7 @@
             self.counts["put back"] += 1
 
     def begin_step(self, now: datetime.timedelta) -> tuple[datetime.timedelta, int, list[tuple[Job, int]]] | None:
-        """What is done next: how long it takes, tokens for each running request, prompt tokens for reading ones.
-
-        Example: ``span, steps, reads = engine.begin_step(moment.now())``
-        """
+        """What is done next: how long it takes, tokens for each running request, prompt tokens for reading ones."""
         self.admit(now)
         self.put_back(sum(one.state == RUNNING for one in self.active) * self.shape.at_once)
         if not self.active:
@@ -252,10 +211,7 @@
         return span * self.slowness, steps, reads
 
     def end_step(self, now: datetime.timedelta, steps: int, reads: list[tuple[Job, int]]) -> None:
-        """A step is done: tokens come out, prompts that are read whole put out their first.
-
-        Example: ``engine.end_step(moment.now(), steps, reads)``
-        """
+        """A step is done: tokens come out, prompts that are read whole put out their first."""
         for job in [one for one in self.active if one.state == RUNNING]:
             job.made = min(job.most, job.made + steps)
             self.progress(job)
@@ -273,10 +229,7 @@
                 self.progress(job)
 
     def progress(self, job: Job) -> None:
-        """Tell of a whole event, and let a request that is done go.
-
-        Example: ``engine.progress(job)``
-        """
+        """Tell of a whole event, and let a request that is done go."""
         if job.whole():
             self.active.remove(job)
             self.unpin(job)
@@ -285,10 +238,7 @@
             job.news.set()
 
     async def run(self) -> None:
-        """Step for as long as there is work, and wait for more.
-
-        Example: ``group.create_task(engine.run())``
-        """
+        """Step for as long as there is work, and wait for more."""
         while True:
             step = self.begin_step(clock.now())
             if step is None:
@@ -300,19 +250,13 @@
             self.end_step(clock.now(), steps, reads)
 
     def events(self, job: Job) -> int:
-        """How many events of a request are ready.
-
-        Example: ``engine.events(job)``
-        """
+        """How many events of a request are ready."""
         whole, rest = divmod(job.made, self.shape.stride)
         return whole + (job.whole() and rest > 0)
 
 
 class Slots:
-    """A plain service: so many requests at once, a few more in a queue, in the order in which they come.
-
-    Example: ``await Slots(6, 24).work(moment.seconds(0.03), end)``
-    """
+    """A plain service: so many requests at once, a few more in a queue, in the order in which they come."""
 
     def __init__(self, slots: int, queue: int, slowness: float = 1.0):
         self.slots = slots
@@ -322,10 +266,7 @@
         self.waiting: collections.deque[asyncio.Future] = collections.deque()
 
     async def enter(self, end: datetime.timedelta) -> None:
-        """Wait for a slot; Full or Late when there is none.
-
-        Example: ``await slots.enter(end)``
-        """
+        """Wait for a slot; Full or Late when there is none."""
         if self.running < self.slots:
             self.running += 1
             return
@@ -344,20 +285,14 @@
             raise
 
     def stand_back(self, turn: asyncio.Future) -> None:
-        """Leave the queue, or give a slot back that came in the same moment.
-
-        Example: ``slots.stand_back(turn)``
-        """
+        """Leave the queue, or give a slot back that came in the same moment."""
         if turn in self.waiting:
             self.waiting.remove(turn)
         elif turn.done() and not turn.cancelled():
             self.leave()
 
     def leave(self) -> None:
-        """Give a slot to the next one.
-
-        Example: ``slots.leave()``
-        """
+        """Give a slot to the next one."""
         while self.waiting:
             turn = self.waiting.popleft()
             if not turn.done():
