--- a/aspencroft/emulator/shape.py
+++ b/aspencroft/emulator/shape.py
@@ -9,10 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Kind:
-    """One kind of request in the mix: its lane, its share, and how its programs behave.
-
-    Example: ``Kind("catalogue", 30, 6, ("cataloguer",))``
-    """
+    """One kind of request in the mix: its lane, its share, and how its programs behave."""
 
     lane: str
     share: int
@@ -22,10 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """A deployment: plan, services of model workers and plain workers, kinds of requests.
-
-    Example: ``shape_of("archive").document``
-    """
+    """A deployment: plan, services of model workers and plain workers, kinds of requests."""
 
     name: str
     document: dict
@@ -34,26 +28,17 @@
     kinds: tuple[Kind, ...]
 
     def sizes(self) -> dict[str, int]:
-        """Sizes of the models, by service.
-
-        Example: ``shape.sizes()["planner"]``
-        """
+        """Sizes of the models, by service."""
         return {name: spec["size"] for name, spec in self.document["services"].items() if spec["kind"] == "model"}
 
 
 def model(size: int) -> dict:
-    """A model service of so many gigabytes.
-
-    Example: ``model(15)["size"]``
-    """
+    """A model service of so many gigabytes."""
     return {"kind": "model", "size": size * GIGABYTE}
 
 
 def talk(services: list[str], urgency: int, keep: int) -> dict:
-    """A lane of conversations.
-
-    Example: ``talk(["planner"], 5, 600)``
-    """
+    """A lane of conversations."""
     return {
         "kind": "turns",
         "services": services,
@@ -66,18 +51,12 @@
 
 
 def signal(service: str, urgency: int, deadline: float) -> dict:
-    """A lane of urgent signals, each to run once.
-
-    Example: ``signal("notice", 0, 3)``
-    """
+    """A lane of urgent signals, each to run once."""
     return {"kind": "signal", "services": [service], "urgency": urgency, "deadline": deadline, "keep": 60}
 
 
 def shape_of(name: str) -> Shape:
-    """One of the two deployments.
-
-    Example: ``shape_of("tills").kinds``
-    """
+    """One of the two deployments."""
     plain = {"kind": "plain"}
     if name == ARCHIVE:
         experts = ["planner", "cataloguer", "provenance", "vision", "reader"]
@@ -162,8 +141,5 @@
 
 
 def draw_kind(shape: Shape, chance: random.Random) -> Kind:
-    """A kind of request by the mix's shares.
-
-    Example: ``draw_kind(shape, random.Random(1)).lane``
-    """
+    """A kind of request by the mix's shares."""
     return chance.choices(shape.kinds, [one.share for one in shape.kinds])[0]
--- a/aspencroft/emulator/worker_server.py
+++ b/aspencroft/emulator/worker_server.py
@@ -41,25 +41,16 @@
 
 
 class StandDialect:
-    """What the stand-in's headers mean to the product.
-
-    Example: ``forwarder.Forwarder(own, StandDialect(), known, connections)``
-    """
+    """What the stand-in's headers mean to the product."""
 
     def request_headers(self, one: call.Call, instance_name: str, remaining: datetime.timedelta) -> call.Headers:
-        """The headers that a worker gets: the caller's, with the time that is left and the worker that is meant.
-
-        Example: ``dialect.request_headers(call, "i-1", moment.seconds(1))``
-        """
+        """The headers that a worker gets: the caller's, with the time that is left and the worker that is meant."""
         kept = tuple((name, value) for name, value in one.headers if name.lower() not in (EXPECT, REMAINING))
         left = max(1, int(remaining.total_seconds() * 1000))
         return (*kept, (REMAINING, b"%d" % left), (EXPECT, instance_name.encode()))
 
     def head(self, status: int, headers: call.Headers, attempt: str) -> call.Head:
-        """What the head of an answer says.
-
-        Example: ``dialect.head(200, headers, "id").not_run``
-        """
+        """What the head of an answer says."""
         known = {name.lower(): value for name, value in headers}
         load = tuple(int(one) for one in known[LOAD].split(b",")) if LOAD in known else None
         return call.Head(
@@ -75,10 +66,7 @@
         )
 
     def accepts(self, attempt: str):
-        """Whether an answer is one to the request with this id, for ``Pool.request``.
-
-        Example: ``await pool.request(..., accepts=dialect.accepts("id"))``
-        """
+        """Whether an answer is one to the request with this id, for ``Pool.request``."""
 
         def accept(status: int, headers: call.Headers) -> bool:
             head = self.head(status, headers, attempt)
@@ -87,10 +75,7 @@
         return accept
 
     def answer_headers(self, headers: call.Headers) -> call.Headers:
-        """The headers that go on to the caller.
-
-        Example: ``dialect.answer_headers(headers)``
-        """
+        """The headers that go on to the caller."""
         return tuple((name, value) for name, value in headers if name.lower() not in HOPS)
 
 
@@ -104,8 +89,6 @@
     the worker's own 500; ``closes`` ends the connection with a whole answer, which the worker says;
     ``pieces`` brings the
     head a moment before the body.
-
-    Example: ``Faults(lost=0.1)``
     """
 
     lost: float = 0.0
@@ -121,10 +104,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Work:
-    """How a worker works: an engine's shape or plain slots, and what bounds its connections.
-
-    Example: ``Work(shape=engine.Shape())`` or ``Work(slots=6)``
-    """
+    """How a worker works: an engine's shape or plain slots, and what bounds its connections."""
 
     shape: engine.Shape | None = None
     slots: int = 6
@@ -180,10 +160,7 @@
 
 
 class Worker:
-    """One life of a worker: a new name each time that it starts.
-
-    Example: ``life = Worker("i-1", "chat", "north", Work(), random.Random(1)); await life.serve(network, "w1:80")``
-    """
+    """One life of a worker: a new name each time that it starts."""
 
     def __init__(self, name: str, service: str, zone: str, work: Work, chance: random.Random, slowness: float = 1.0):
         self.name = name
@@ -205,19 +182,13 @@
     # -- what is told ----------------------------------------------------------------------------
 
     def load(self) -> tuple[int, int, int]:
-        """Requests running and waiting, and slots.
-
-        Example: ``life.load() == (0, 0, 8)``
-        """
+        """Requests running and waiting, and slots."""
         if self.engine is not None:
             return len(self.engine.active), len(self.engine.waiting), self.work.places()
         return self.slots.running, len(self.slots.waiting), self.work.places()
 
     def look(self) -> dict:
-        """What a report tells of this moment.
-
-        Example: ``life.look()["active"]``
-        """
+        """What a report tells of this moment."""
         running, waiting, _ = self.load()
         memory = self.work.shape.memory if self.work.shape is not None else 0
         return {
@@ -229,10 +200,7 @@
         }
 
     async def report_late(self) -> None:
-        """Keep a report that lags.
-
-        Example: ``group.create_task(life.report_late())``
-        """
+        """Keep a report that lags."""
         while True:
             self.report = self.look()
             await clock.sleep(self.work.report_lag)
@@ -240,10 +208,7 @@
     # -- serving ---------------------------------------------------------------------------------
 
     async def serve(self, network: environment.Network, address: str) -> None:
-        """Serve at an address until this life ends.
-
-        Example: ``group.create_task(life.serve(network, "127.0.0.1:9000"))``
-        """
+        """Serve at an address until this life ends."""
         accepted = await network.listen(address)
         async with supervision.Group() as group:
             group.create_task(self.report_late())
@@ -257,10 +222,7 @@
                     group.create_task(self.converse(channel))
 
     async def converse(self, channel: environment.Channel) -> None:
-        """One connection, from its first byte to its end.
-
-        Example: ``group.create_task(life.converse(channel))``
-        """
+        """One connection, from its first byte to its end."""
         self.open += 1
         try:
             await clock.sleep(self.work.handshake)
@@ -272,18 +234,12 @@
             self.open -= 1
 
     def seal(self, attempt: str, number: int) -> str:
-        """The stamp of a run.
-
-        Example: ``life.seal("id", 3)``
-        """
+        """The stamp of a run."""
         digest = hashlib.blake2b(f"{self.name} {number} {attempt}".encode(), digest_size=4)
         return f"{self.name}.{number}.{digest.hexdigest()}"
 
     def begin(self, request: "Asked") -> Run:
-        """Note that work on a request begins.
-
-        Example: ``run = life.begin(asked)``
-        """
+        """Note that work on a request begins."""
         run = Run(
             request.attempt,
             request.method,
@@ -298,10 +254,7 @@
         return run
 
     def hit(self, share: float) -> bool:
-        """Whether a trouble of this share happens now.
-
-        Example: ``life.hit(life.faults.lost)``
-        """
+        """Whether a trouble of this share happens now."""
         return share > 0 and self.chance.random() < share
 
 
@@ -316,18 +269,12 @@
     body: bytes
 
     def text(self, name: bytes) -> str:
-        """A header's text; empty when it is not there.
-
-        Example: ``asked.text(ATTEMPT)``
-        """
+        """A header's text; empty when it is not there."""
         return next((value.decode() for held, value in self.headers if held.lower() == name), "")
 
     @property
     def attempt(self) -> str:
-        """The id of the caller's attempt.
-
-        Example: ``asked.attempt``
-        """
+        """The id of the caller's attempt."""
         return self.text(ATTEMPT)
 
 
@@ -347,10 +294,7 @@
         self.owed = b""
 
     async def run(self) -> None:
-        """Serve until the connection ends, from either side.
-
-        Example: ``await conversation.run()``
-        """
+        """Serve until the connection ends, from either side."""
         pumping = asyncio.ensure_future(self.pump())
         try:
             while await self.exchange():
@@ -359,10 +303,7 @@
             pumping.cancel()
 
     async def pump(self) -> None:
-        """Take in what comes.
-
-        Example: ``asyncio.ensure_future(conversation.pump())``
-        """
+        """Take in what comes."""
         while True:
             try:
                 data = await self.channel.read_some(READ)
@@ -376,10 +317,7 @@
             self.came.set()
 
     async def receive(self) -> Asked | None:
-        """The next request; none when the connection ends or stays idle for too long.
-
-        Example: ``asked = await conversation.receive()``
-        """
+        """The next request; none when the connection ends or stays idle for too long."""
         head, body = None, []
         while True:
             event = self.connection.next_event()
@@ -404,10 +342,7 @@
                 return None
 
     async def exchange(self) -> bool:
-        """One request and its answer; whether the connection goes on.
-
-        Example: ``while await conversation.exchange(): ...``
-        """
+        """One request and its answer; whether the connection goes on."""
         asked = await self.receive()
         if asked is None:
             return False
@@ -433,10 +368,7 @@
         return True
 
     async def serve(self, asked: Asked) -> None:
-        """Decide on a request and do its work.
-
-        Example: ``await conversation.serve(asked)``
-        """
+        """Decide on a request and do its work."""
         worker, now = self.worker, clock.now()
         if asked.target == "/report":
             return await self.say(asked, 200, json.dumps(worker.report).encode(), run=None)
@@ -464,10 +396,7 @@
                 await self.say(asked, 503, b"late", run=None, not_run=True)
 
     async def work(self, asked: Asked, end: datetime.timedelta) -> None:
-        """A plain service's work: a slot for so many milliseconds.
-
-        Example: ``await conversation.work(asked, end)``
-        """
+        """A plain service's work: a slot for so many milliseconds."""
         worker = self.worker
         await worker.slots.enter(end)
         try:
@@ -483,10 +412,7 @@
         await self.say(asked, status, run.output, run)
 
     async def generate(self, asked: Asked, end: datetime.timedelta) -> None:
-        """A model worker's work: a stream of events.
-
-        Example: ``await conversation.generate(asked, end)``
-        """
+        """A model worker's work: a stream of events."""
         worker = self.worker
         most = int(asked.text(TOKENS).split(",")[1])
         after = int(asked.text(RESUME) or 0)
@@ -502,10 +428,7 @@
             worker.engine.drop(job)
 
     async def put_out(self, asked: Asked, job: engine.Job, after: int) -> None:
-        """Hand a job's events over as they come.
-
-        Example: ``await conversation.put_out(asked, job, 0)``
-        """
+        """Hand a job's events over as they come."""
         worker, told, run = self.worker, 0, None
         cut_at = self.chance_of_cut(job)
         while True:
@@ -551,10 +474,7 @@
         await self.finish(asked, run)
 
     def chance_of_cut(self, job: engine.Job) -> int:
-        """After which event a stream breaks off; beyond the last for one whose end is lost, none for 0.
-
-        Example: ``conversation.chance_of_cut(job)``
-        """
+        """After which event a stream breaks off; beyond the last for one whose end is lost, none for 0."""
         worker = self.worker
         if worker.hit(worker.faults.cut):
             return 1 + worker.chance.randrange(max(1, job.most // worker.work.shape.stride))
@@ -567,10 +487,7 @@
     def head_of(
         self, asked: Asked, status: int, run: Run | None, more: call.Headers, not_run: bool = False
     ) -> h11.Response:
-        """The head of an answer.
-
-        Example: ``conversation.head_of(asked, 200, run, ())``
-        """
+        """The head of an answer."""
         worker = self.worker
         headers = [(INSTANCE, worker.name.encode()), *more]
         if asked.attempt:
@@ -588,17 +505,11 @@
         return h11.Response(status_code=status, headers=headers)
 
     async def send(self, event) -> None:
-        """Write a part of an answer.
-
-        Example: ``await conversation.send(h11.Data(b"x"))``
-        """
+        """Write a part of an answer."""
         await self.channel.write(self.connection.send(event))
 
     async def say(self, asked: Asked, status: int, body: bytes, run: Run | None, not_run: bool = False) -> None:
-        """Write a whole answer, or what the worker's troubles make of it.
-
-        Example: ``await conversation.say(asked, 200, b"x", run)``
-        """
+        """Write a whole answer, or what the worker's troubles make of it."""
         worker = self.worker
         if run is not None:
             run.status, run.first = status, clock.now().total_seconds()
@@ -633,10 +544,7 @@
             await self.exceed(raw)
 
     async def finish(self, asked: Asked, run: Run) -> None:
-        """End a stream.
-
-        Example: ``await conversation.finish(asked, run)``
-        """
+        """End a stream."""
         await self.send(h11.EndOfMessage())
         run.whole = True
         await self.exceed(
@@ -645,10 +553,7 @@
         )
 
     async def exceed(self, raw: bytes) -> None:
-        """Send an answer in excess, at once or in the place of the next.
-
-        Example: ``await conversation.exceed(raw)``
-        """
+        """Send an answer in excess, at once or in the place of the next."""
         worker = self.worker
         if worker.hit(worker.faults.surplus):
             await self.channel.write(raw)
--- a/aspencroft/emulator/world.py
+++ b/aspencroft/emulator/world.py
@@ -10,10 +10,7 @@
 
 @dataclasses.dataclass
 class World:
-    """All stand-in back ends of a deployment and the list that shows them.
-
-    Example: ``World(shape_of("tills"), random.Random(1)).applications()``
-    """
+    """All stand-in back ends of a deployment and the list that shows them."""
 
     shape: shape.Shape
     chance: random.Random
@@ -34,17 +31,11 @@
         self.gone: set[str] = set()
 
     def workers(self) -> list:
-        """All back ends.
-
-        Example: ``world.workers()[0].name``
-        """
+        """All back ends."""
         return [*self.models, *self.plains]
 
     def rows(self) -> list[dict]:
-        """The list as the platform shows it now.
-
-        Example: ``world.rows()[0]["leaving"]``
-        """
+        """The list as the platform shows it now."""
         return [
             one.row(f"http://{self.addresses[one.name]}", one.name in self.leaving)
             for one in self.workers()
@@ -52,10 +43,7 @@
         ]
 
     def platform(self) -> litestar.Litestar:
-        """The platform's page.
-
-        Example: ``world.platform()``
-        """
+        """The platform's page."""
 
         @litestar.get("/api/workers", sync_to_thread=False)
         def workers() -> dict:
@@ -64,17 +52,11 @@
         return litestar.Litestar([workers], openapi_config=None, logging_config=None)
 
     def application(self, worker) -> litestar.Litestar:
-        """A back end's pages.
-
-        Example: ``world.application(world.models[0])``
-        """
+        """A back end's pages."""
         return litestar.Litestar(worker.handlers(), openapi_config=None, logging_config=None)
 
     def put_out(self) -> dict[str, int]:
-        """Tokens that back ends put out for each request.
-
-        Example: ``sum(world.put_out().values())``
-        """
+        """Tokens that back ends put out for each request."""
         found: dict[str, int] = {}
         for one in self.models:
             for request, count in one.put_out.items():
@@ -82,17 +64,11 @@
         return found
 
     def seen(self) -> list[dict]:
-        """All that back ends were asked to run, each with the worker's name and the time.
-
-        Example: ``world.seen()[0]["worker"]``
-        """
+        """All that back ends were asked to run, each with the worker's name and the time."""
         return [{**body, "worker": one.name} for one in self.workers() for body in one.seen]
 
     def ran(self) -> dict[str, int]:
-        """How often each request ran on any back end.
-
-        Example: ``max(world.ran().values()) == 1``
-        """
+        """How often each request ran on any back end."""
         found: dict[str, int] = {}
         for one in self.workers():
             for request, count in one.ran.items():
--- a/aspencroft/errors/result.py
+++ b/aspencroft/errors/result.py
@@ -82,8 +82,6 @@
     """A result other than done, on its way to whoever asked.
 
     Whatever is given up names when to come back, if only by default; a fault of the asker's own does not.
-
-    Example: ``raise Refusal(Result.NO_WORKER, Ran.NOT_RUN, retry=moment.seconds(1))``
     """
 
     def __init__(
@@ -100,10 +98,7 @@
         self.retry = COME_BACK.get(result.number, SOON if result.status >= 500 else None) if retry is None else retry
 
     def document(self) -> dict:
-        """The refusal as JSON for a caller.
-
-        Example: ``{"result": 1104, "meaning": "...", "ran": "not run", "detail": "", "retry_after": 1.0}``
-        """
+        """The refusal as JSON for a caller."""
         return {
             "result": self.result.number,
             "meaning": self.result.meaning,
@@ -114,10 +109,7 @@
 
 
 def by_number(number: int) -> ResultCode:
-    """The result with a number; an unknown number is INTERNAL.
-
-    Example: ``by_number(1104) is Result.NO_WORKER``
-    """
+    """The result with a number; an unknown number is INTERNAL."""
     for result in ResultCode:
         if result.number == number:
             return result
@@ -125,9 +117,6 @@
 
 
 def table() -> str:
-    """The docs' table of results.
-
-    Example: ``print(result.table())`` writes docs/result-codes.md.
-    """
+    """The docs' table of results."""
     rows = [f"| {entry.number} | {entry.name} | {entry.status} | {entry.meaning} |" for entry in ResultCode]
     return "\n".join(["| number | name | HTTP | meaning |", "|---|---|---|---|", *rows]) + "\n"
--- a/aspencroft/gateway/call.py
+++ b/aspencroft/gateway/call.py
@@ -17,10 +17,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """What the caller asked for, checked.
-
-    Example: ``Request("id", "chat", "program", "", 3, "input", "key", 512, 4096, "")``
-    """
+    """What the caller asked for, checked."""
 
     identity: str
     lane: str
@@ -34,10 +31,7 @@
     tool: str
 
     def digest(self) -> bytes:
-        """What tells two requests under one operation key apart; the identity is not part of it.
-
-        Example: ``request.digest() == again.digest()``
-        """
+        """What tells two requests under one operation key apart; the identity is not part of it."""
         whole = [
             self.lane,
             self.program,
@@ -57,8 +51,6 @@
 
     ``sent`` tells that the present go may run, ``unsure`` that an earlier go may have run, ``handed`` how many
     pieces the caller was given.
-
-    Example: ``Call(request, lane, began, end)``
     """
 
     request: Request
@@ -83,31 +75,19 @@
     service: str = ""
 
     def go(self) -> str:
-        """The name of the present go: the request's, with a number once its work is repeated.
-
-        Example: ``call.go()``
-        """
+        """The name of the present go: the request's, with a number once its work is repeated."""
         return f"{self.request.identity}.{self.repeats}" if self.repeats else self.request.identity
 
     def turns(self) -> bool:
-        """Whether the call is a turn of a program.
-
-        Example: ``call.turns()``
-        """
+        """Whether the call is a turn of a program."""
         return self.lane.kind == lane.TURNS
 
     def ran(self) -> result.Ran:
-        """What may be said of the call's work at this moment if it is given up.
-
-        Example: ``result.Refusal(result.Result.DEADLINE, call.ran())``
-        """
+        """What may be said of the call's work at this moment if it is given up."""
         return result.Ran.UNKNOWN if self.sent or self.unsure else result.Ran.NOT_RUN
 
     async def put(self, event) -> None:
-        """Hand the caller's task a piece, waiting for room; nobody waits for a caller that went away.
-
-        Example: ``await call.put(piece)``
-        """
+        """Hand the caller's task a piece, waiting for room; nobody waits for a caller that went away."""
         while not self.deaf:
             try:
                 async with clock.limit(PATIENCE):
@@ -120,17 +100,11 @@
                     self.deaf = True
 
     def close(self, end: "Ended") -> None:
-        """Hand out the final event, for which there is always room.
-
-        Example: ``call.close(Ended(0, 0, 0, None, refusal))``
-        """
+        """Hand out the final event, for which there is always room."""
         self.out.put_nowait(end)
 
     async def take(self):
-        """The next event for the caller.
-
-        Example: ``event = await call.take()``
-        """
+        """The next event for the caller."""
         event = await self.out.get()
         if not isinstance(event, Ended):
             self.room.release()
@@ -139,10 +113,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ended:
-    """The final event: the answer that is kept, or a refusal.
-
-    Example: ``Ended(3, 12, 40, None, None)``
-    """
+    """The final event: the answer that is kept, or a refusal."""
 
     turn: int
     pieces: int
--- a/aspencroft/gateway/callers.py
+++ b/aspencroft/gateway/callers.py
@@ -32,10 +32,7 @@
 
 
 def request_of(body, lanes: dict[str, lane.Lane], identity: str) -> call.Request:
-    """A checked request; output and budget never exceed the lane's.
-
-    Example: ``request_of({"lane": "chat", "input": "hello", "program": "p1"}, lanes, "id")``
-    """
+    """A checked request; output and budget never exceed the lane's."""
     try:
         full = SCHEMA(body)
     except voluptuous.MultipleInvalid as error:
@@ -61,10 +58,7 @@
 
 
 async def next_event(one: call.Call):
-    """The call's next event; at the deadline the call is given up at once.
-
-    Example: ``event = await next_event(one)``
-    """
+    """The call's next event; at the deadline the call is given up at once."""
     try:
         async with clock.limit(one.end + (SLACK if one.sent else clock.ZERO) - clock.now()):
             return await one.take()
@@ -76,10 +70,7 @@
 
 
 def final_line(one: call.Call, end: call.Ended) -> bytes:
-    """The explicit end of a stream: an end with its count of pieces, or an error.
-
-    Example: ``yield final_line(one, end)``
-    """
+    """The explicit end of a stream: an end with its count of pieces, or an error."""
     if end.refusal is not None:
         shown = {"error": end.refusal.document(), "request": one.request.identity}
     else:
@@ -94,10 +85,7 @@
 
 
 async def lines(one: call.Call, first) -> collections.abc.AsyncIterator[bytes]:
-    """A streamed turn: numbered pieces, then the end.
-
-    Example: ``Stream(lines(one, first))``
-    """
+    """A streamed turn: numbered pieces, then the end."""
     event = first
     try:
         while not isinstance(event, call.Ended):
@@ -119,10 +107,7 @@
 
 
 def handlers(edge: path.Path) -> list:
-    """The handlers that data-plane nodes serve besides the operators'.
-
-    Example: ``operator.application(own, callers.handlers(edge))``
-    """
+    """The handlers that data-plane nodes serve besides the operators'."""
 
     @litestar.post("/requests", status_code=200)
     async def take(request: litestar.Request) -> litestar.Response:
--- a/aspencroft/gateway/closing.py
+++ b/aspencroft/gateway/closing.py
@@ -25,8 +25,6 @@
     """One bounded row and a few closers for each talk pair: a pair without primary holds up only its own.
 
     What is not closed here in time is closed by the pair itself once the edge is gone or the time is over.
-
-    Example: ``closings.offer(3, Closing(identity, speech.CloseTurn(...)))``
     """
 
     def __init__(self, own: node.Node):
@@ -36,20 +34,14 @@
         self.counts: collections.Counter = collections.Counter()
 
     def offer(self, pair: int, one: Closing) -> None:
-        """Queue a closing; what finds no room is left to the pair's own clock.
-
-        Example: ``closings.offer(1, one)``
-        """
+        """Queue a closing; what finds no room is left to the pair's own clock."""
         if self.rows[pair].offer(0, one):
             self.open[one.request] += 1
         else:
             self.counts["left to the pair"] += 1
 
     def works(self) -> list:
-        """The closers, as standing tasks' names and works.
-
-        Example: ``for name, work in closings.works(): ...``
-        """
+        """The closers, as standing tasks' names and works."""
 
         def closer(row: priority_queue.Lineup, pair: int):
             async def work() -> None:
@@ -60,10 +52,7 @@
         return [(f"closing {pair}", closer(row, pair)) for pair, row in self.rows.items() for _ in range(CLOSERS)]
 
     async def close_each(self, pair: int, row: priority_queue.Lineup) -> None:
-        """Close one after the other.
-
-        Example: ``await closings.close_each(1, row)``
-        """
+        """Close one after the other."""
         while True:
             one = await row.take()
             try:
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -51,8 +51,6 @@
     Accepting waits for talk pairs, so each pair has its own queues and tasks; there and among the senders
     signals have places of their own. Thus a pair without a primary, or a flood of long streams, holds up
     nothing but itself.
-
-    Example: ``one = path.take_in(request)``, then read ``one.out``.
     """
 
     def __init__(self, own: node.Node, back: adapter.Adapter):
@@ -77,20 +75,14 @@
     # -- taking in -------------------------------------------------------------------------------
 
     def check_open(self) -> None:
-        """Refuse, not run, while this node stops or holds no current plan.
-
-        Example: ``path.check_open()``
-        """
+        """Refuse, not run, while this node stops or holds no current plan."""
         if self.node.stopping.is_set():
             raise result.RequestError(result.ResultCode.LEAVING, retry=SOON)
         if not self.node.relay.current():
             raise result.RequestError(result.ResultCode.NO_PLAN, retry=SOON)
 
     def take_in(self, request: call.Request) -> call.Call:
-        """Check a request and queue it, or refuse it at once, not run.
-
-        Example: ``one = path.take_in(request)``
-        """
+        """Check a request and queue it, or refuse it at once, not run."""
         self.counts["asked"] += 1
         self.check_open()
         known = self.node.relay.plan.lanes.get(request.lane)
@@ -110,10 +102,7 @@
         return one
 
     def pass_on(self, one: call.Call) -> result.RequestError | None:
-        """Queue a call for its next stage: its key's pair, its program's pair, or the drawing.
-
-        Example: ``refusal = path.pass_on(one)``
-        """
+        """Queue a call for its next stage: its key's pair, its program's pair, or the drawing."""
         if one.request.operation and not one.claimed:
             pair = pair_of(one.request.operation, self.node.settings.talk_pairs)
         elif one.turns() and one.granted is None:
@@ -133,19 +122,13 @@
         return result.RequestError(result.ResultCode.OVERLOADED, retry=max(SOON, expected))
 
     def tell(self, one: call.Call, what: str, detail: str = "") -> None:
-        """Add a line to the request's story.
-
-        Example: ``path.tell(one, "drawn", "m1")``
-        """
+        """Add a line to the request's story."""
         self.stories.add(one.request.identity, one.lane.name, clock.now() - one.began, what, detail)
 
     # -- stages ----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """All stages and the reading of the workers' list.
-
-        Example: ``group.create_task(path.run())``
-        """
+        """All stages and the reading of the workers' list."""
         works = [
             ("list", self.read_list),
             ("draw", self.draw_stage),
@@ -159,10 +142,7 @@
                 group.create_task(supervision.stand(name, work, self.node.standing))
 
     async def read_list(self) -> None:
-        """Read the platform's list of workers again and again; the last one read stays in use.
-
-        Example: ``group.create_task(path.read_list())``
-        """
+        """Read the platform's list of workers again and again; the last one read stays in use."""
         while self.node.settings.workers:
             try:
                 self.sight.take_list(await self.adapter.workers(self.node.settings.workers))
@@ -173,10 +153,7 @@
             await clock.sleep(LIST)
 
     def acceptor(self, key: tuple[int, bool]):
-        """The work of one acceptor of a pair.
-
-        Example: ``group.create_task(path.acceptor((1, True))())``
-        """
+        """The work of one acceptor of a pair."""
 
         async def work() -> None:
             while True:
@@ -199,24 +176,15 @@
         return work
 
     def over(self, one: call.Call) -> bool:
-        """Whether nobody waits for the call any more, or its deadline passed.
-
-        Example: ``if path.over(one): ...``
-        """
+        """Whether nobody waits for the call any more, or its deadline passed."""
         return one.abandoned or clock.now() >= one.end
 
     def within(self, one: call.Call) -> datetime.timedelta:
-        """The time that a write may take for this call.
-
-        Example: ``path.within(one)``
-        """
+        """The time that a write may take for this call."""
         return min(CLOSE, max(one.end - clock.now(), clock.seconds(0.05)))
 
     async def accept(self, one: call.Call) -> bool:
-        """Claim the key, or else open the turn; False when the key's record was handed out instead.
-
-        Example: ``await path.accept(one)``
-        """
+        """Claim the key, or else open the turn; False when the key's record was handed out instead."""
         asked = one.request
         if asked.operation and not one.claimed:
             pair = pair_of(asked.operation, self.node.settings.talk_pairs)
@@ -262,8 +230,6 @@
         """A second request with a key gets what is known of the first and never runs.
 
         The count of pieces is that of this response, which hands out the whole text as one.
-
-        Example: ``path.answer_known(one, state)``
         """
         if state.outcome == sessions_messages.DONE and state.answer:
             kept = json.loads(state.answer)
@@ -281,10 +247,7 @@
         self.last(one, call.Ended(0, 0, 0, None, result.RequestError(code, ran, state.go)))
 
     async def draw_stage(self) -> None:
-        """Draw a worker for each call; those that find all full are parked.
-
-        Example: ``group.create_task(path.draw_stage())``
-        """
+        """Draw a worker for each call; those that find all full are parked."""
         while True:
             one = await self.drawing.take()
             key = (one.lane.name, one.request.tool)
@@ -294,10 +257,7 @@
                 self.park(one, front=one.goes > 0)
 
     def draw_one(self, one: call.Call) -> bool:
-        """Draw a worker, or give the call up; False when it must wait for a place.
-
-        Example: ``if not path.draw_one(one): path.park(one, front=False)``
-        """
+        """Draw a worker, or give the call up; False when it must wait for a place."""
         self.counts["draws"] += 1
         if self.over(one):
             self.finish(one, result.RequestError(result.ResultCode.DEADLINE))
@@ -328,10 +288,7 @@
         return False
 
     def park(self, one: call.Call, front: bool) -> None:
-        """Let a call wait for a place, or give it up at once when its turn cannot come in time.
-
-        Example: ``path.park(one, front=False)``
-        """
+        """Let a call wait for a place, or give it up at once when its turn cannot come in time."""
         current = self.node.relay.plan
         services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
         guess = self.mean[one.turns()] / max(1, self.sight.places(services))
@@ -343,10 +300,7 @@
             )
 
     def look(self) -> None:
-        """Draw for those that wait, the most urgent rows first, each until its first call finds no place.
-
-        Example: ``path.look()``
-        """
+        """Draw for those that wait, the most urgent rows first, each until its first call finds no place."""
         if not self.node.relay.current():
             return
         for key in self.parked.order():
@@ -357,10 +311,7 @@
                 self.parked.pop(key, clock.now(), served=one.worker is not None)
 
     async def look_stage(self) -> None:
-        """Look at the rows again and again, for places that others freed; refuse what comes too late now.
-
-        Example: ``group.create_task(path.look_stage())``
-        """
+        """Look at the rows again and again, for places that others freed; refuse what comes too late now."""
         while True:
             await clock.sleep(LOOK)
             self.look()
@@ -375,10 +326,7 @@
                 )
 
     def wake(self, names: tuple[str, ...]) -> None:
-        """Have resting workers woken; said again once a second while they are needed.
-
-        Example: ``path.wake(("m3",))``
-        """
+        """Have resting workers woken; said again once a second while they are needed."""
         now = clock.now()
         for name in names:
             if self.woken.get(name, clock.ZERO) <= now:
@@ -390,27 +338,19 @@
 
         What stood in the way of this call may stand in the way of the next one: to look at once would go
         round for ever. The next look comes by the clock.
-
-        Example: ``path.undraw(one)``
         """
         if one.worker is not None:
             self.sight.demand[one.worker.name] -= 1
             one.worker = None
 
     def release(self, one: call.Call) -> None:
-        """Give a drawn worker's place back; whoever waits for it is drawn at once.
-
-        Example: ``path.release(one)``
-        """
+        """Give a drawn worker's place back; whoever waits for it is drawn at once."""
         if one.worker is not None:
             self.undraw(one)
             self.look()
 
     def sender(self, turns: bool):
-        """The work of one sender.
-
-        Example: ``group.create_task(path.sender(True)())``
-        """
+        """The work of one sender."""
 
         async def work() -> None:
             while True:
@@ -428,10 +368,7 @@
         return work
 
     def sendable(self, one: call.Call) -> str:
-        """Why a drawn call must not be sent at this very moment, or nothing.
-
-        Example: ``path.sendable(one) == ""``
-        """
+        """Why a drawn call must not be sent at this very moment, or nothing."""
         current = self.node.relay
         if not current.current():
             return "no current plan"
@@ -442,10 +379,7 @@
         return "the worker is leaving" if self.sight.barred(one.worker.name) else ""
 
     async def send_on(self, one: call.Call) -> None:
-        """One go: checked again, sent once, streamed; a go that surely did not run is drawn anew.
-
-        Example: ``await path.send_on(one)``
-        """
+        """One go: checked again, sent once, streamed; a go that surely did not run is drawn anew."""
         if self.over(one):
             raise result.RequestError(result.ResultCode.DEADLINE)
         why = self.sendable(one)
@@ -483,10 +417,7 @@
             await self.after_refusal(one, refusal)
 
     async def after_refusal(self, one: call.Call, refusal: result.RequestError) -> None:
-        """Draw anew after a go that did not run, or whose work may be repeated; else the refusal stands.
-
-        Example: ``await path.after_refusal(one, refusal)``
-        """
+        """Draw anew after a go that did not run, or whose work may be repeated; else the refusal stands."""
         if one.worker is not None and refusal.result in (
             result.ResultCode.UNREACHABLE,
             result.ResultCode.WORKER_LOST,
@@ -513,8 +444,6 @@
     def repeatable(self, one: call.Call, refusal: result.RequestError) -> bool:
         """Whether work whose outcome is unknown may be done again: the lane says so, the caller got nothing
         of it yet, and no operation key asks for one run.
-
-        Example: ``path.repeatable(one, refusal)``
         """
         return (
             one.lane.repeatable
@@ -526,10 +455,7 @@
         )
 
     async def repeat(self, one: call.Call, refusal: result.RequestError) -> None:
-        """Before another go: the one before is charged in full to the program, and the turn opened anew.
-
-        Example: ``await path.repeat(one, refusal)``
-        """
+        """Before another go: the one before is charged in full to the program, and the turn opened anew."""
         one.unsure = True
         self.counts["goes repeated"] += 1
         self.tell(one, "repeated", str(refusal))
@@ -540,10 +466,7 @@
             await self.accept(one)
 
     async def stream(self, one: call.Call, work: adapter.Work) -> None:
-        """Hand pieces on as they come; the turn is kept before the caller hears of its end.
-
-        Example: ``await path.stream(one, work)``
-        """
+        """Hand pieces on as they come; the turn is kept before the caller hears of its end."""
         listening, parts = tap.Tap(), []
         async for event in self.adapter.run(one.worker, work):
             if isinstance(event, adapter.Piece):
@@ -559,26 +482,17 @@
                 await self.complete(one, event, "".join(parts))
 
     def session(self, one: call.Call) -> str:
-        """The name under which a call's program is known to the residency duty.
-
-        Example: ``path.session(one)``
-        """
+        """The name under which a call's program is known to the residency duty."""
         return one.request.program or one.request.lane
 
     def tell_duty(self, topic: str, message) -> None:
-        """Tell the holder of a duty, as far as its news say who that is.
-
-        Example: ``path.tell_duty("keeps", word.Called("p", "planner", "m1", 300))``
-        """
+        """Tell the holder of a duty, as far as its news say who that is."""
         holder = self.sight.topic(topic).get("holder")
         if holder:
             self.node.link.tell(holder, message)
 
     async def complete(self, one: call.Call, end: adapter.End, text: str) -> None:
-        """Keep the turn and the key's answer, then tell the caller the end; the worker's place is free before.
-
-        Example: ``await path.complete(one, end, "text")``
-        """
+        """Keep the turn and the key's answer, then tell the caller the end; the worker's place is free before."""
         asked, turn, used_by = one.request, 0, one.worker.name
         took = clock.now() - one.sent_at
         self.mean[one.turns()] += (took - self.mean[one.turns()]) / SMOOTH
@@ -603,27 +517,18 @@
         self.last(one, call.Ended(turn, end.pieces, end.used, end.answer, None))
 
     def closed_turn(self, one: call.Call, outcome: str, text: str, used: int) -> sessions_messages.CloseTurn:
-        """The command that tells how the turn ended.
-
-        Example: ``path.closed_turn(one, speech.UNKNOWN, "", 0)``
-        """
+        """The command that tells how the turn ended."""
         asked = one.request
         given = asked.input if isinstance(asked.input, str) else json.dumps(asked.input)
         return sessions_messages.CloseTurn(asked.program, asked.helper, one.go(), outcome, given, text, used)
 
     async def close_turn(self, one: call.Call, outcome: str, text: str, used: int) -> None:
-        """Write how the turn ended.
-
-        Example: ``await path.close_turn(one, speech.DONE, "text", 40)``
-        """
+        """Write how the turn ended."""
         pair = pair_of(one.request.program, self.node.settings.talk_pairs)
         await self.node.submit(pair, self.closed_turn(one, outcome, text, used), CLOSE)
 
     async def close_operation(self, one: call.Call, answer: bytes) -> None:
-        """Write that the work under the key was done, and its answer.
-
-        Example: ``await path.close_operation(one, b"{}")``
-        """
+        """Write that the work under the key was done, and its answer."""
         asked = one.request
         pair = pair_of(asked.operation, self.node.settings.talk_pairs)
         await self.node.submit(
@@ -633,10 +538,7 @@
         )
 
     def last(self, one: call.Call, end: call.Ended) -> None:
-        """Hand out the final event and forget the call.
-
-        Example: ``path.last(one, end)``
-        """
+        """Hand out the final event and forget the call."""
         one.done = True
         word_of_end = str(end.refusal) if end.refusal else "done"
         self.tell(one, "answered", word_of_end)
@@ -646,10 +548,7 @@
         self.active.pop(one.request.identity, None)
 
     def share_story(self, one: call.Call) -> None:
-        """Give the request's story to another edge to keep, as this one may die.
-
-        Example: ``path.share_story(one)``
-        """
+        """Give the request's story to another edge to keep, as this one may die."""
         edges = sorted(
             (
                 each.address
@@ -663,10 +562,7 @@
             self.node.link.tell(mate, self.stories.held[one.request.identity])
 
     def finish(self, one: call.Call, refusal: result.RequestError) -> None:
-        """Give a call up: the caller hears it at once; key and turn are released or charged behind it.
-
-        Example: ``path.finish(one, result.Refusal(result.Result.NO_WORKER))``
-        """
+        """Give a call up: the caller hears it at once; key and turn are released or charged behind it."""
         if one.done:
             return
         ran = one.ran()
@@ -693,8 +589,6 @@
     async def drain(self) -> None:
         """Let what is under way end, within the grace; what was not sent by then is refused as not run, and
         what still streams at the end is told so in its last line.
-
-        Example: ``await path.drain()``
         """
         began = clock.now()
         while (self.active or self.closings.open) and clock.now() < began + GRACE:
@@ -705,10 +599,7 @@
                     self.finish(one, result.RequestError(result.ResultCode.LEAVING))
 
     def samples(self) -> list[sample.Sample]:
-        """What an edge says of itself in numbers.
-
-        Example: ``path.samples()[0].name``
-        """
+        """What an edge says of itself in numbers."""
         found = [
             sample.sample("aspencroft_parked", self.parked.total()),
             sample.sample("aspencroft_active", len(self.active)),
@@ -729,10 +620,7 @@
         return found
 
     def shown(self) -> dict:
-        """What an operator should see of the path.
-
-        Example: ``path.shown()["parked"]``
-        """
+        """What an operator should see of the path."""
         return {
             "counts": dict(self.counts),
             "active": len(self.active),
@@ -750,8 +638,5 @@
 
 
 def new_identity(randomness: random.Random) -> str:
-    """A request's identity.
-
-    Example: ``new_identity(around.randomness)``
-    """
+    """A request's identity."""
     return format(randomness.getrandbits(128), "032x")
--- a/aspencroft/gateway/priority_queue.py
+++ b/aspencroft/gateway/priority_queue.py
@@ -5,10 +5,7 @@
 
 
 class Lineup:
-    """Calls that wait, by urgency; zero is the most urgent.
-
-    Example: ``lineup.offer(0, call)`` is False when that urgency's queue is full.
-    """
+    """Calls that wait, by urgency; zero is the most urgent."""
 
     def __init__(self, bound: int):
         self.bound = bound
@@ -16,10 +13,7 @@
         self.filled = asyncio.Event()
 
     def offer(self, urgency: int, item, back: bool = False) -> bool:
-        """Put an item at the end, or back at the front; False when there is no room.
-
-        Example: ``lineup.offer(5, call)``
-        """
+        """Put an item at the end, or back at the front; False when there is no room."""
         queue = self.queues.setdefault(urgency, collections.deque())
         if len(queue) >= self.bound and not back:
             return False
@@ -28,17 +22,11 @@
         return True
 
     def ahead(self, urgency: int) -> int:
-        """How many items would be taken before a new one of this urgency.
-
-        Example: ``lineup.ahead(9)``
-        """
+        """How many items would be taken before a new one of this urgency."""
         return sum(len(queue) for rank, queue in self.queues.items() if rank <= urgency)
 
     async def take(self):
-        """The most urgent item, oldest first.
-
-        Example: ``call = await lineup.take()``
-        """
+        """The most urgent item, oldest first."""
         while True:
             for urgency in sorted(self.queues):
                 if self.queues[urgency]:
--- a/aspencroft/gateway/selection.py
+++ b/aspencroft/gateway/selection.py
@@ -14,8 +14,6 @@
 class Drawn:
     """The worker and service for a call, why the others were left out, whether places may become free,
     and which resting workers should be woken.
-
-    Example: ``draw(...).worker.name``
     """
 
     worker: worker.Worker | None
@@ -27,10 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-    """What an edge knows at the moment of drawing.
-
-    Example: ``View(workers, frozenset(), demand, frozenset(), frozenset(), held, {}, frozenset())``
-    """
+    """What an edge knows at the moment of drawing."""
 
     workers: tuple[worker.Worker, ...]
     leaving: frozenset[str]
@@ -43,10 +38,7 @@
 
 
 def bars(one: worker.Worker, view: View, tried: frozenset[str]) -> str:
-    """Why a worker must not be drawn now, or nothing.
-
-    Example: ``bars(one, view, frozenset()) == "leaving"``
-    """
+    """Why a worker must not be drawn now, or nothing."""
     if one.leaving or one.name in view.leaving:
         return "leaving"
     if one.name in tried:
@@ -65,8 +57,6 @@
     all edges to one worker. Workers that failed lately are drawn only when no sound one is left, resting
     ones only when no awake one offers the service at all; while awake ones are merely full, the resting
     ones are named to be woken and the call waits. Leaving workers are never drawn.
-
-    Example: ``draw(("planner",), "p1", view, frozenset(), chance).worker``
     """
     reasons: list[tuple[str, str]] = []
     ranked, awake, full, wake = [], 0, False, []
@@ -117,9 +107,6 @@
 
 
 def sample_view(count: int, **changes) -> View:
-    """Workers w0 to w(count-1) of service a, nothing known of them, with some things changed.
-
-    Example: ``sample_view(3, quiet=frozenset({"w1"}))``
-    """
+    """Workers w0 to w(count-1) of service a, nothing known of them, with some things changed."""
     workers = tuple(worker.Worker(f"w{number}", "http://h", "model", ("a",), False, 1, 2) for number in range(count))
     return dataclasses.replace(View(workers, frozenset(), {}, frozenset(), frozenset(), {}, {}, frozenset()), **changes)
--- a/aspencroft/gateway/wait_queue.py
+++ b/aspencroft/gateway/wait_queue.py
@@ -23,35 +23,24 @@
     def expected(self, place: int, now: datetime.timedelta) -> datetime.timedelta:
         """How long the call at a place in the row will wait: the pace so far, once a stall that lasts now is
         over; it is taken to last as long again as it lasted.
-
-        Example: ``row.expected(0, now)``
         """
         interval = self.guess if self.interval is None else self.interval
         return interval * (place + 1) + max(clock.ZERO, now - self.last - interval)
 
 
 class Parked:
-    """Rows of waiting calls; each place that comes free costs one look at each row, not at each call.
-
-    Example: ``parked.offer(("chat", ""), 5, call, now, guess)``
-    """
+    """Rows of waiting calls; each place that comes free costs one look at each row, not at each call."""
 
     def __init__(self):
         self.rows: dict[tuple[str, str], Row] = {}
         self.counts = collections.Counter()
 
     def waits(self, key: tuple[str, str]) -> int:
-        """How many calls wait in a row.
-
-        Example: ``parked.waits(("chat", ""))``
-        """
+        """How many calls wait in a row."""
         return len(self.rows[key].calls) if key in self.rows else 0
 
     def total(self) -> int:
-        """How many calls wait in all.
-
-        Example: ``parked.total()``
-        """
+        """How many calls wait in all."""
         return sum(len(row.calls) for row in self.rows.values())
 
     def offer(
@@ -63,10 +52,7 @@
         guess: datetime.timedelta,
         front: bool = False,
     ) -> datetime.timedelta | None:
-        """Let a call wait; else the time after which it may come back: the row is full, or its turn too late.
-
-        Example: ``retry = parked.offer(key, 5, call, now, guess)``
-        """
+        """Let a call wait; else the time after which it may come back: the row is full, or its turn too late."""
         row = self.rows.setdefault(key, Row(urgency, guess))
         row.urgency, row.guess = urgency, guess
         if not row.calls:
@@ -79,27 +65,18 @@
         return None
 
     def order(self) -> list[tuple[str, str]]:
-        """The rows that hold calls, the most urgent first.
-
-        Example: ``for key in parked.order(): ...``
-        """
+        """The rows that hold calls, the most urgent first."""
         return sorted(
             (key for key, row in self.rows.items() if row.calls),
             key=lambda key: (self.rows[key].urgency, key),
         )
 
     def head(self, key: tuple[str, str]):
-        """The first call of a row.
-
-        Example: ``parked.head(key)``
-        """
+        """The first call of a row."""
         return self.rows[key].calls[0]
 
     def pop(self, key: tuple[str, str], now: datetime.timedelta, served: bool) -> None:
-        """The first call leaves its row; when it was served the row's pace is noted.
-
-        Example: ``parked.pop(key, now, served=True)``
-        """
+        """The first call leaves its row; when it was served the row's pace is noted."""
         row = self.rows[key]
         row.calls.popleft()
         if served:
@@ -110,10 +87,7 @@
             self.rows.pop(key)
 
     def too_late(self, now: datetime.timedelta) -> list:
-        """Calls at the rows' ends whose turn cannot come before their deadline, as the pace is now; they leave.
-
-        Example: ``for call, retry in parked.too_late(now): ...``
-        """
+        """Calls at the rows' ends whose turn cannot come before their deadline, as the pace is now; they leave."""
         found = []
         for row in self.rows.values():
             while row.calls:
--- a/aspencroft/gateway/worker_view.py
+++ b/aspencroft/gateway/worker_view.py
@@ -16,10 +16,7 @@
 
 
 class Sight:
-    """An edge's knowledge of workers; nothing here is asked of a worker, all of it is met or heard.
-
-    Example: ``sight.view().demand``
-    """
+    """An edge's knowledge of workers; nothing here is asked of a worker, all of it is met or heard."""
 
     def __init__(self, own: node.Node):
         self.node = own
@@ -33,10 +30,7 @@
         self.topics: dict[str, tuple[object, dict]] = {}
 
     def take_list(self, found: tuple[worker.Worker, ...]) -> None:
-        """Take the platform's list; what is known of workers that are gone is dropped.
-
-        Example: ``sight.take_list(await adapter.workers(url))``
-        """
+        """Take the platform's list; what is known of workers that are gone is dropped."""
         self.workers, self.listed = found, True
         names = {one.name for one in found}
         for known in (self.troubled, self.crowded):
@@ -46,10 +40,7 @@
             del self.demand[name]
 
     def topic(self, name: str) -> dict:
-        """The newest state of a topic that the relay tree brought.
-
-        Example: ``sight.topic("keeps").get("workers", {})``
-        """
+        """The newest state of a topic that the relay tree brought."""
         held = self.node.relay.topics.get(name)
         if held is None:
             return {}
@@ -60,17 +51,11 @@
         return shown
 
     def quiet(self) -> frozenset[str]:
-        """Workers on the quiet list.
-
-        Example: ``"m3" in sight.quiet()``
-        """
+        """Workers on the quiet list."""
         return frozenset(self.topic("quiet").get("workers", ()))
 
     def view(self) -> selection.View:
-        """All of it at this moment.
-
-        Example: ``draw.draw(allowed, program, sight.view(), tried, chance)``
-        """
+        """All of it at this moment."""
         now = clock.now()
         held: dict[str, set[str]] = collections.defaultdict(set)
         for name, kept in self.topic("keeps").get("workers", {}).items():
@@ -92,41 +77,26 @@
         )
 
     def barred(self, name: str) -> bool:
-        """Whether a worker must get nothing new at this very moment: not listed any more, or leaving.
-
-        Example: ``sight.barred("m1")``
-        """
+        """Whether a worker must get nothing new at this very moment: not listed any more, or leaving."""
         listed = [one for one in self.workers if one.name == name]
         return not listed or listed[0].leaving or name in self.node.relay.plan.leaving
 
     def places(self, services: tuple[str, ...]) -> int:
-        """The places of workers that offer one of some services.
-
-        Example: ``sight.places(("planner",))``
-        """
+        """The places of workers that offer one of some services."""
         return sum(one.places for one in self.workers if not one.leaving and set(services) & set(one.services))
 
     def failed(self, name: str) -> None:
-        """A worker could not be reached, or was lost.
-
-        Example: ``sight.failed("m1")``
-        """
+        """A worker could not be reached, or was lost."""
         self.troubled[name] = clock.now() + TROUBLE
 
     def put_back(self, name: str) -> None:
-        """A worker handed a call back: others fill it; it is left alone for a while, longer each time in a row.
-
-        Example: ``sight.put_back("m1")``
-        """
+        """A worker handed a call back: others fill it; it is left alone for a while, longer each time in a row."""
         _, before = self.crowded.get(name, (clock.ZERO, CROWDED / 2))
         span = min(2 * before, MOST_CROWDED)
         self.crowded[name] = (clock.now() + span, span)
 
     def first_token(self, name: str, service: str, program: str) -> None:
-        """A first token shows that the worker has a place and the model, and makes it the program's home.
-
-        Example: ``sight.first_token("m1", "planner", "p1")``
-        """
+        """A first token shows that the worker has a place and the model, and makes it the program's home."""
         self.crowded.pop(name, None)
         self.tokened[name, service] = clock.now() + HELD_LIFE
         if program:
--- a/aspencroft/leadership/duty.py
+++ b/aspencroft/leadership/duty.py
@@ -17,10 +17,7 @@
 
 
 def first_of(name: str, peers: dict[str, cluster_member.ClusterMember], role: str = "") -> str:
-    """The node that should do a duty: the first live one of a role, or of the control plane, in the duty's order.
-
-    Example: ``first_of("residency", ring.fellows)``
-    """
+    """The node that should do a duty: the first live one of a role, or of the control plane, in the duty's order."""
     able = [
         one.address
         for one in peers.values()
@@ -30,10 +27,7 @@
 
 
 class Duty:
-    """A node's claim on a duty.
-
-    Example: ``if duty.held(): ...`` at each step, as the claim may have run out meanwhile.
-    """
+    """A node's claim on a duty."""
 
     def __init__(
         self,
@@ -55,17 +49,11 @@
         self.words: asyncio.Queue = asyncio.Queue(WORDS)
 
     def held(self) -> bool:
-        """Whether this node may do the duty at this moment.
-
-        Example: ``duty.held()``
-        """
+        """Whether this node may do the duty at this moment."""
         return clock.now() < self.end
 
     async def run(self) -> None:
-        """Claim the duty while first in its order, and go on claiming it.
-
-        Example: ``group.create_task(duty.run())``
-        """
+        """Claim the duty while first in its order, and go on claiming it."""
         while True:
             if first_of(self.name, self.peers(), self.role) == self.address:
                 asked = clock.now()
--- a/aspencroft/membership/cluster_member.py
+++ b/aspencroft/membership/cluster_member.py
@@ -20,8 +20,6 @@
     """A node as others know it; a restart is a new incarnation, a denial of its death a new serial.
 
     ``holds`` names the sorts of groups that its disk may hold.
-
-    Example: ``Fellow("127.0.0.1:7001", 5, 0, LIVE, "north", "core", "127.0.0.1:8001", True, ())``
     """
 
     address: str
@@ -37,17 +35,11 @@
     holds: tuple[str, ...] = ()
 
     def age(self) -> tuple[int, int, int]:
-        """What orders two entries of one address.
-
-        Example: ``max(entries, key=Fellow.age)``
-        """
+        """What orders two entries of one address."""
         return self.incarnation, self.serial, self.state
 
     def sound(self) -> bool:
-        """Whether the entry can be that of a node; what cannot is dropped by whoever hears it.
-
-        Example: ``Fellow("", -1, 0, 9, "", "", "", True, ()).sound() is False``
-        """
+        """Whether the entry can be that of a node; what cannot is dropped by whoever hears it."""
         return (
             ADDRESS.match(self.address) is not None
             and self.state in range(len(STATES))
@@ -102,18 +94,12 @@
 
 @functools.lru_cache(1 << 17)
 def position(address: str) -> int:
-    """A node's place on the ring.
-
-    Example: ``sorted(addresses, key=position)``
-    """
+    """A node's place on the ring."""
     return int.from_bytes(hashlib.blake2b(address.encode(), digest_size=6).digest(), "big")
 
 
 def watchers(of: str, peers: dict[str, ClusterMember], count: int) -> tuple[str, ...]:
-    """The nodes that the ring names as watchers of a node: next ones first, areas spread.
-
-    Example: ``watchers("a:1", fellows, 3)``
-    """
+    """The nodes that the ring names as watchers of a node: next ones first, areas spread."""
     own = position(of)
     around = sorted(
         (one for one in peers.values() if one.address != of and one.state != DOWN),
--- a/aspencroft/membership/failure_detector.py
+++ b/aspencroft/membership/failure_detector.py
@@ -24,10 +24,7 @@
 
 
 class FailureDetector:
-    """The table of fellows and the work that keeps it true.
-
-    Example: ``ring.live()`` lists the addresses that are thought to live.
-    """
+    """The table of fellows and the work that keeps it true."""
 
     def __init__(
         self,
@@ -54,24 +51,15 @@
         self.counts = {"suspicions": 0, "confirmed": 0, "denials": 0, "tables sent": 0, "odd entries": 0}
 
     def live(self) -> tuple[str, ...]:
-        """Addresses of the nodes that are not thought to be down, in ring order.
-
-        Example: ``ring.me.address in ring.live()``
-        """
+        """Addresses of the nodes that are not thought to be down, in ring order."""
         return self.peers.live()
 
     def state(self, address: str) -> int:
-        """A node's state; an unknown node counts as down.
-
-        Example: ``ring.state("a:1") == fellow.LIVE``
-        """
+        """A node's state; an unknown node counts as down."""
         return self.peers[address].state if address in self.peers else cluster_member.DOWN
 
     def table(self) -> cluster_member.Table:
-        """All that this node knows, in a fixed order.
-
-        Example: ``ring.take(other.table())``
-        """
+        """All that this node knows, in a fixed order."""
         return cluster_member.Table(
             tuple(self.peers[address] for address in sorted(self.peers)),
             tuple(self.holdings[pair] for pair in sorted(self.holdings)),
@@ -79,10 +67,7 @@
         )
 
     def digest(self) -> bytes:
-        """A digest of the table: equal where nothing needs to be told.
-
-        Example: ``ring.digest() == other.digest()``
-        """
+        """A digest of the table: equal where nothing needs to be told."""
         changes = self.changes()
         if self.digested[0] != changes:
             parts = [
@@ -96,35 +81,23 @@
         return self.digested[1]
 
     def changes(self) -> tuple:
-        """What differs once the table differs.
-
-        Example: ``before = ring.changes()``, and later ``ring.changes() != before``
-        """
+        """What differs once the table differs."""
         return self.peers.changes, self.holdings.changes, self.proposer.voter_set
 
     def hold(self, fresh: replica_set.ReplicaSet) -> None:
-        """Take a newer record of a pair's holders, and pass it on.
-
-        Example: ``ring.hold(record)``
-        """
+        """Take a newer record of a pair's holders, and pass it on."""
         known = self.holdings.get(fresh.pair)
         if known is None or fresh.epoch > known.epoch:
             self.holdings[fresh.pair] = fresh
             self.tell_change()
 
     def tell_change(self) -> None:
-        """Wake whoever waits for a change, and pass it on along the ring.
-
-        Example: ``ring.tell_change()``
-        """
+        """Wake whoever waits for a change, and pass it on along the ring."""
         self.changed.set()
         self.fresh.set()
 
     def take(self, table: cluster_member.Table) -> None:
-        """Merge another node's table; whoever says that this node is down is denied.
-
-        Example: ``ring.take(message.table)``
-        """
+        """Merge another node's table; whoever says that this node is down is denied."""
         before = self.changes()
         for one in table.peers:
             self.take_fellow(one)
@@ -139,10 +112,7 @@
             self.tell_change()
 
     def take_fellow(self, one: cluster_member.ClusterMember) -> None:
-        """Merge one entry.
-
-        Example: ``ring.take_fellow(entry)``
-        """
+        """Merge one entry."""
         if not one.sound():
             self.counts["odd entries"] += 1
             return
@@ -166,10 +136,7 @@
                     self.heard[one.address] = clock.now()
 
     async def beat(self, message: cluster_member.Beat) -> cluster_member.Table | replica_set.Acknowledged:
-        """Hear a sign of life; answer with the table when the sender's differs.
-
-        Example: ``await ring.beat(message)``
-        """
+        """Hear a sign of life; answer with the table when the sender's differs."""
         self.heard[message.peer.address] = clock.now()
         known = self.peers.get(message.peer.address)
         if known is None or message.peer.age() > known.age():
@@ -178,28 +145,19 @@
         return self.table() if message.digest != self.digest() else replica_set.Acknowledged()
 
     def join(self, message: cluster_member.Join) -> cluster_member.Table:
-        """Take a table and give one's own.
-
-        Example: ``ring.join(fellow.Join(other.table()))``
-        """
+        """Take a table and give one's own."""
         self.take(message.table)
         return self.table()
 
     async def confirm(self, message: cluster_member.Confirm) -> cluster_member.Confirmed:
-        """Say as second watcher whether a fellow is missed here too.
-
-        Example: ``(await ring.confirm(message)).missing``
-        """
+        """Say as second watcher whether a fellow is missed here too."""
         last = self.heard.get(message.address)
         if last is not None and clock.now() - last < SECOND_SILENCE:
             return cluster_member.Confirmed(False)
         return cluster_member.Confirmed(not await self.reaches(message.address))
 
     async def reaches(self, address: str) -> bool:
-        """Whether a node answers at once.
-
-        Example: ``await ring.reaches("a:1")``
-        """
+        """Whether a node answers at once."""
         try:
             reply = await self.link.ask(address, cluster_member.Join(self.table()), ASK)
             self.take(reply)
@@ -209,10 +167,7 @@
             return False
 
     async def run(self) -> None:
-        """Join, beat, watch, pass on news and look for lost fellows.
-
-        Example: ``group.create_task(ring.run())``
-        """
+        """Join, beat, watch, pass on news and look for lost fellows."""
         async with supervision.Group() as group:
             group.create_task(self.send_beats())
             group.create_task(self.watch())
@@ -220,10 +175,7 @@
             group.create_task(self.rejoin())
 
     async def send_beats(self) -> None:
-        """Show the watchers that this node lives.
-
-        Example: ``group.create_task(ring.send_beats())``
-        """
+        """Show the watchers that this node lives."""
         while True:
             named = self.peers.watchers(self.me.address, WATCHERS)
             async with supervision.Group() as group:
@@ -232,10 +184,7 @@
                 group.create_task(clock.sleep(BEAT))
 
     async def beat_one(self, address: str) -> None:
-        """One heartbeat to one watcher.
-
-        Example: ``await ring.beat_one("a:1")``
-        """
+        """One heartbeat to one watcher."""
         try:
             reply = await self.link.ask(address, cluster_member.Beat(self.me, self.digest()), BEAT)
         except result.RequestError:
@@ -247,17 +196,11 @@
                 self.link.tell(address, cluster_member.Join(self.table()))
 
     def watched(self) -> tuple[str, ...]:
-        """The nodes that name this one as a watcher.
-
-        Example: ``ring.watched()``
-        """
+        """The nodes that name this one as a watcher."""
         return self.peers.watched(self.me.address, WATCHERS)
 
     async def watch(self) -> None:
-        """Suspect silent fellows; a suspicion is news only once a second watcher confirms it.
-
-        Example: ``group.create_task(ring.watch())``
-        """
+        """Suspect silent fellows; a suspicion is news only once a second watcher confirms it."""
         previous = clock.now()
         while True:
             await clock.sleep(BEAT / 2)
@@ -275,10 +218,7 @@
                 self.peers.pop(address, None)
 
     async def suspect(self, address: str) -> None:
-        """Ask a second watcher; mark the fellow down when it is missed there too.
-
-        Example: ``await ring.suspect("a:1")``
-        """
+        """Ask a second watcher; mark the fellow down when it is missed there too."""
         suspected = self.peers[address]
         self.counts["suspicions"] += 1
         if await self.reaches(address):
@@ -304,8 +244,6 @@
         """Pass on at once to the neighbours on the ring what changed here since the last time.
 
         What gets lost on the way is found by the digests of later heartbeats.
-
-        Example: ``group.create_task(ring.spread())``
         """
         while True:
             await self.fresh.wait()
@@ -320,10 +258,7 @@
             await clock.sleep(BEAT / 10)
 
     async def rejoin(self) -> None:
-        """Knock at seeds and at nodes thought down, so that halves of a cut find each other again.
-
-        Example: ``group.create_task(ring.rejoin())``
-        """
+        """Knock at seeds and at nodes thought down, so that halves of a cut find each other again."""
         while True:
             lost = [
                 address
@@ -341,10 +276,7 @@
             await clock.sleep(REJOIN if self.joined.is_set() else BEAT / 2)
 
     def leave(self) -> None:
-        """Tell all that this node is stopping.
-
-        Example: ``ring.leave()``
-        """
+        """Tell all that this node is stopping."""
         self.me = dataclasses.replace(self.me, state=cluster_member.LEAVING, serial=self.me.serial + 1)
         self.peers[self.me.address] = self.me
         self.tell_change()
--- a/aspencroft/membership/member_table.py
+++ b/aspencroft/membership/member_table.py
@@ -10,10 +10,7 @@
 
 
 class Counted(dict):
-    """A dictionary that counts its changes, so that whatever was worked out from it can be kept until the next one.
-
-    Example: ``held = Counted(); held["a"] = 1; held.changes == 1``
-    """
+    """A dictionary that counts its changes, so that whatever was worked out from it can be kept until the next one."""
 
     def __init__(self):
         super().__init__()
@@ -30,36 +27,24 @@
         self.changes += 1
 
     def pop(self, key, *otherwise):
-        """Take an entry out.
-
-        Example: ``held.pop("a", None)``
-        """
+        """Take an entry out."""
         self.changes += 1
         return super().pop(key, *otherwise)
 
     def taken(self) -> tuple:
-        """The entries that were set since this was asked last, and are still there, by their keys' order.
-
-        Example: ``held["a"] = 1; held.taken() == (1,); held.taken() == ()``
-        """
+        """The entries that were set since this was asked last, and are still there, by their keys' order."""
         keys, self.touched = sorted(key for key in self.touched if key in self), {}
         return tuple(self[key] for key in keys)
 
     def popitem(self):
-        """Not done to these tables.
-
-        Example: none; it raises NotImplementedError.
-        """
+        """Not done to these tables."""
         raise NotImplementedError
 
     clear = setdefault = update = __ior__ = popitem
 
 
 class MemberTable(Counted):
-    """Fellows by address; ``layout`` counts the changes that move anybody's place on the ring or in the tree.
-
-    Example: ``members = Members(); members[one.address] = one; members.live() == (one.address,)``
-    """
+    """Fellows by address; ``layout`` counts the changes that move anybody's place on the ring or in the tree."""
 
     def __init__(self):
         super().__init__()
@@ -83,26 +68,17 @@
         self.forget(address)
 
     def pop(self, address, *otherwise):
-        """Take a fellow out.
-
-        Example: ``members.pop("a:1", None)``
-        """
+        """Take a fellow out."""
         self.forget(address)
         return super().pop(address, *otherwise)
 
     def forget(self, address: str) -> None:
-        """A fellow's entry is gone: so is what was worked out from it.
-
-        Example: ``members.forget("a:1")``
-        """
+        """A fellow's entry is gone: so is what was worked out from it."""
         self.layout += 1
         self.bytes.pop(address, None)
 
     def work_out(self) -> None:
-        """Order the ring anew, if anybody's place changed since.
-
-        Example: ``members.work_out()``
-        """
+        """Order the ring anew, if anybody's place changed since."""
         if self.worked_out == self.layout:
             return
         self.around = sorted(
@@ -114,18 +90,12 @@
         self.worked_out = self.layout
 
     def live(self) -> tuple[str, ...]:
-        """Addresses of the fellows that are not thought to be down, in ring order.
-
-        Example: ``"a:1" in members.live()``
-        """
+        """Addresses of the fellows that are not thought to be down, in ring order."""
         self.work_out()
         return tuple(one.address for one in self.around)
 
     def watchers(self, of: str, count: int) -> tuple[str, ...]:
-        """The same as ``fellow.watchers``, without ordering the ring for each question.
-
-        Example: ``members.watchers("a:1", 3) == fellow.watchers("a:1", members, 3)``
-        """
+        """The same as ``fellow.watchers``, without ordering the ring for each question."""
         self.work_out()
         if of not in self.named:
             start = bisect.bisect_left(self.positions, cluster_member.position(of))
@@ -133,10 +103,7 @@
         return self.named[of]
 
     def watched(self, by: str, count: int) -> tuple[str, ...]:
-        """The fellows that name one as a watcher, in ring order.
-
-        Example: ``members.watched("a:1", 3)``
-        """
+        """The fellows that name one as a watcher, in ring order."""
         self.work_out()
         if self.naming is None:
             found: dict[str, list[str]] = {}
@@ -147,20 +114,14 @@
         return self.naming.get(by, ())
 
     def tree_order(self) -> tuple[str, ...]:
-        """Live fellows in the order that spans the relay tree: the core first, then by place on the ring.
-
-        Example: ``members.tree_order()``
-        """
+        """Live fellows in the order that spans the relay tree: the core first, then by place on the ring."""
         self.work_out()
         if self.tree is None:
             self.tree = tuple(one.address for one in sorted(self.around, key=lambda one: one.role != "core"))
         return self.tree
 
     def packed(self, address: str) -> bytes:
-        """An entry's bytes, as in a packed table.
-
-        Example: ``members.packed("a:1") == record.pack(members["a:1"])``
-        """
+        """An entry's bytes, as in a packed table."""
         one = self[address]
         held = self.bytes.get(address)
         if held is None or held[0] is not one:
@@ -169,18 +130,12 @@
 
 
 def place_of(one: cluster_member.ClusterMember) -> tuple:
-    """What of an entry others' places depend on.
-
-    Example: ``place_of(entry) == place_of(dataclasses.replace(entry, serial=9))``
-    """
+    """What of an entry others' places depend on."""
     return one.state == cluster_member.DOWN, one.area, one.role
 
 
 def named_from(of: str, around: list[cluster_member.ClusterMember], start: int, count: int) -> tuple[str, ...]:
-    """The next fellows on the ring from a place on: those of areas not named yet first, then any.
-
-    Example: ``named_from("a:1", around, 0, 3)``
-    """
+    """The next fellows on the ring from a place on: those of areas not named yet first, then any."""
     named: list[str] = []
     passed: list[str] = []
     areas: set[str] = set()
--- a/aspencroft/node/drain_order.py
+++ b/aspencroft/node/drain_order.py
@@ -33,8 +33,6 @@
 
     An order is refused only by what the control group holds at that moment and by a table of members that had time to
     become whole; a node that can't tell answers that the outcome is not known.
-
-    Example: ``await DrainOrders(own).order("storage-1", clock.seconds(1))``
     """
 
     def __init__(self, own: "node.Node"):
@@ -42,18 +40,12 @@
         self.began = clock.ZERO
 
     def find(self, name: str) -> cluster_member.ClusterMember | None:
-        """The member of a name, the newest run of it where several are known.
-
-        Example: ``orders.find("storage-1").address``
-        """
+        """The member of a name, the newest run of it where several are known."""
         found = [one for one in self.own.ring.peers.values() if name in (one.name, one.address)]
         return max(found, key=lambda one: (one.state != cluster_member.DOWN, one.incarnation), default=None)
 
     def member(self, name: str) -> cluster_member.ClusterMember:
-        """The member of a name; UNKNOWN_RESOURCE only where all members must be known.
-
-        Example: ``orders.member("storage-1").address``
-        """
+        """The member of a name; UNKNOWN_RESOURCE only where all members must be known."""
         found = self.find(name)
         if found is not None:
             return found
@@ -62,17 +54,11 @@
         raise result.RequestError(result.ResultCode.UNKNOWN_RESOURCE, detail=f"no machine {name}")
 
     def members_known(self) -> bool:
-        """Whether this node has run for long enough to have heard of all members.
-
-        Example: ``orders.members_known()``
-        """
+        """Whether this node has run for long enough to have heard of all members."""
         return clock.now() - self.began >= MEMBERS_KNOWN
 
     def ordered(self, name: str) -> str | None:
-        """The address of the machine of a name that is to drain or was removed since; none without such an order.
-
-        Example: ``orders.ordered("storage-1")``
-        """
+        """The address of the machine of a name that is to drain or was removed since; none without such an order."""
         drained, found = self.own.relay.plan.emptied, self.find(name)
         if found is not None:
             return found.address if found.address in drained else None
@@ -81,10 +67,7 @@
         return next(named, None)
 
     async def newest_plan(self, end: datetime.timedelta) -> None:
-        """Wait until the plan here is as new as the control group's when this was called.
-
-        Example: ``await orders.newest_plan(clock.now() + clock.seconds(1))``
-        """
+        """Wait until the plan here is as new as the control group's when this was called."""
         relay = self.own.relay
         newest = await self.own.submit(0, control_state.ReadPlan(relay.revision), end - clock.now())
         try:
@@ -100,8 +83,6 @@
         """Refuse with TOO_FEW_LEFT where too few disks would hold the groups that a machine may hold.
 
         Disks that are away for a moment may come back: until then it is not known.
-
-        Example: ``orders.check_enough_left(member)``
         """
         for sort in member.holds:
             left = [
@@ -117,10 +98,7 @@
             raise result.RequestError(result.ResultCode.TOO_FEW_LEFT, detail=f"{len(left)} disks for {sort}")
 
     def away(self, sort: str) -> collections.abc.Iterator[cluster_member.ClusterMember]:
-        """Machines that may hold a sort of group, are not to drain, and left or went down a short time ago.
-
-        Example: ``[*orders.away(replica_set.TALK)]``
-        """
+        """Machines that may hold a sort of group, are not to drain, and left or went down a short time ago."""
         now, ring = clock.now(), self.own.ring
         for one in ring.peers.values():
             if sort not in one.holds or one.address in self.own.relay.plan.emptied:
@@ -137,8 +115,6 @@
         Refused when no machine bears the name (UNKNOWN_RESOURCE), when too few disks would be left for the groups that
         it may hold (TOO_FEW_LEFT); OUTCOME_UNKNOWN when the order is not known to be kept after ``within``. The write
         names the revision that was checked, so that of two orders that together leave too few only one is taken.
-
-        Example: ``await orders.order("storage-1", clock.seconds(3))``
         """
         end = clock.now() + within
         while True:
@@ -154,10 +130,7 @@
                     raise
 
     async def write(self, member: cluster_member.ClusterMember, end: datetime.timedelta) -> None:
-        """Write the order on top of the plan that is known here.
-
-        Example: ``await orders.write(member, clock.now() + clock.seconds(1))``
-        """
+        """Write the order on top of the plan that is known here."""
         body = json.dumps({"machines": {member.address: {"emptied": True, "name": member.name}}})
         write = control_state.WritePlan("merge", "", "", body, self.own.relay.revision)
         try:
@@ -173,8 +146,6 @@
 
         What stands is asked of the groups' primaries, as this node may not have heard of the newest records. A machine
         that was ordered to drain, was removed and is forgotten since is still known by its order.
-
-        Example: ``await orders.state("storage-1", clock.seconds(1)) is DrainState.DRAINED``
         """
         end = clock.now() + within
         if self.ordered(name) is None:
@@ -192,10 +163,7 @@
         return await self.whole_without(address, pairs, end)
 
     async def whole_without(self, address: str, pairs: list[int], end: datetime.timedelta) -> DrainState:
-        """Whether all of some groups are whole without a machine, as far as their primaries say so in time.
-
-        Example: ``await orders.whole_without("a:1", [1, 2], clock.now() + clock.seconds(1))``
-        """
+        """Whether all of some groups are whole without a machine, as far as their primaries say so in time."""
         asked: list[asyncio.Task] = []
         try:
             async with clock.limit(end - clock.now()), supervision.Group() as group:
--- a/aspencroft/node/memory_report.py
+++ b/aspencroft/node/memory_report.py
@@ -26,10 +26,7 @@
     incoming_bytes: int
 
     def text(self) -> str:
-        """The figures as one part of a log line, in megabytes.
-
-        Example: ``report.text() == "2 serving: snapshot 8.1 journal 1.2 (90) state 9.0 (3100) incoming 0.0"``
-        """
+        """The figures as one part of a log line, in megabytes."""
         held = self.held
         return (
             f"{self.group} {self.part}: snapshot {held.snapshot_bytes / MEGABYTE:.1f} "
@@ -40,10 +37,7 @@
 
 
 class MemoryReport:
-    """Looks at the process's memory and warns as it nears its limit (bytes; 0 where none is known).
-
-    Example: ``group.create_task(MemoryReport(hosts, 150_000_000).run())``
-    """
+    """Looks at the process's memory and warns as it nears its limit (bytes; 0 where none is known)."""
 
     def __init__(
         self,
@@ -57,19 +51,13 @@
         self.warned_at = 0
 
     def groups(self) -> tuple[GroupMemory, ...]:
-        """What each replica on this node holds.
-
-        Example: ``report.groups()[0].held.snapshot_bytes``
-        """
+        """What each replica on this node holds."""
         return tuple(
             GroupMemory(group, held.why, held.copy.memory(), held.incoming.size) for group, held in self.hosts.items()
         )
 
     def look(self) -> None:
-        """Warn when memory passed the first share of the limit, and again with each further step.
-
-        Example: ``report.look()``
-        """
+        """Warn when memory passed the first share of the limit, and again with each further step."""
         resident = self.resident()
         due = max(WARN_SHARE * self.limit, self.warned_at + STEP_SHARE * self.limit)
         if not self.limit or resident < due:
@@ -83,10 +71,7 @@
         )
 
     def samples(self) -> list[sample.Sample]:
-        """The same figures as samples, for the operator's view and alert rules.
-
-        Example: ``report.samples()[0].name == "aspencroft_memory_resident_bytes"``
-        """
+        """The same figures as samples, for the operator's view and alert rules."""
         found = [
             sample.sample("aspencroft_memory_resident_bytes", self.resident()),
             sample.sample("aspencroft_memory_limit_bytes", self.limit),
@@ -99,10 +84,7 @@
         return found
 
     async def run(self) -> None:
-        """Look again and again.
-
-        Example: ``group.create_task(report.run())``
-        """
+        """Look again and again."""
         while True:
             self.look()
             await clock.sleep(LOOK_EVERY)
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -53,10 +53,7 @@
 
 
 class Node:
-    """What every process of the fleet is, whatever its program.
-
-    Example: ``await Node(place, around).run()``
-    """
+    """What every process of the fleet is, whatever its program."""
 
     def __init__(self, place: settings.Settings, around: environment.Environment):
         self.settings = place
@@ -138,10 +135,7 @@
         self.unmet_bounds = self.check_times()
 
     def check_times(self) -> tuple[str, ...]:
-        """The time bounds of the settings that this node's own times cannot meet; each is said in the log.
-
-        Example: ``node.check_times() == ()``
-        """
+        """The time bounds of the settings that this node's own times cannot meet; each is said in the log."""
         times = timing_check.times_in_force(
             self.settings.currency,
             self.settings.confirm,
@@ -161,18 +155,13 @@
         The control group has members on more than half of the core where the core has the witnesses,
         so that whichever part of
         it has a majority has a member too.
-
-        Example: ``node.goal(1) == 2``
         """
         if pair == 0 and self.settings.witnesses == settings.CORE:
             return max(self.settings.copies, len(self.proposer.voter_set.present) // 2 + 1)
         return self.settings.copies
 
     def holders(self, sort: str) -> tuple[replica_placement.Candidate, ...]:
-        """Live nodes whose disks may hold groups of a sort.
-
-        Example: ``node.holders(holding.TALK)``
-        """
+        """Live nodes whose disks may hold groups of a sort."""
         return tuple(
             replica_placement.Candidate(one.address, one.area)
             for one in self.ring.peers.values()
@@ -180,18 +169,13 @@
         )
 
     def records(self) -> tuple[replica_set.ReplicaSet, ...]:
-        """The newest records of replica sets that this node knows.
-
-        Example: ``node.records()[0].members()``
-        """
+        """The newest records of replica sets that this node knows."""
         return tuple(self.ring.holdings.values())
 
     def payload_limit(self) -> int:
         """How many bytes of history and kept answers a talk group may hold, by this machine's memory.
 
         Until this node has heard of all members it can't know how many disks share the groups.
-
-        Example: ``node.payload_limit() <= 24 << 20``
         """
         if not self.drain_orders.members_known():
             return payload_limit.payload_limit(0, 1)
@@ -201,26 +185,17 @@
         return payload_limit.payload_limit(place.memory_limit, replicas)
 
     def life(self) -> str:
-        """This run of this node, as others may hear of its end.
-
-        Example: ``node.gone(other.life())``
-        """
+        """This run of this node, as others may hear of its end."""
         return f"{self.address} {self.ring.me.incarnation}"
 
     def gone(self, life: str) -> bool:
-        """Whether a run of a node surely ended: another run is known, or watchers agree that it is down.
-
-        Example: ``node.gone("127.0.0.1:7000 5")``
-        """
+        """Whether a run of a node surely ended: another run is known, or watchers agree that it is down."""
         address, _, incarnation = life.rpartition(" ")
         known = self.ring.peers.get(address)
         return known is not None and (known.state == cluster_member.DOWN or str(known.incarnation) != incarnation)
 
     def wished_seeds(self) -> tuple[str, ...]:
-        """The witnesses wished for: by the plan, else by the settings of all live nodes if they agree.
-
-        Example: ``node.wished_seeds()``
-        """
+        """The witnesses wished for: by the plan, else by the settings of all live nodes if they agree."""
         wished = self.relay.plan.seeds
         if not wished and self.settings.witnesses == settings.CORE:
             return self.wished_cores()
@@ -231,10 +206,7 @@
         return wished if alive else ()
 
     def wished_cores(self) -> tuple[str, ...]:
-        """The witnesses wished for where the core has them; one that has been gone for a while counts as lost.
-
-        Example: ``node.wished_cores()``
-        """
+        """The witnesses wished for where the core has them; one that has been gone for a while counts as lost."""
         now, present = clock.now(), self.proposer.voter_set.present
         gone = [address for address in present if self.ring.state(address) != cluster_member.LIVE]
         if now - self.looked > LOST:
@@ -250,19 +222,13 @@
         return witness_placement.witnesses(present, cores, lost)
 
     def emptied(self, address: str) -> bool:
-        """Whether a node is to hold no copies: emptied by an operator, or stopping.
-
-        Example: ``node.emptied("127.0.0.1:7001")``
-        """
+        """Whether a node is to hold no copies: emptied by an operator, or stopping."""
         return address in self.relay.plan.emptied or self.ring.state(address) == cluster_member.LEAVING
 
     # -- messages --------------------------------------------------------------------------------
 
     async def answer(self, message):
-        """Answer a message of another node.
-
-        Example: ``reply = await node.answer(holding.Survey("a:1"))``
-        """
+        """Answer a message of another node."""
         match message:
             case cluster_member.Beat():
                 return await self.ring.beat(message)
@@ -345,19 +311,13 @@
         raise result.RequestError(result.ResultCode.FRAME_BROKEN, detail=type(message).__name__)
 
     def hear(self, message) -> None:
-        """Give word from an edge to the duties that asked for its kind; what no queue has room for is lost.
-
-        Example: ``node.hear(word.Wanted("m1"))``
-        """
+        """Give word from an edge to the duties that asked for its kind; what no queue has room for is lost."""
         for listening in self.duties.values():
             if not listening.words.full():
                 listening.words.put_nowait(message)
 
     def host(self, pair: int) -> group_replica.GroupReplica:
-        """This node's part in a pair; refused without a disk or before the disk was read.
-
-        Example: ``node.host(0).claimed()``
-        """
+        """This node's part in a pair; refused without a disk or before the disk was read."""
         found = self.hosts.get(pair)
         if found is None or not self.opened:
             raise result.RequestError(
@@ -366,10 +326,7 @@
         return found
 
     def report(self) -> replica_set.ReplicaReports:
-        """The copies on this node's disk.
-
-        Example: ``node.report().copies``
-        """
+        """The copies on this node's disk."""
         copies = tuple(
             replica_set.ReplicaReport(
                 pair,
@@ -390,19 +347,13 @@
         )
 
     async def answer_submit(self, message: replication_messages.Submit) -> replication_messages.Submitted:
-        """Have a command decided here, if this node is the pair's primary.
-
-        Example: ``await node.answer_submit(exchange.Submit(1, within, body))``
-        """
+        """Have a command decided here, if this node is the pair's primary."""
         held = self.host(message.pair)
         reply = await held.submit(codec.untagged(message.body), message.within)
         return replication_messages.Submitted(codec.tagged(reply), held.known)
 
     async def submit(self, pair: int, command, within=2 * GO):
-        """Have a command decided by a pair's primary, wherever it is; commands bear being said twice.
-
-        Example: ``reply = await node.submit(1, speech.OpenTurn(...))``
-        """
+        """Have a command decided by a pair's primary, wherever it is; commands bear being said twice."""
         end = clock.now() + within
         unknown = None
         while True:
@@ -427,8 +378,6 @@
         """Ask a group's primary; refused as soon as another record names another one.
 
         Whose answer is then to be asked for.
-
-        Example: ``reply = await node.ask_primary(held, message, GO)``
         """
         asking = asyncio.ensure_future(self.link.ask(held.primary.address, message, within))
         try:
@@ -444,10 +393,7 @@
     # -- the plan --------------------------------------------------------------------------------
 
     def rooted(self) -> bool:
-        """Whether this node is the root of the relay tree: the control pair's primary under a claim.
-
-        Example: ``node.rooted()``
-        """
+        """Whether this node is the root of the relay tree: the control pair's primary under a claim."""
         return self.relay.root and 0 in self.hosts and self.hosts[0].claimed()
 
     async def root(self) -> None:
@@ -455,8 +401,6 @@
 
         A new primary is no root before it read what the ones before it acknowledged:
         nothing older is handed out as new.
-
-        Example: ``group.create_task(node.root())``
         """
         while True:
             held = self.hosts[0]
@@ -482,10 +426,7 @@
                 pass
 
     async def write_here(self, message: updates.WriteEverywhere) -> updates.Written:
-        """As root: store an operator's write, then wait until it is in force everywhere, or as long as settings say.
-
-        Example: ``await node.write_here(message)``
-        """
+        """As root: store an operator's write, then wait until it is in force everywhere, or as long as settings say."""
         started = clock.now()
         held = self.host(0)
         if held.claimed():
@@ -507,10 +448,7 @@
         return updates.Written(written.revision, written.changed, clock.now() - started)
 
     async def write_plan(self, write: control_state.WritePlan) -> updates.Written:
-        """Send an operator's write on to the root, wherever it is.
-
-        Example: ``await node.write_plan(control.WritePlan("merge", "", "", body, None))``
-        """
+        """Send an operator's write on to the root, wherever it is."""
         end = clock.now() + clock.seconds(8)
         message = updates.WriteEverywhere(write, 2 * GO)
         while True:
@@ -533,8 +471,6 @@
         """As root: take an operator's configuration, then wait until nodes confirmed it, or as long as settings say.
 
         Once it is durable nothing takes it back: an order that was taken before is answered as done.
-
-        Example: ``await node.apply_here(message)``
         """
         started = clock.now()
         applied = await self.host(0).submit(message.command, message.within)
@@ -558,8 +494,6 @@
 
         Asks again for as long as ``within`` (more where there are many items); then a Refusal says whether it may
         have been taken. It bears being said twice, here and by the operator: the same order is known again.
-
-        Example: ``await node.apply(configuration.ApplyConfiguration(7, 5, True, items, (), digest))``
         """
         span = within + APPLY_ITEM * len(command.upserts)
         return await self.ask_root(lambda left: updates.ApplyEverywhere(command, left), span)
@@ -569,8 +503,6 @@
 
         The message is made of the time that is left, and has to bear being said twice. The last refusal says whether
         anything may have been done.
-
-        Example: ``await node.ask_root(lambda left: updates.ApplyEverywhere(command, left), APPLY)``
         """
         end, unknown = clock.now() + within, None
         while True:
@@ -600,10 +532,7 @@
             await clock.sleep(AGAIN)
 
     async def read_configuration(self, within: datetime.timedelta = APPLY) -> operator_configuration.ConfigurationRead:
-        """The operator's newest configuration, read at the control group's primary under its claim.
-
-        Example: ``(await node.read_configuration()).version``
-        """
+        """The operator's newest configuration, read at the control group's primary under its claim."""
         return await self.submit(0, operator_configuration.ReadConfiguration(), within)
 
     # -- draining a machine ----------------------------------------------------------------------
@@ -612,8 +541,6 @@
         """Whether a group's primary says that the group is whole without a node, and stays so.
 
         False while it does not say.
-
-        Example: ``await node.stands(1, "a:1")``
         """
         held = self.ring.holdings.get(pair)
         if held is None:
@@ -628,10 +555,7 @@
     # -- life ------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Be a node until stopped.
-
-        Example: ``await node.run()``
-        """
+        """Be a node until stopped."""
         ready = asyncio.Event()
         self.drain_orders.began = clock.now()
         async with supervision.Group() as group:
@@ -660,10 +584,7 @@
             self.started.set()
 
     async def share_holdings(self) -> None:
-        """Let this node's copies hear of newer records of holders.
-
-        Example: ``group.create_task(node.share_holdings())``
-        """
+        """Let this node's copies hear of newer records of holders."""
         while True:
             for pair, held in self.ring.holdings.items():
                 if pair in self.hosts:
@@ -684,10 +605,7 @@
             self.ring.changed.clear()
 
     def own_samples(self) -> list[sample.Sample]:
-        """What any node says of itself in numbers.
-
-        Example: ``node.own_samples()[0].name``
-        """
+        """What any node says of itself in numbers."""
         found = [
             sample.sample("aspencroft_plan_current", self.relay.current()),
             sample.sample("aspencroft_plan_number", self.relay.revision.number),
@@ -707,10 +625,7 @@
         return [*found, *self.memory.samples()]
 
     def samples(self) -> tuple[sample.Sample, ...]:
-        """All samples of this node, each with the labels node, area and role.
-
-        Example: ``node.samples()``
-        """
+        """All samples of this node, each with the labels node, area and role."""
         own = {"node": self.address, "area": self.settings.area, "role": self.settings.role}
         return tuple(
             sample.sample(one.name, one.value, **own, **{label.name: label.value for label in one.labels})
@@ -719,10 +634,7 @@
         )
 
     async def tell_samples(self) -> None:
-        """Tell the holder of the alerts duty this node's samples, while the plan holds rules.
-
-        Example: ``group.create_task(node.tell_samples())``
-        """
+        """Tell the holder of the alerts duty this node's samples, while the plan holds rules."""
         while True:
             await clock.sleep(SAMPLE)
             known = self.relay.topics.get("alerts")
@@ -734,10 +646,7 @@
                     self.link.tell(holder, sample.Sampled(self.address, self.samples()))
 
     def control(self, name: str, otherwise):
-        """What firing alert rules ask for, as far as it is known here.
-
-        Example: ``node.control("shed", 10)``
-        """
+        """What firing alert rules ask for, as far as it is known here."""
         known = self.relay.topics.get("alerts")
         return json.loads(known.body).get(name, otherwise) if known is not None else otherwise
 
@@ -745,8 +654,6 @@
         """Which voters are live as far as this node knows, how many more may be lost.
 
         And what the loss of a majority does.
-
-        Example: ``node.quorum_status()["losses_left"] == 2``
         """
         voter_set = self.proposer.voter_set
         live = [one for one in voter_set.everyone() if self.ring.state(one) == cluster_member.LIVE]
@@ -759,10 +666,7 @@
         }
 
     def status(self) -> dict:
-        """What an operator should see of this node.
-
-        Example: ``node.status()["pairs"]``
-        """
+        """What an operator should see of this node."""
         return {
             "address": self.address,
             "area": self.settings.area,
--- a/aspencroft/node/operator.py
+++ b/aspencroft/node/operator.py
@@ -28,10 +28,7 @@
 
 
 def refusal_response(refusal: result.RequestError) -> litestar.Response:
-    """A refusal as HTTP: number, whether anything ran, and when to come back.
-
-    Example: ``return refusal_response(refusal)``
-    """
+    """A refusal as HTTP: number, whether anything ran, and when to come back."""
     headers = {}
     if refusal.retry is not None:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry.total_seconds())))
@@ -45,18 +42,12 @@
 
 
 def on_refusal(_: litestar.Request, refusal: Exception) -> litestar.Response:
-    """What litestar does with a Refusal.
-
-    Example: ``exception_handlers={result.Refusal: on_refusal}``
-    """
+    """What litestar does with a Refusal."""
     return refusal_response(refusal)
 
 
 def on_http(_: litestar.Request, error: Exception) -> litestar.Response:
-    """What litestar does with requests that it refuses itself: too large, no such path, wrong method.
-
-    Example: ``exception_handlers={litestar.exceptions.HTTPException: on_http, Exception: on_fault}``
-    """
+    """What litestar does with requests that it refuses itself: too large, no such path, wrong method."""
     known = {
         404: result.ResultCode.UNKNOWN_RESOURCE,
         405: result.ResultCode.READ_ONLY,
@@ -69,10 +60,7 @@
 
 
 def on_fault(_: litestar.Request, error: Exception) -> litestar.Response:
-    """What litestar does with an error that nobody foresaw; whether anything ran is not known.
-
-    Example: ``exception_handlers={Exception: on_fault}``
-    """
+    """What litestar does with an error that nobody foresaw; whether anything ran is not known."""
     LOG.error("a request met an unforeseen error: {!r}", error)
     return refusal_response(result.RequestError(result.ResultCode.INTERNAL, result.Ran.UNKNOWN))
 
@@ -89,10 +77,7 @@
 
 
 def condition_of(request: litestar.Request) -> control_state.Revision | None:
-    """The revision that If-Match names, if any; If-None-Match: * means that there is none yet.
-
-    Example: ``condition_of(request)``
-    """
+    """The revision that If-Match names, if any; If-None-Match: * means that there is none yet."""
     named = request.headers.get("if-match")
     if named is not None:
         return control_state.revision_of(named)
@@ -100,10 +85,7 @@
 
 
 def metrics_text(own: node.Node) -> bytes:
-    """The node's samples in the Prometheus text form.
-
-    Example: ``b"aspencroft_plan_current" in metrics_text(own)``
-    """
+    """The node's samples in the Prometheus text form."""
     families: dict[str, prometheus_client.core.Metric] = {}
     for one in own.samples():
         name = one.name.removesuffix("_total")
@@ -121,10 +103,7 @@
 
 
 def handlers(own: node.Node) -> list:
-    """The handlers that every node serves.
-
-    Example: ``litestar.Litestar(handlers(own))``
-    """
+    """The handlers that every node serves."""
 
     async def write(way: str, kind: str, name: str, request: litestar.Request) -> litestar.Response:
         raw = await request.body()
@@ -296,10 +275,7 @@
 
 
 def application(own: node.Node, more: list) -> litestar.Litestar:
-    """The whole HTTP face of a node.
-
-    Example: ``operator.application(own, [])``
-    """
+    """The whole HTTP face of a node."""
     return litestar.Litestar(
         [*handlers(own), *more],
         openapi_config=None,
--- a/aspencroft/node/settings.py
+++ b/aspencroft/node/settings.py
@@ -81,8 +81,6 @@
     ``bounds`` the time bounds of the deployment,
     against which the product's own times are checked at the start; ``memory_limit`` the bytes that this process may
     hold before its machine ends it, 0 where none is known.
-
-    Example: ``settings.read("node.toml")``
     """
 
     address: str
@@ -108,33 +106,21 @@
 
     @property
     def copies(self) -> int:
-        """How many disks hold each group.
-
-        Example: ``settings.copies == 2``
-        """
+        """How many disks hold each group."""
         return self.losses + 1
 
     @property
     def held(self) -> tuple[str, ...]:
-        """The sorts of groups that this node's disk may hold; none without a disk.
-
-        Example: ``settings.held == ("control", "talk")``
-        """
+        """The sorts of groups that this node's disk may hold; none without a disk."""
         return self.holds if self.data is not None else ()
 
     @property
     def pairs(self) -> int:
-        """The control pair and the talk pairs.
-
-        Example: ``settings.pairs == 5``
-        """
+        """The control pair and the talk pairs."""
         return 1 + self.talk_pairs
 
     def reloaded(self, fresh: "Settings") -> tuple["Settings", tuple[str, ...]]:
-        """These settings with what of newer ones may change while a node runs, and the names of what may not.
-
-        Example: ``merged, fixed = settings.reloaded(settings.read("node.toml"))``
-        """
+        """These settings with what of newer ones may change while a node runs, and the names of what may not."""
         changed = [one.name for one in dataclasses.fields(self) if getattr(self, one.name) != getattr(fresh, one.name)]
         taken = {name: getattr(fresh, name) for name in changed if name in CHANGEABLE}
         fixed = tuple(name for name in changed if name not in CHANGEABLE and name not in START_ONLY)
@@ -142,10 +128,7 @@
 
 
 def check(raw: dict) -> Settings:
-    """Checked settings, or BadSettings that lists every fault.
-
-    Example: ``check({"address": "127.0.0.1:7000", ...}).role``
-    """
+    """Checked settings, or BadSettings that lists every fault."""
     try:
         full = (SCHEMA_WITH_CORE if raw.get("witnesses") == CORE else SCHEMA)(raw)
     except voluptuous.MultipleInvalid as error:
@@ -177,10 +160,7 @@
 
 
 def read(path: str, flags: dict | None = None) -> Settings:
-    """Settings of a file, overruled by flags that were given.
-
-    Example: ``read("node.toml", {"area": "north"})``
-    """
+    """Settings of a file, overruled by flags that were given."""
     try:
         raw = tomllib.loads(pathlib.Path(path).read_text()) if path else {}
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -30,8 +30,6 @@
     ``apply``: from an acknowledgement until all nodes in touch act on it; ``drain``: from when a worker is listed as
     draining until nothing is sent to it; ``recovery``: from a full stop until requests are served; ``unsettled``: what
     an unsettled core may add to ``apply``.
-
-    Example: ``Bounds(contact=clock.seconds(3), apply=clock.seconds(2))``
     """
 
     contact: datetime.timedelta | None = None
@@ -44,10 +42,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Times:
-    """The product's intervals and timeouts in force.
-
-    Example: ``times_in_force(settings.currency, settings.confirm, node.APPLY, 2).lease``
-    """
+    """The product's intervals and timeouts in force."""
 
     heartbeat: datetime.timedelta
     silence: datetime.timedelta
@@ -75,8 +70,6 @@
 
         The last backup in turn takes over; one ballot has the old primary recorded out, a lease is asked for, the
         backups are made the same, and one that fails at that is recorded out by one ballot more.
-
-        Example: ``times.takeover() < clock.seconds(5)``
         """
         noticed = self.primary_silence + self.takeover_turn * max(self.members - 2, 0)
         ballot = 2 * self.ballot_ask
@@ -87,26 +80,18 @@
         """The longest time from a cut until a node in touch pulls from a relay that is in touch as well.
 
         The first parent is found silent or stale after one interval; each further one by its answer, or by none.
-
-        Example: ``times.new_parent() < clock.seconds(3)``
         """
         first = self.pull + max(self.pull_timeout, self.stale_parent)
         return first + self.pull_timeout * (STALE_PARENTS_IN_A_ROW - 1)
 
     def delivery(self) -> datetime.timedelta:
-        """The longest time that a configuration takes down the tree when every push is lost.
-
-        Example: ``times.delivery() < clock.seconds(2)``
-        """
+        """The longest time that a configuration takes down the tree when every push is lost."""
         return self.pull * RELAY_LEVELS
 
 
 @dataclasses.dataclass(frozen=True)
 class Inequality:
-    """A demand that the left side, in time, is no more than the right side.
-
-    Example: ``Inequality("lease renewal", renewal, "lease", lease).holds()``
-    """
+    """A demand that the left side, in time, is no more than the right side."""
 
     left_name: str
     left: datetime.timedelta
@@ -114,17 +99,11 @@
     right: datetime.timedelta
 
     def holds(self) -> bool:
-        """Whether it holds.
-
-        Example: ``inequality.holds()``
-        """
+        """Whether it holds."""
         return self.left <= self.right
 
     def text(self) -> str:
-        """The inequality with its figures.
-
-        Example: ``"a (0.5 s) <= b (2 s)"``
-        """
+        """The inequality with its figures."""
         left, right = (f"{span.total_seconds():g} s" for span in (self.left, self.right))
         return f"{self.left_name} ({left}) <= {self.right_name} ({right})"
 
@@ -132,10 +111,7 @@
 def times_in_force(
     currency: datetime.timedelta, confirm: datetime.timedelta | None, order_timeout: datetime.timedelta, members: int
 ) -> Times:
-    """The times that the modules use, with those that settings decide.
-
-    Example: ``times_in_force(clock.seconds(12), clock.seconds(0.25), clock.seconds(0.85), 3)``
-    """
+    """The times that the modules use, with those that settings decide."""
     return Times(
         heartbeat=failure_detector.BEAT,
         silence=failure_detector.SILENCE,
@@ -161,10 +137,7 @@
 
 
 def own_inequalities(times: Times) -> list[Inequality]:
-    """What must hold in every deployment.
-
-    Example: ``all(one.holds() for one in own_inequalities(times))``
-    """
+    """What must hold in every deployment."""
     found = [
         Inequality("lost heartbeats", LOST_HEARTBEATS * times.heartbeat, "silence before suspicion", times.silence),
         Inequality("renewal + one ask", times.renewal + times.ballot_ask, "lease", times.lease),
@@ -176,10 +149,7 @@
 
 
 def bound_inequalities(times: Times, bounds: Bounds) -> list[Inequality]:
-    """What a deployment's bounds demand; a bound that it does not name demands nothing.
-
-    Example: ``bound_inequalities(times, Bounds(drain=clock.seconds(3)))``
-    """
+    """What a deployment's bounds demand; a bound that it does not name demands nothing."""
     found: list[Inequality] = []
 
     def demand(name: str, left: datetime.timedelta, *allowed: tuple[str, datetime.timedelta | None]) -> None:
@@ -216,9 +186,6 @@
 
 
 def violations(times: Times, bounds: Bounds) -> tuple[str, ...]:
-    """The inequalities that do not hold, as text; none when the bounds can be met.
-
-    Example: ``violations(times, settings.bounds) == ()``
-    """
+    """The inequalities that do not hold, as text; none when the bounds can be met."""
     checked = own_inequalities(times) + bound_inequalities(times, bounds)
     return tuple(one.text() for one in checked if not one.holds())
--- a/aspencroft/platform_check/configuration_test.py
+++ b/aspencroft/platform_check/configuration_test.py
@@ -90,35 +90,23 @@
 
 
 def raw(document) -> bytes:
-    """A document's bytes.
-
-    Example: ``raw({})``
-    """
+    """A document's bytes."""
     return json.dumps(document).encode()
 
 
 def canonical(document) -> str:
-    """JSON in one form: the same for the same document, whatever the order of its fields.
-
-    Example: ``canonical({"b": 1, "a": 2})``
-    """
+    """JSON in one form: the same for the same document, whatever the order of its fields."""
     return json.dumps(document, sort_keys=True)
 
 
 class Operator:
-    """A control group's view, spoken to in the operator's documents.
-
-    Example: ``Operator().put(0, sample(1))``
-    """
+    """A control group's view, spoken to in the operator's documents."""
 
     def __init__(self):
         self.view = control_state.ControlState()
 
     def take(self, command):
-        """The reply, or the refusal's result.
-
-        Example: ``operator.take(configuration.whole(0, raw(sample(1))))``
-        """
+        """The reply, or the refusal's result."""
         try:
             events, reply = self.view.decide(command, NOW, 1)
         except result.RequestError as refusal:
@@ -128,24 +116,15 @@
         return reply
 
     def put(self, condition: int, document: dict):
-        """PUT.
-
-        Example: ``operator.put(0, sample(1))``
-        """
+        """PUT."""
         return self.take(configuration.whole(condition, raw(document)))
 
     def patch(self, condition: int, document: dict):
-        """PATCH.
-
-        Example: ``operator.patch(1, {"config-revision": 2})``
-        """
+        """PATCH."""
         return self.take(configuration.patch(condition, raw(document)))
 
     def get(self) -> dict:
-        """GET.
-
-        Example: ``operator.get()``
-        """
+        """GET."""
         return configuration.document_of(self.view.configuration.read())
 
 
@@ -396,10 +375,7 @@
 
 
 def patched(document: dict, change: dict) -> dict:
-    """A document after a PATCH, said plainly.
-
-    Example: ``patched({"route-list": []}, {"config-revision": 2})``
-    """
+    """A document after a PATCH, said plainly."""
     fresh = {**document, "config-revision": change["config-revision"]}
     for key, names in change.get("remove-names", {}).items():
         if key in fresh:
@@ -416,10 +392,7 @@
 
 
 def invalid(document: dict) -> bool:
-    """Whether a document breaks a rule of the pages, by looking at all of it.
-
-    Example: ``not invalid(sample(1))``
-    """
+    """Whether a document breaks a rule of the pages, by looking at all of it."""
     services = {one["name"] for one in document["service-list"]}
     places = [(one["host"].lower(), one["path-prefix"]) for one in document["route-list"]]
     for one in document["route-list"]:
--- a/aspencroft/platform_check/operator_api_test.py
+++ b/aspencroft/platform_check/operator_api_test.py
@@ -24,9 +24,8 @@
 def play(
     seed: int, acts, size: simulated_cluster.Size = SIZE, more: dict | None = None
 ) -> simulated_cluster.SimulatedCluster:
-    """A formed fleet with its control points served; under ``SURE`` an answer says that all nodes confirmed the order.
-
-    Example: ``play(1, acts)`` where ``acts`` takes a scene and operators
+    """A formed fleet with its control points served; under ``SURE`` an answer says that all nodes confirmed the
+    order.
     """
 
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
@@ -180,10 +179,7 @@
 
 
 def raced(seed: int) -> collections.Counter:
-    """Three operators, and the control group's primary hurt again and again; what came of it.
-
-    Example: ``raced(311)["200 True"]``
-    """
+    """Three operators, and the control group's primary hurt again and again; what came of it."""
     total = collections.Counter()
 
     async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
--- a/aspencroft/platform_check/operators.py
+++ b/aspencroft/platform_check/operators.py
@@ -33,17 +33,11 @@
     answers: list[int] = dataclasses.field(default_factory=list)
 
     def taken(self) -> bool:
-        """Whether any node acknowledged it, heard or not.
-
-        Example: ``order.taken()``
-        """
+        """Whether any node acknowledged it, heard or not."""
         return self.status == 200 or 200 in self.answers
 
     def refused(self) -> bool:
-        """Whether any node refused it, heard or not.
-
-        Example: ``order.refused()``
-        """
+        """Whether any node refused it, heard or not."""
         return any(400 <= status < 500 for status in (self.status, *self.answers))
 
 
@@ -57,10 +51,7 @@
 
 
 class ControlPoints:
-    """The control points of a scene's nodes, those of nodes that start later included.
-
-    Example: ``ControlPoints(one).serve()``
-    """
+    """The control points of a scene's nodes, those of nodes that start later included."""
 
     def __init__(self, one: simulated_cluster.SimulatedCluster, names: list[str]):
         self.scene = one
@@ -68,18 +59,12 @@
         self.applications: dict[int, object] = {}
 
     def serve(self) -> None:
-        """Put the points at their addresses.
-
-        Example: ``points.serve()``
-        """
+        """Put the points at their addresses."""
         for name in self.names:
             self.scene.wire.pages[f"{name}:{PORT}"] = (name, self.page(name))
 
     def page(self, name: str):
-        """The application of whichever run of a node lives.
-
-        Example: ``points.page("core-1")``
-        """
+        """The application of whichever run of a node lives."""
 
         async def answer(scope, receive, send) -> None:
             own = self.scene.nodes.get(name)
@@ -97,8 +82,6 @@
 
     ``hurt`` names nodes that are not held to answering in time, ``spans`` are the times of all other answers.
     ``loss`` is the share of answers to orders that are lost on their way.
-
-    Example: ``await Operators(one, random.Random(1), points).operate()``
     """
 
     def __init__(
@@ -124,10 +107,7 @@
     async def call(
         self, method: str, way: str, body: bytes = b"", headers: dict | None = None, name: str = ""
     ) -> httpx.Response | None:
-        """One call to one control point, none if there was only silence.
-
-        Example: ``await operators.call("GET", "/api/configuration")``
-        """
+        """One call to one control point, none if there was only silence."""
         name = name or self.chance.choice(self.points.names)
         began, hurt = self.scene.loop.time(), name in self.hurt
         try:
@@ -142,10 +122,7 @@
         return response
 
     async def send(self, order: Order) -> Order:
-        """Send an order until it gets a clear answer or patience is over.
-
-        Example: ``await operators.send(order)``
-        """
+        """Send an order until it gets a clear answer or patience is over."""
         self.orders.append(order)
         body = json.dumps(order.document).encode()
         pause, end = 0.1, self.scene.loop.time() + PATIENCE
@@ -167,10 +144,7 @@
         return order
 
     async def read(self) -> dict | None:
-        """Read until there is a clear answer or patience is over; none while there is no configuration.
-
-        Example: ``await operators.read()``
-        """
+        """Read until there is a clear answer or patience is over; none while there is no configuration."""
         end = self.scene.loop.time() + PATIENCE
         while self.scene.loop.time() < end:
             asked = self.scene.loop.time()
@@ -185,10 +159,7 @@
         return None
 
     def drawn(self, shown: dict | None) -> Order:
-        """An order upon what was read, now and then a faulty one.
-
-        Example: ``operators.drawn(None)``
-        """
+        """An order upon what was read, now and then a faulty one."""
         chance, now = self.chance, self.scene.loop.time()
         condition = shown["config-revision"] if shown else 0
         version = condition + chance.randint(1, 5)
@@ -222,29 +193,20 @@
         return Order(False, condition, version, document, now, valid=valid)
 
     async def operate(self) -> None:
-        """Read and order again and again.
-
-        Example: ``group.create_task(operators.operate())``
-        """
+        """Read and order again and again."""
         while not self.over:
             await self.send(self.drawn(await self.read()))
             await asyncio.sleep(self.chance.random() * 0.3)
 
     async def operate_in_pairs(self) -> None:
-        """Read, and send two orders at once on top of what was read, again and again.
-
-        Example: ``group.create_task(operators.operate_in_pairs())``
-        """
+        """Read, and send two orders at once on top of what was read, again and again."""
         while not self.over:
             shown = await self.read()
             await asyncio.gather(self.send(self.drawn(shown)), self.send(self.drawn(shown)))
             await asyncio.sleep(self.chance.random() * 0.3)
 
     async def watch(self) -> None:
-        """See that no node's version steps back within one life.
-
-        Example: ``group.create_task(operators.watch())``
-        """
+        """See that no node's version steps back within one life."""
         held: dict[int, int] = {}
         while not self.over:
             for name, own in self.scene.nodes.items():
@@ -256,10 +218,7 @@
 
 
 def applied(document: dict | None, order: Order) -> dict:
-    """The document after an order, said plainly.
-
-    Example: ``applied(None, order)``
-    """
+    """The document after an order, said plainly."""
     if order.whole:
         return order.document
     change = order.document
@@ -273,10 +232,7 @@
 
 
 def order_faults(orders: list[Order]) -> list[str]:
-    """What broke the rules of single orders, by all answers that any node gave, those that were lost included.
-
-    Example: ``order_faults(operators.orders) == []``
-    """
+    """What broke the rules of single orders, by all answers that any node gave, those that were lost included."""
     found = []
     bases: dict[int, Order] = {}
     numbers: dict[int, Order] = {}
@@ -299,9 +255,8 @@
 
 
 def faults(operators: Operators) -> list[str]:
-    """What broke the operators' rules: a won race that was lost, two winners, something invalid in force, an old read.
-
-    Example: ``faults(operators) == []``
+    """What broke the operators' rules: a won race that was lost, two winners, something invalid in force, an old
+    read.
     """
     found = [*operators.steps_back, *order_faults(operators.orders)]
     orders, reads = operators.orders, operators.reads
--- a/aspencroft/platform_check/order_races.py
+++ b/aspencroft/platform_check/order_races.py
@@ -22,10 +22,7 @@
 
 
 async def hurt(one: simulated_cluster.SimulatedCluster, asking: operators.Operators, chance: random.Random) -> str:
-    """Hurt the control group's primary once; what was done.
-
-    Example: ``await hurt(one, asking, random.Random(1))``
-    """
+    """Hurt the control group's primary once; what was done."""
     victim, how = one.leader(0) or one.cores[0], chance.choice(TROUBLES)
     asking.hurt.add(victim)
     if how == "freeze":
@@ -94,10 +91,7 @@
 
 
 class DrainOperator:
-    """Orders one machine to be drained until it hears a clear answer, and remembers all answers that nodes gave.
-
-    Example: ``await DrainOperator(asking, "storage-1", 0.7).order(12.0)``
-    """
+    """Orders one machine to be drained until it hears a clear answer, and remembers all answers that nodes gave."""
 
     def __init__(self, asking: operators.Operators, machine: str, loss: float):
         self.asking = asking
@@ -106,10 +100,7 @@
         self.answers: list[int] = []
 
     async def order(self, within: float) -> int:
-        """Send the order until a clear answer is heard; 0 when none was.
-
-        Example: ``await one.order(12.0)``
-        """
+        """Send the order until a clear answer is heard; 0 when none was."""
         loop = self.asking.scene.loop
         end = loop.time() + within
         while loop.time() < end:
@@ -122,10 +113,7 @@
         return 0
 
     async def completed(self, within: float) -> bool:
-        """Ask how far the machine is until it may be taken away.
-
-        Example: ``await one.completed(20.0)``
-        """
+        """Ask how far the machine is until it may be taken away."""
         loop = self.asking.scene.loop
         end = loop.time() + within
         while loop.time() < end:
--- a/aspencroft/power/machine_power.py
+++ b/aspencroft/power/machine_power.py
@@ -31,8 +31,6 @@
     report that the residency duty read afterwards shows nothing in flight. A machine that is needed stays on
     the list until it says that it is awake; the order to wake is said again each step until then, and while
     one does not wake another is woken besides. A new holder goes on from the list that was published.
-
-    Example: ``group.create_task(Rest(own, back).run())``
     """
 
     def __init__(self, own: node.Node, back: adapter.Adapter):
@@ -55,20 +53,14 @@
         self.counts = {"slept": 0, "woken": 0, "orders failed": 0}
 
     async def run(self) -> None:
-        """Compete for the duty and do it while it is held.
-
-        Example: ``group.create_task(rest.run())``
-        """
+        """Compete for the duty and do it while it is held."""
         async with supervision.Group() as group:
             group.create_task(supervision.stand("rest duty", self.duty.run, self.node.standing))
             group.create_task(supervision.stand("rest hear", self.hear, self.node.standing))
             group.create_task(supervision.stand("rest work", self.work, self.node.standing))
 
     async def hear(self) -> None:
-        """Take word from edges: how long workers worked, and which sleeping ones are needed.
-
-        Example: ``group.create_task(rest.hear())``
-        """
+        """Take word from edges: how long workers worked, and which sleeping ones are needed."""
         while True:
             message = await self.duty.words.get()
             if isinstance(message, messages.Called):
@@ -78,10 +70,7 @@
                 self.hurry.set()
 
     async def work(self) -> None:
-        """One step a second, at once when a sleeping machine is needed.
-
-        Example: ``group.create_task(rest.work())``
-        """
+        """One step a second, at once when a sleeping machine is needed."""
         while True:
             try:
                 async with clock.limit(STEP):
@@ -98,10 +87,7 @@
                 LOG.info("{}", refusal)
 
     def take_over(self, now: datetime.timedelta) -> None:
-        """Go on from the published list; a new holder first listens for a whole window.
-
-        Example: ``rest.take_over(now)``
-        """
+        """Go on from the published list; a new holder first listens for a whole window."""
         known = self.node.relay.topics.get(TOPIC)
         shown = json.loads(known.body) if known is not None else {}
         self.quiet, self.asleep = frozenset(shown.get("workers", ())), set(shown.get("asleep", ()))
@@ -110,10 +96,7 @@
         self.demands.clear()
 
     async def step(self, now: datetime.timedelta) -> None:
-        """Decide the list one step on, publish it, then wake or put to sleep.
-
-        Example: ``await rest.step(now)``
-        """
+        """Decide the list one step on, publish it, then wake or put to sleep."""
         if self.started == clock.ZERO:
             self.take_over(now)
         while self.served and now - self.served[0][0] > WINDOW:
@@ -132,10 +115,7 @@
         await self.publish()
 
     def decide(self, now: datetime.timedelta, targets: dict[str, worker.Worker], leaving: frozenset[str]) -> None:
-        """The quiet list one step on, and which machines are to be woken.
-
-        Example: ``rest.decide(now, targets, leaving)``
-        """
+        """The quiet list one step on, and which machines are to be woken."""
         worked = collections.Counter()
         for _, name, seconds in self.served:
             worked[name] += seconds
@@ -176,10 +156,7 @@
         self.quiet = (fresh - woken) | set(self.waking) | (self.asleep - names)
 
     async def wake(self, target: worker.Worker) -> None:
-        """Say that a machine is needed; it leaves the list once it says that it is awake.
-
-        Example: ``await rest.wake(target)``
-        """
+        """Say that a machine is needed; it leaves the list once it says that it is awake."""
         if not self.duty.held():
             return
         try:
@@ -199,10 +176,7 @@
             self.marks.pop(target.name, None)
 
     def emptied(self, name: str, now: datetime.timedelta) -> bool:
-        """Whether a machine had its time, and a report read after that shows nothing in flight.
-
-        Example: ``rest.emptied("m3", now)``
-        """
+        """Whether a machine had its time, and a report read after that shows nothing in flight."""
         known = self.node.relay.topics.get(residency.TOPIC)
         shown = json.loads(known.body) if known is not None else {}
         seen = shown.get("emptying", {}).get(name)
@@ -212,10 +186,7 @@
         return self.marks.setdefault(name, mark) != mark and seen["busy"] == 0
 
     async def put_to_sleep(self, target: worker.Worker) -> None:
-        """Let a machine sleep that was emptied.
-
-        Example: ``await rest.put_to_sleep(target)``
-        """
+        """Let a machine sleep that was emptied."""
         if not self.duty.held():
             return
         try:
@@ -227,10 +198,7 @@
             LOG.info("putting {} to sleep: {}", target.name, refusal)
 
     async def publish(self) -> None:
-        """Give the list to the root of the relay tree.
-
-        Example: ``await rest.publish()``
-        """
+        """Give the list to the root of the relay tree."""
         body = json.dumps(
             {
                 "holder": self.node.address,
--- a/aspencroft/power/sleeping_machines.py
+++ b/aspencroft/power/sleeping_machines.py
@@ -12,10 +12,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Machine:
-    """A machine that could sleep: its services, places, and the seconds it worked in the window.
-
-    Example: ``Machine("m1", ("planner",), 8, 3.5)``
-    """
+    """A machine that could sleep: its services, places, and the seconds it worked in the window."""
 
     name: str
     services: tuple[str, ...]
@@ -24,10 +21,7 @@
 
 
 def demand(machines: tuple[Machine, ...], window: datetime.timedelta) -> float:
-    """The share of the machines' places that was used in the window.
-
-    Example: ``demand(machines, moment.seconds(10))``
-    """
+    """The share of the machines' places that was used in the window."""
     places = sum(one.places for one in machines)
     return sum(one.worked for one in machines) / (places * window.total_seconds()) if places else 1.0
 
@@ -36,8 +30,6 @@
     """The demand expected once a machine that is woken now could serve: the last trend goes on.
 
     A falling demand is not trusted: the newest one is the least that is expected.
-
-    Example: ``forecast((0.2, 0.3), moment.seconds(1), moment.seconds(3))`` is about 0.6
     """
     if len(demands) < 2:
         return demands[-1] if demands else 0.0
@@ -56,8 +48,6 @@
     """The quiet list one step on: at most one machine more, or as many fewer as the demand asks for.
 
     Every service keeps a machine awake, and at least two stay awake in all. ``expected`` is the forecast.
-
-    Example: ``next_list(machines, frozenset(), frozenset(), window, calm=True, expected=0.1)``
     """
     awake = tuple(one for one in machines if one.name not in quiet)
     needed = max(demand(awake, window), expected)
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -14,8 +14,6 @@
     ``within`` is how long the caller waits from ``arrived`` on.
     Token counts are tokens; an empty text or zero means that the caller
     said nothing about it.
-
-    Example: ``Call("GET", "/a/b", "h.example", (), b"", "id", moment.seconds(1), moment.now())``
     """
 
     method: str
@@ -40,17 +38,11 @@
     resume_after: str = ""
 
     def end(self) -> datetime.timedelta:
-        """When the caller stops waiting, on the loop's clock.
-
-        Example: ``call.end() - moment.now()``
-        """
+        """When the caller stops waiting, on the loop's clock."""
         return self.arrived + self.within
 
     def path(self) -> str:
-        """The target without its query.
-
-        Example: ``Call("GET", "/a?b", ...).path() == "/a"``
-        """
+        """The target without its query."""
         return self.target.split("?", 1)[0]
 
 
@@ -61,8 +53,6 @@
     ``not_run`` is the worker's own word that it did not run the request;
     ``misdirected`` that another worker has the address.
     ``load`` is (running, waiting, slots) when it was told.
-
-    Example: ``Head(200, (), "id", False, False, None, False, "i-1")``
     """
 
     status: int
@@ -81,8 +71,6 @@
     """What a caller gets: a whole body, or parts of a stream as they come.
 
     A stream that raises was broken off, and must not look complete to the caller.
-
-    Example: ``Answer(200, (), b"whole", None)``
     """
 
     status: int
--- a/aspencroft/proxy/chains.py
+++ b/aspencroft/proxy/chains.py
@@ -8,10 +8,7 @@
 
 
 class Chains:
-    """A bounded memory of turns by the id of their attempt; the longest unused go first.
-
-    Example: ``chains.keep((turn,))``, ``chains.bytes_of(turn.attempt)``
-    """
+    """A bounded memory of turns by the id of their attempt; the longest unused go first."""
 
     def __init__(self, most: int = MOST_BYTES):
         self.most = most
@@ -19,10 +16,7 @@
         self.size = 0
 
     def keep(self, turns: tuple[entry.Turn, ...]) -> None:
-        """Take turns in.
-
-        Example: ``chains.keep(reply.chain)``
-        """
+        """Take turns in."""
         for one in turns:
             if one.attempt in self.turns:
                 self.turns.move_to_end(one.attempt)
@@ -34,10 +28,7 @@
             self.size -= len(gone.input) + len(gone.output)
 
     def line(self, attempt: str) -> list[entry.Turn] | None:
-        """A turn and those before it, the oldest first; none when one of them is not here.
-
-        Example: ``chains.line("turn")``
-        """
+        """A turn and those before it, the oldest first; none when one of them is not here."""
         found: list[entry.Turn] = []
         while attempt:
             one = self.turns.get(attempt)
@@ -49,17 +40,11 @@
         return found
 
     def holds(self, attempt: str) -> bool:
-        """Whether a turn's whole chain is here.
-
-        Example: ``chains.holds("turn")``
-        """
+        """Whether a turn's whole chain is here."""
         return self.line(attempt) is not None
 
     def bytes_of(self, attempt: str) -> bytes | None:
-        """The inputs and outputs of a turn's whole chain; none when a turn of it is not here.
-
-        Example: ``chains.bytes_of("turn")``
-        """
+        """The inputs and outputs of a turn's whole chain; none when a turn of it is not here."""
         found = self.line(attempt)
         if found is None:
             return None
--- a/aspencroft/proxy/choose.py
+++ b/aspencroft/proxy/choose.py
@@ -18,8 +18,6 @@
     ``load`` is requests running and waiting there; ``cold`` and ``doubtful`` workers are taken when no
     other has room; a ``crowded`` one turned a request away a moment ago. ``slowness`` is how many times as long as an
     idle worker it takes for an event, as far as that is known.
-
-    Example: ``Candidate("i-1", "north", 32, 3.0)``
     """
 
     name: str
@@ -46,10 +44,7 @@
         return self.slowness + self.fill()
 
     def room(self, share: float) -> bool:
-        """Whether one more request would stay within a share of the slots.
-
-        Example: ``Candidate("i-1", "north", 4, 2.0).room(0.75)``
-        """
+        """Whether one more request would stay within a share of the slots."""
         return not self.crowded and self.load < share * max(1, self.slots)
 
     def rank(self) -> int:
@@ -79,10 +74,7 @@
 
 
 def homes(part: str, instances: tuple[Candidate, ...]) -> list[Candidate]:
-    """The workers in the order in which they are a part's homes.
-
-    Example: ``homes("5c1e", candidates)[0].name``
-    """
+    """The workers in the order in which they are a part's homes."""
     return sorted(instances, key=lambda one: weight(part, one.name), reverse=True)
 
 
@@ -100,8 +92,6 @@
 
     A part has ``copies`` homes, over all zones. A home takes requests up to ``share`` of its slots; no worker is
     chosen whose load is ``most`` times its slots.
-
-    Example: ``choose(candidates, (("5c1e", 800),), "", "north", randomness).name``
     """
     if not instances:
         return Choice("", NONE, "no worker is there")
@@ -134,8 +124,6 @@
     taken there, as long prompts and answers cross no border then; then those elsewhere, then all up to the share.
     Among equals the lesser cost of two drawn by lot is taken: an edge knows little of what others send. Homes elsewhere
     that are clearly quicker come before those of the own zone: they hold the part for their own zone anyway.
-
-    Example: ``at_home(candidates, "5c1e", 0.75, "north", randomness, 3)``
     """
     order = homes(part, instances)
     near = [one for one in order if one.zone == zone]
@@ -171,10 +159,7 @@
 def drawn_home(
     side: list[Candidate], width: int, limit: float, rank: int, randomness: random.Random
 ) -> Candidate | None:
-    """The lesser cost of two drawn among the first homes of a rank that have room; none when no home has.
-
-    Example: ``drawn_home(near, 3, 0.375, 0, randomness)``
-    """
+    """The lesser cost of two drawn among the first homes of a rank that have room; none when no home has."""
     open_homes = [one for one in side if one.rank() == rank and one.room(limit)][:width]
     if not open_homes:
         return None
@@ -185,8 +170,6 @@
     """The less loaded of two workers drawn from each side of the zone's border.
 
     The first drawn, the zone's own, at equal loads.
-
-    Example: ``least(candidates, "north", randomness)``
     """
     best, near, far = 99, [], []
     for one in instances:
--- a/aspencroft/proxy/choose_test.py
+++ b/aspencroft/proxy/choose_test.py
@@ -8,27 +8,18 @@
 
 
 def workers(count: int, **named) -> tuple[choose.Candidate, ...]:
-    """So many equal workers in three zones.
-
-    Example: ``workers(3, load=2.0)``
-    """
+    """So many equal workers in three zones."""
     named = {"slots": 16, "load": 0.0, **named}
     return tuple(choose.Candidate(f"i-{number:03x}", "abc"[number % 3], **named) for number in range(count))
 
 
 def swap(found: tuple[choose.Candidate, ...], name: str, **named) -> tuple[choose.Candidate, ...]:
-    """The same workers, one of them changed.
-
-    Example: ``swap(found, "i-000", load=9.0)``
-    """
+    """The same workers, one of them changed."""
     return tuple(dataclasses.replace(one, **named) if one.name == name else one for one in found)
 
 
 def home_of(found, part: str, seed: int = 1, zone: str = "elsewhere") -> choose.Choice:
-    """The choice for a request that begins with a part, by an edge whose zone may have no worker.
-
-    Example: ``home_of(workers(3), "5c1e").name``
-    """
+    """The choice for a request that begins with a part, by an edge whose zone may have no worker."""
     return choose.choose(found, ((part, 800), (f"own {seed}", 90)), "", zone, random.Random(seed))
 
 
--- a/aspencroft/proxy/endings.py
+++ b/aspencroft/proxy/endings.py
@@ -13,10 +13,7 @@
 
 
 class Endings:
-    """Commands that end turns and keys; what cannot be told in time the group ends by its own timer.
-
-    Example: ``endings.offer(3, entry.CloseKey(...))``
-    """
+    """Commands that end turns and keys; what cannot be told in time the group ends by its own timer."""
 
     def __init__(self, own: node.Node):
         self.node = own
@@ -25,37 +22,25 @@
         self.counts: collections.Counter = collections.Counter()
 
     def offer(self, group: int, command) -> None:
-        """Queue a command; what finds no room is left to the group's timer.
-
-        Example: ``endings.offer(1, command)``
-        """
+        """Queue a command; what finds no room is left to the group's timer."""
         if self.rows[group].full():
             self.counts["left to the group"] += 1
         else:
             self.rows[group].put_nowait(command)
 
     def open(self) -> bool:
-        """Whether something is still to be told.
-
-        Example: ``while endings.open(): ...``
-        """
+        """Whether something is still to be told."""
         return self.under_way > 0 or any(not row.empty() for row in self.rows.values())
 
     async def run(self) -> None:
-        """All tellers.
-
-        Example: ``group.create_task(endings.run())``
-        """
+        """All tellers."""
         async with supervision.Group() as group:
             for number in self.rows:
                 for _ in range(TELLERS):
                     group.create_task(supervision.stand(f"endings {number}", self.teller(number), self.node.standing))
 
     def teller(self, number: int):
-        """The work of one teller of a group.
-
-        Example: ``await endings.teller(1)()``
-        """
+        """The work of one teller of a group."""
 
         async def work() -> None:
             while True:
--- a/aspencroft/proxy/events.py
+++ b/aspencroft/proxy/events.py
@@ -2,10 +2,7 @@
 
 
 class Reader:
-    r"""Counts the events of a stream and gathers their data; keeps only what is not ended yet and the data.
-
-    Example: ``reader = Reader()``, ``reader.feed(b"id: 1\\ndata: a\\n\\n")``, ``reader.count == 1``
-    """
+    r"""Counts the events of a stream and gathers their data; keeps only what is not ended yet and the data."""
 
     def __init__(self):
         self.pending = b""
@@ -15,10 +12,7 @@
         self.after_return = False
 
     def feed(self, part: bytes) -> None:
-        """Take bytes in as they come, cut anywhere.
-
-        Example: ``reader.feed(b"data: x")``
-        """
+        """Take bytes in as they come, cut anywhere."""
         if self.after_return and part.startswith(b"\n"):
             part = part[1:]
         self.after_return = part.endswith(b"\r") if part else self.after_return
@@ -28,10 +22,7 @@
             self.take_line(line)
 
     def take_line(self, line: bytes) -> None:
-        """Take one line in; an empty one ends an event, which counts when it has data.
-
-        Example: ``reader.take_line(b"data: x")``
-        """
+        """Take one line in; an empty one ends an event, which counts when it has data."""
         if not line:
             if self.lines:
                 self.count += 1
@@ -43,8 +34,5 @@
             self.lines.append(value[1:] if value.startswith(b" ") else value)
 
     def output(self) -> bytes:
-        r"""The data of each event, each with a line feed behind.
-
-        Example: ``reader.output() == b"a\\nb\\n"``
-        """
+        r"""The data of each event, each with a line feed behind."""
         return b"".join(one + b"\n" for one in self.data)
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -97,32 +97,20 @@
     hedged: bool = False
 
     def turn(self) -> bool:
-        """Whether the call is a turn that the talk groups count or keep.
-
-        Example: ``if passage.turn(): ...``
-        """
+        """Whether the call is a turn that the talk groups count or keep."""
         return self.route.kind == http_route.STREAM and bool(self.call.budget or self.route.retained)
 
     def repeatable(self) -> bool:
-        """Whether the work may be done more than once.
-
-        Example: ``passage.repeatable()``
-        """
+        """Whether the work may be done more than once."""
         return self.route.kind == http_route.SAFE
 
     def exhausted(self) -> bool:
-        """Whether the call was sent to as many workers as its route allows.
-
-        Example: ``if passage.exhausted(): raise refusal``
-        """
+        """Whether the call was sent to as many workers as its route allows."""
         return self.attempts.sent >= max(1, self.route.attempts)
 
 
 class Forwarder:
-    """The stages of one edge for opaque calls; each call is walked through them by the task of its connection.
-
-    Example: ``answer = await forwarder.take(call)``
-    """
+    """The stages of one edge for opaque calls; each call is walked through them by the task of its connection."""
 
     def __init__(self, own: node.Node, dialect: Dialect, known: instances.Instances, connections: pool.Pool):
         self.node = own
@@ -142,26 +130,17 @@
         own.sampled.append(self.samples)
 
     async def run(self) -> None:
-        """The standing work beside the calls: the ends of calls that nobody waits for.
-
-        Example: ``group.create_task(forwarder.run())``
-        """
+        """The standing work beside the calls: the ends of calls that nobody waits for."""
         await self.endings.run()
 
     # -- admit -----------------------------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Whether this edge should get new connections.
-
-        Example: ``forwarder.ready()``
-        """
+        """Whether this edge should get new connections."""
         return not self.node.stopping.is_set() and self.node.relay.current() and bool(self.instances.listed)
 
     def admit(self, one: call.Call) -> Passage:
-        """The call's route and time; refused, not run, when there is none or this edge cannot serve it.
-
-        Example: ``passage = forwarder.admit(call)``
-        """
+        """The call's route and time; refused, not run, when there is none or this edge cannot serve it."""
         self.counts["asked"] += 1
         if self.closed:
             raise result.RequestError(result.ResultCode.LEAVING, retry=SOON)
@@ -184,8 +163,6 @@
 
         An edge without any configuration cannot tell, nor one whose configuration was not confirmed lately: a newer
         one may have been acknowledged meanwhile.
-
-        Example: ``forwarder.knows_all_routes()``
         """
         relay = self.node.relay
         configured = bool(relay.plan.version or relay.plan.http_routes)
@@ -195,8 +172,6 @@
         """Hold a call for a part of its time while this edge, just started, learns the plan and the workers.
 
         The time is that of the route, as far as an older plan tells it.
-
-        Example: ``await forwarder.wait_for_plan(call)``
         """
         route = self.node.relay.plan.route_table.match(one.host, one.path())
         limit = clock.now() + (one.within if route is None else min(one.within, route.timeout)) * PART
@@ -210,10 +185,7 @@
                 self.waiting -= 1
 
     async def take(self, one: call.Call) -> call.Answer:
-        """Serve a call: an Answer, or a Refusal that says whether anything ran.
-
-        Example: ``answer = await forwarder.take(call)``
-        """
+        """Serve a call: an Answer, or a Refusal that says whether anything ran."""
         await self.wait_for_plan(one)
         passage = self.admit(one)
         self.active += 1
@@ -243,10 +215,7 @@
                 self.active -= 1
 
     def tell(self, passage: Passage, what: str, detail: str = "") -> None:
-        """Add a line to the call's story.
-
-        Example: ``forwarder.tell(passage, "chosen", "w1: home of its prefix")``
-        """
+        """Add a line to the call's story."""
         one = passage.call
         self.stories.add(one.attempt, passage.route.name, clock.now() - one.arrived, what, detail)
 
@@ -257,17 +226,12 @@
 
         A call that waits is tried all the time and goes on the moment the group serves; it leaves the caller time to
         come again.
-
-        Example: ``forwarder.patience(passage)``
         """
         left = passage.end - clock.now()
         return max(min(max(passage.route.aim, left * PART), left), clock.ZERO)
 
     async def ask_group(self, passage: Passage, group_key: str, command):
-        """Have a talk group decide a command; what no group can decide now is refused, not run.
-
-        Example: ``reply = await forwarder.ask_group(passage, "program", command)``
-        """
+        """Have a talk group decide a command; what no group can decide now is refused, not run."""
         try:
             return await self.node.submit(self.group_of(group_key), command, self.patience(passage))
         except result.RequestError as refusal:
@@ -276,17 +240,11 @@
             raise
 
     def group_of(self, key: str) -> int:
-        """The talk group of a program or operation key.
-
-        Example: ``forwarder.group_of("program") >= 1``
-        """
+        """The talk group of a program or operation key."""
         return path.pair_of(key, self.node.settings.talk_pairs)
 
     async def begin_turn(self, passage: Passage) -> None:
-        """Reserve the turn's output and learn its history; the call's body becomes the chain and the new input.
-
-        Example: ``await forwarder.begin_turn(passage)``
-        """
+        """Reserve the turn's output and learn its history; the call's body becomes the chain and the new input."""
         one, route = passage.call, passage.route
         previous = one.previous if route.retained else ""
         have = previous if previous and self.chains.holds(previous) else ""
@@ -325,10 +283,7 @@
         self.tell(passage, "turn begun", f"behind {previous or 'nothing'}")
 
     async def find_elsewhere(self, passage: Passage, turn: str) -> tuple[entry.Turn, ...]:
-        """A chain that another program's group keeps; unknown only when every group says so.
-
-        Example: ``chain = await forwarder.find_elsewhere(passage, "turn")``
-        """
+        """A chain that another program's group keeps; unknown only when every group says so."""
         mine = self.group_of(passage.program)
         found: list[entry.TurnFound] = []
         missed: list[int] = []
@@ -352,10 +307,7 @@
         raise result.RequestError(result.ResultCode.UNKNOWN_TURN, detail=turn)
 
     async def claim_key(self, passage: Passage) -> call.Answer | None:
-        """Claim the operation's key; the record's answer when it is another's.
-
-        Example: ``known = await forwarder.claim_key(passage)``
-        """
+        """Claim the operation's key; the record's answer when it is another's."""
         one = passage.call
         digest = hashlib.blake2b(
             b"\0".join([one.method.encode(), one.host.encode(), one.target.encode(), one.body]),
@@ -377,19 +329,13 @@
         raise result.RequestError(result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN, held.outcome)
 
     def key_of(self, one: call.Call) -> str:
-        """The operation's key within its tenant.
-
-        Example: ``forwarder.key_of(call)``
-        """
+        """The operation's key within its tenant."""
         return f"{one.tenant}\n{one.key}"
 
     # -- choose ----------------------------------------------------------------------------------
 
     def choose(self, passage: Passage) -> tuple[instance.Instance | None, str]:
-        """A worker for the call among those that the configuration in force allows now, and why.
-
-        Example: ``chosen, why = forwarder.choose(passage)``
-        """
+        """A worker for the call among those that the configuration in force allows now, and why."""
         route = self.node.relay.plan.http_routes.get(passage.route.name)
         if route is None or (route.host, route.prefix) != (passage.route.host, passage.route.prefix):
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=passage.route.name)
@@ -411,20 +357,14 @@
         return self.instances.listed.get(chosen.name), f"{service}: {chosen.reason}"
 
     def memory_and_slots(self, service: str) -> tuple[int, int]:
-        """The KV memory of one of a service's workers in tokens, and its slots; zeros when they aren't known.
-
-        Example: ``forwarder.memory_and_slots("chat") == (452_141, 12)``
-        """
+        """The KV memory of one of a service's workers in tokens, and its slots; zeros when they aren't known."""
         facts = self.node.relay.plan.services.get(service)
         if facts is None or facts.engine is None:
             return 0, 0
         return facts.engine.kv_tokens, facts.engine.slots
 
     async def place(self, passage: Passage) -> instance.Instance:
-        """A worker with a place for the call, waited for during a part of its aim.
-
-        Example: ``chosen = await forwarder.place(passage)``
-        """
+        """A worker with a place for the call, waited for during a part of its aim."""
         limit = clock.now() + min(passage.route.aim or passage.route.timeout, passage.end - clock.now()) / QUARTER
         while True:
             chosen, why = self.choose(passage)
@@ -447,10 +387,7 @@
     # -- forward ---------------------------------------------------------------------------------
 
     async def forward(self, passage: Passage) -> call.Answer:
-        """Send the call to workers until one answers, as often as its kind and its route allow.
-
-        Example: ``answer = await forwarder.forward(passage)``
-        """
+        """Send the call to workers until one answers, as often as its kind and its route allow."""
         if not passage.repeatable() or passage.route.attempts < 2 or not passage.route.aim:
             return await self.in_turn(passage)
         first = asyncio.ensure_future(self.in_turn(passage))
@@ -468,8 +405,6 @@
         The first to answer counts.
 
         Only work that may be repeated comes here, and the attempts that the route allows are shared.
-
-        Example: ``answer = await forwarder.hedge(passage, first)``
         """
         self.counts["hedged"] += 1
         passage.hedged = True
@@ -488,10 +423,7 @@
             await ended(second)
 
     async def in_turn(self, passage: Passage) -> call.Answer:
-        """Attempts one after the other.
-
-        Example: ``answer = await forwarder.in_turn(passage)``
-        """
+        """Attempts one after the other."""
         for _ in range(MOST_CHOICES):
             chosen = await self.place(passage)
             passage.at = chosen.name
@@ -507,10 +439,7 @@
         raise result.RequestError(result.ResultCode.PUT_BACK, retry=SOON)
 
     async def attempt(self, passage: Passage, chosen: instance.Instance) -> call.Answer:
-        """One attempt at one worker; whatever comes is counted for the choice of later ones.
-
-        Example: ``answer = await forwarder.attempt(passage, chosen)``
-        """
+        """One attempt at one worker; whatever comes is counted for the choice of later ones."""
         one = passage.call
         self.instances.begin(chosen.name)
         passage.attempts.in_flight += 1
@@ -545,8 +474,6 @@
 
         The call counts as sent and as possibly run from before its first byte until the pool or the worker says
         otherwise.
-
-        Example: ``response = await forwarder.send(passage, chosen, headers, 64)``
         """
         one, attempts = passage.call, passage.attempts
         if passage.exhausted():
@@ -572,9 +499,8 @@
             raise
 
     async def check_head(self, passage: Passage, response: pool.Response, head: call.Head) -> None:
-        """Raise unless the answer may go on to the caller: a worker declined the call, or it is unclear whether it ran.
-
-        Example: ``await forwarder.check_head(passage, response, head)``
+        """Raise unless the answer may go on to the caller: a worker declined the call, or it is unclear whether it
+        ran.
         """
         declined = head.misdirected or head.not_run
         if declined and (head.attempt or not response.reused or passage.repeatable()):
@@ -593,18 +519,12 @@
             raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, unclear)
 
     def release(self, chosen: instance.Instance) -> None:
-        """Give a worker's place back, and wake whoever waits for one.
-
-        Example: ``forwarder.release(chosen)``
-        """
+        """Give a worker's place back, and wake whoever waits for one."""
         self.instances.end(chosen.name)
         self.freed.set()
 
     async def dismiss(self, response: pool.Response, reuse: bool) -> None:
-        """Read the rest of an answer that is not handed on, so that its connection serves again if that is wanted.
-
-        Example: ``await forwarder.dismiss(response, reuse=True)``
-        """
+        """Read the rest of an answer that is not handed on, so that its connection serves again if that is wanted."""
         try:
             await response.read()
         except result.RequestError:
@@ -613,10 +533,7 @@
             await response.close(reuse)
 
     def heed(self, chosen: instance.Instance, head: call.Head) -> None:
-        """Take in what a worker's head tells of it.
-
-        Example: ``forwarder.heed(chosen, head)``
-        """
+        """Take in what a worker's head tells of it."""
         if head.load is not None:
             self.instances.told(chosen.name, *head.load)
         if head.misdirected:
@@ -631,10 +548,7 @@
     async def whole(
         self, passage: Passage, chosen: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
-        """A plain answer, read whole before any of it goes out.
-
-        Example: ``answer = await forwarder.whole(passage, chosen, response, head)``
-        """
+        """A plain answer, read whole before any of it goes out."""
         try:
             body = await response.read()
         except result.RequestError as refusal:
@@ -664,10 +578,7 @@
     async def begin_stream(
         self, passage: Passage, chosen: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
-        """Wait for the stream's first bytes, then hand the rest on as it comes.
-
-        Example: ``answer = await forwarder.begin_stream(passage, chosen, response, head)``
-        """
+        """Wait for the stream's first bytes, then hand the rest on as it comes."""
         parts = response.parts()
         try:
             first = await anext(parts, b"")
@@ -693,10 +604,7 @@
         parts: collections.abc.AsyncIterator[bytes],
         first: bytes,
     ) -> collections.abc.AsyncIterator[bytes]:
-        """The parts of a stream; it ends only once the turn is kept, and raises when it was broken off.
-
-        Example: ``async for part in forwarder.stream(...): ...``
-        """
+        """The parts of a stream; it ends only once the turn is kept, and raises when it was broken off."""
         reader, whole, watch = events.Reader(), False, pace.Stopwatch()
         try:
             reader.feed(first)
@@ -732,10 +640,7 @@
                 self.end_turn_later(passage, messages.UNKNOWN)
 
     async def end_turn(self, passage: Passage, chosen: instance.Instance, reader: events.Reader) -> None:
-        """Have the turn kept and charged, before its caller hears of its end.
-
-        Example: ``await forwarder.end_turn(passage, chosen, reader)``
-        """
+        """Have the turn kept and charged, before its caller hears of its end."""
         one, output = passage.call, reader.output()
         service = self.node.relay.plan.services.get(chosen.service)
         stride = service.engine.stride if service is not None and service.engine is not None else 1
@@ -762,10 +667,7 @@
     # -- close -----------------------------------------------------------------------------------
 
     def end_turn_later(self, passage: Passage, outcome: str) -> None:
-        """Have a turn that nobody waits for ended behind the answer.
-
-        Example: ``forwarder.end_turn_later(passage, speech.NOT_RUN)``
-        """
+        """Have a turn that nobody waits for ended behind the answer."""
         one = passage.call
         passage.begun = False
         self.endings.offer(
@@ -774,10 +676,7 @@
         )
 
     def give_up(self, passage: Passage) -> None:
-        """Free or charge what was begun for a call that failed.
-
-        Example: ``forwarder.give_up(passage)``
-        """
+        """Free or charge what was begun for a call that failed."""
         outcome = messages.UNKNOWN if passage.attempts.possibly_run else messages.NOT_RUN
         if passage.begun:
             self.end_turn_later(passage, outcome)
@@ -787,10 +686,7 @@
             self.endings.offer(self.group_of(key), entry.CloseKey(key, passage.call.attempt, outcome, 0, (), b""))
 
     async def drain(self) -> None:
-        """Serve on while callers are still handed to this edge, then refuse new calls and let the others end.
-
-        Example: ``await forwarder.drain()``
-        """
+        """Serve on while callers are still handed to this edge, then refuse new calls and let the others end."""
         began = clock.now()
         self.draining = True
         while clock.now() < began + GRACE:
@@ -800,10 +696,7 @@
                 return
 
     def samples(self) -> list[sample.Sample]:
-        """What the forwarding says of itself in numbers.
-
-        Example: ``forwarder.samples()[0].name``
-        """
+        """What the forwarding says of itself in numbers."""
         found = [
             sample.sample("aspencroft_calls_active", self.active),
             sample.sample("aspencroft_calls_asked_total", self.counts["asked"]),
@@ -818,10 +711,7 @@
 
 
 async def ended(task: asyncio.Task) -> None:
-    """Cancel a task if it still runs, and wait until it ended; what became of it is of no concern any more.
-
-    Example: ``await ended(task)``
-    """
+    """Cancel a task if it still runs, and wait until it ended; what became of it is of no concern any more."""
     task.cancel()
     await asyncio.wait((task,))
     if not task.cancelled():
@@ -829,10 +719,7 @@
 
 
 def draw_service(route: http_route.HttpRoute, randomness: random.Random) -> str:
-    """One of a route's services, by their weights.
-
-    Example: ``draw_service(route, around.randomness) in route.services()``
-    """
+    """One of a route's services, by their weights."""
     if len(route.targets) == 1:
         return route.targets[0].service
     return randomness.choices([one.service for one in route.targets], [one.weight for one in route.targets])[0]
--- a/aspencroft/proxy/instance.py
+++ b/aspencroft/proxy/instance.py
@@ -10,8 +10,6 @@
 
     ``cold`` is how much longer the worker was to be slow when the list was read;
     ``slots`` the requests it works on at once.
-
-    Example: ``Instance("i-1", "10.0.0.9:80", "chat", "north", "v1", 32, False, moment.ZERO)``
     """
 
     name: str
--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -38,10 +38,7 @@
     wrong_until: datetime.timedelta = clock.ZERO
 
     def load(self, now: datetime.timedelta) -> float:
-        """The load in requests: our own, and those of others as told, which count for less with age.
-
-        Example: ``known.load(moment.now())``
-        """
+        """The load in requests: our own, and those of others as told, which count for less with age."""
         others = self.told - self.told_running
         if self.told_at is None or others <= 0:
             return float(self.running)
@@ -49,10 +46,7 @@
 
 
 class Instances:
-    """An edge's knowledge of workers; nothing here is asked of a worker, all of it is met or heard.
-
-    Example: ``instances.take(found, moment.now()); instances.candidates("chat")``
-    """
+    """An edge's knowledge of workers; nothing here is asked of a worker, all of it is met or heard."""
 
     def __init__(self):
         self.listed: dict[str, instance.Instance] = {}
@@ -68,8 +62,6 @@
         """Take the platform's list as it was read at a time of the loop's clock; an older one is left.
 
         A worker that was seen draining stays so, whatever a list says that comes late.
-
-        Example: ``instances.take(found, moment.now())``
         """
         if self.seen_at is not None and seen_at < self.seen_at:
             return
@@ -90,31 +82,19 @@
             del self.known[name]
 
     def confirm(self, at: datetime.timedelta) -> None:
-        """The list taken last was still the platform's at this time.
-
-        Example: ``instances.confirm(moment.now())``
-        """
+        """The list taken last was still the platform's at this time."""
         self.fresh_at = at if self.fresh_at is None else max(self.fresh_at, at)
 
     def age(self) -> datetime.timedelta | None:
-        """How long ago the list was surely the platform's; none before the first.
-
-        Example: ``instances.age() > moment.seconds(2.5)``
-        """
+        """How long ago the list was surely the platform's; none before the first."""
         return None if self.fresh_at is None else clock.now() - self.fresh_at
 
     def of(self, service: str) -> tuple[instance.Instance, ...]:
-        """A service's workers that are neither draining nor gone.
-
-        Example: ``instances.of("chat")``
-        """
+        """A service's workers that are neither draining nor gone."""
         return tuple(one for one in self.services.get(service, ()) if not self.barred(one.name))
 
     def barred(self, name: str) -> bool:
-        """Whether no request may be sent to a worker at this moment: it is draining or gone.
-
-        Example: ``if instances.barred(name): choose again``
-        """
+        """Whether no request may be sent to a worker at this moment: it is draining or gone."""
         one = self.listed.get(name)
         if one is None or name in self.drained:
             return True
@@ -128,8 +108,6 @@
 
         Workers that are judged unsound are left out while any other is there. A request that is not
         ``repeatable`` is lost with the worker's failure, so suspects come after the others for it.
-
-        Example: ``choose.choose(instances.candidates("chat"), (), "", "north", randomness)``
         """
         now, found, held = clock.now(), [], []
         since = now - self.seen_at if self.seen_at is not None else clock.ZERO
@@ -161,37 +139,25 @@
         return tuple(found or held)
 
     def begin(self, name: str) -> None:
-        """A request is sent to a worker.
-
-        Example: ``instances.begin("i-1")``
-        """
+        """A request is sent to a worker."""
         self.known[name].running += 1
 
     def end(self, name: str) -> None:
-        """A request that was sent to a worker is over.
-
-        Example: ``instances.end("i-1")``
-        """
+        """A request that was sent to a worker is over."""
         known = self.known[name]
         known.running = max(0, known.running - 1)
         if not known.running and name not in self.listed:
             del self.known[name]
 
     def told(self, name: str, running: int, waiting: int, slots: int) -> None:
-        """A worker's answer told its load.
-
-        Example: ``instances.told("i-1", 3, 0, 8)``
-        """
+        """A worker's answer told its load."""
         known = self.known[name]
         known.told, known.told_running, known.told_at = running + waiting, known.running, clock.now()
         if slots > 0:
             known.slots = slots
 
     def load(self, name: str) -> float:
-        """A worker's load in requests: our own, and those of others as told, which count for less with age.
-
-        Example: ``instances.load("i-1") >= 0``
-        """
+        """A worker's load in requests: our own, and those of others as told, which count for less with age."""
         known = self.known.get(name)
         return known.load(clock.now()) if known is not None else 0.0
 
@@ -199,8 +165,6 @@
         """A worker answered a request, well or with a failure of its own (a kind of ``judgement``).
 
         Whatever the answer, the worker is there: what went wrong before in reaching it is forgiven.
-
-        Example: ``instances.answered("i-1", judgement.FAILED if status >= 500 else judgement.GOOD)``
         """
         known = self.known[name]
         known.failures = known.crowds = known.wrong = 0
@@ -216,8 +180,6 @@
 
         ``kind`` is what ``judgement.kind_of`` makes of the refusal; an empty one, or a late answer, leaves
         the worker as it is.
-
-        Example: ``instances.failed("i-1", judgement.kind_of(refusal))``
         """
         self.heard(name, kind)
         if kind in ("", judgement.LATE, judgement.STALE):
@@ -231,48 +193,33 @@
         known.barred_until = now + min(MOST_BAR, FIRST_BAR * 2 ** min(known.failures - 1, 16))
 
     def paced(self, name: str, seconds_an_event: float) -> None:
-        """A worker's stream came at this pace.
-
-        Example: ``instances.paced("i-1", 0.03)``
-        """
+        """A worker's stream came at this pace."""
         one = self.listed.get(name)
         if one is not None:
             self.paces.of(one.service).observe(name, one.zone, seconds_an_event, clock.now())
 
     def heard(self, name: str, kind: str) -> None:
-        """Count how a request ended at a worker for its judgement.
-
-        Example: ``instances.heard("i-1", judgement.BROKE)``
-        """
+        """Count how a request ended at a worker for its judgement."""
         one = self.listed.get(name)
         if one is not None:
             self.judgement.heard(one.service, name, kind, clock.now())
 
     def full(self, name: str) -> None:
-        """A worker turned a request away without running it: it is crowded for a moment.
-
-        Example: ``instances.full("i-1")``
-        """
+        """A worker turned a request away without running it: it is crowded for a moment."""
         known, now = self.known[name], clock.now()
         if known.crowded_until <= now:
             known.crowds += 1
         known.crowded_until = now + min(MOST_CROWD, FIRST_CROWD * 2 ** min(known.crowds - 1, 16))
 
     def leaving(self, name: str) -> None:
-        """A worker's answer closed its connection: several in a row say that it is leaving, so others come first.
-
-        Example: ``instances.leaving("i-1")``
-        """
+        """A worker's answer closed its connection: several in a row say that it is leaving, so others come first."""
         known = self.known[name]
         known.closes, known.closed = known.closes + 1, True
         if known.closes >= CLOSES:
             known.leaving_until = clock.now() + LEAVING
 
     def misdirected(self, name: str) -> None:
-        """Another worker has the address: this one is gone, unless the list goes on naming it for long.
-
-        Example: ``instances.misdirected("i-1")``
-        """
+        """Another worker has the address: this one is gone, unless the list goes on naming it for long."""
         known = self.known[name]
         known.wrong += 1
         known.wrong_until = clock.now() + MISDIRECTED * 2 ** min(known.wrong - 1, 8)
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -10,27 +10,18 @@
 
 
 def worker(name: str, service: str = "chat", draining: bool = False, cold: float = 0.0) -> instance.Instance:
-    """A worker of the list.
-
-    Example: ``worker("i-1", draining=True)``
-    """
+    """A worker of the list."""
     return instance.Instance(name, f"{name}:80", service, "a", "v1", 8, draining, clock.seconds(cold))
 
 
 def play(acts: collections.abc.Callable) -> None:
-    """Play a scene of one edge's knowledge in simulated time.
-
-    Example: ``play(acts)`` where ``acts(known)`` is a coroutine function
-    """
+    """Play a scene of one edge's knowledge in simulated time."""
     simulated = loop.SimLoop()
     simulated.run_until_complete(acts(instances.Instances()))
 
 
 def names(found) -> list[str]:
-    """The names alone.
-
-    Example: ``names(known.of("chat"))``
-    """
+    """The names alone."""
     return [one.name for one in found]
 
 
--- a/aspencroft/proxy/judgement.py
+++ b/aspencroft/proxy/judgement.py
@@ -32,10 +32,7 @@
 
 
 def kind_of(refusal: result.RequestError) -> str:
-    """How a request ended at a worker, by the pool's refusal; nothing when that tells nothing of the worker.
-
-    Example: ``kind_of(refusal) == judgement.BROKE``
-    """
+    """How a request ended at a worker, by the pool's refusal; nothing when that tells nothing of the worker."""
     if isinstance(refusal, pools.Lost) and refusal.reused:
         return STALE
     return {
@@ -55,10 +52,7 @@
 
 
 def worse(bad: float, total: float, rate: float) -> bool:
-    """Whether so many bad answers of so many are surely more than chance gives at the others' rate.
-
-    Example: ``worse(4.0, 10.0, 0.02)``
-    """
+    """Whether so many bad answers of so many are surely more than chance gives at the others' rate."""
     expected = total * rate
     return bad >= LEAST and bad / total >= WORST_SHARE and bad > expected + 3.0 * math.sqrt(expected) + 0.5
 
@@ -80,10 +74,7 @@
     reason: str = ""
 
     def fade(self, now: datetime.timedelta) -> None:
-        """Let what was counted count for less.
-
-        Example: ``record.fade(moment.now())``
-        """
+        """Let what was counted count for less."""
         if now > self.at:
             factor = math.exp(-((now - self.at) / WINDOW))
             self.good *= factor
@@ -92,17 +83,11 @@
             self.at = now
 
     def weight(self) -> float:
-        """Bad answers, by their weights.
-
-        Example: ``record.weight() == 0.0``
-        """
+        """Bad answers, by their weights."""
         return sum(WEIGHTS[kind] * count for kind, count in self.bad.items())
 
     def total(self) -> float:
-        """All answers.
-
-        Example: ``record.total() >= record.weight()``
-        """
+        """All answers."""
         return self.good + sum(self.bad.values())
 
 
@@ -111,8 +96,6 @@
 
     A worker that is worse than the others of its service gets nothing for a while; no more than a third of a
     service at once. It comes back by small shares of what it would get, and goes for longer if it fails again.
-
-    Example: ``judgement.heard("chat", "i-1", judgement.BROKE, moment.now())``
     """
 
     def __init__(self):
@@ -121,20 +104,14 @@
         self.counts = {"ejected": 0, "not ejected": 0, "returned": 0}
 
     def take(self, services: dict[str, frozenset[str]]) -> None:
-        """The workers that there are, by service; what is known of others is dropped.
-
-        Example: ``judgement.take({"chat": frozenset(("i-1", "i-2"))})``
-        """
+        """The workers that there are, by service; what is known of others is dropped."""
         self.services = services
         there = {name for names in services.values() for name in names}
         for name in [name for name in self.records if name not in there]:
             del self.records[name]
 
     def heard(self, service: str, name: str, kind: str, now: datetime.timedelta) -> None:
-        """A request ended at a worker, well or in one of the bad ways.
-
-        Example: ``judgement.heard("chat", "i-1", judgement.GOOD, moment.now())``
-        """
+        """A request ended at a worker, well or in one of the bad ways."""
         if name not in self.services.get(service, ()) or (kind != GOOD and kind not in WEIGHTS):
             return
         record = self.records.get(name)
@@ -151,10 +128,7 @@
         self.review(name, record, kind, now)
 
     def review(self, name: str, record: Record, kind: str, now: datetime.timedelta) -> None:
-        """Judge a worker after a bad answer; one that is alone is not judged.
-
-        Example: ``judgement.review("i-1", record, judgement.BROKE, moment.now())``
-        """
+        """Judge a worker after a bad answer; one that is alone is not judged."""
         if now < record.ejected_until or len(self.services[record.service]) < 2:
             return
         bad, total, rate = record.weight(), record.total(), self.rate(name, record.service, now)
@@ -177,10 +151,7 @@
         self.counts["ejected"] += 1
 
     def rate(self, name: str, service: str, now: datetime.timedelta) -> float:
-        """The share of bad answers that the other workers of a service give.
-
-        Example: ``judgement.rate("i-1", "chat", moment.now())``
-        """
+        """The share of bad answers that the other workers of a service give."""
         bad = total = 0.0
         for one in self.services.get(service, ()):
             record = self.records.get(one)
@@ -194,8 +165,6 @@
         """Whether a worker may get the next request, as far as judgement goes; it counts as asked.
 
         One that comes back gets its share of the requests that may be repeated.
-
-        Example: ``judgement.admits("i-1", True, moment.now())``
         """
         record = self.records.get(name)
         if record is None or record.share >= 1.0:
@@ -209,9 +178,8 @@
         return True
 
     def suspect(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
-        """Whether others should come first: it is bad but too many are, or it may be and the request is sent once only.
-
-        Example: ``judgement.suspect("i-1", False, moment.now())``
+        """Whether others should come first: it is bad but too many are, or it may be and the request is sent once
+        only.
         """
         record = self.records.get(name)
         if record is None:
@@ -225,10 +193,7 @@
         return bad / total > SUSPECT_SHARE + 2.0 * self.rate(name, record.service, now)
 
     def why(self, name: str, now: datetime.timedelta) -> str:
-        """What is held against a worker, in words; nothing when it is sound.
-
-        Example: ``judgement.why("i-1", moment.now())``
-        """
+        """What is held against a worker, in words; nothing when it is sound."""
         record = self.records.get(name)
         if record is None or (record.share >= 1.0 and not record.limited):
             return ""
--- a/aspencroft/proxy/judgement_test.py
+++ b/aspencroft/proxy/judgement_test.py
@@ -27,10 +27,7 @@
         self.most_out = 0
 
     async def run(self, seconds: float, rate: float = 30.0, repeatable: bool = True) -> None:
-        """Send requests for so long.
-
-        Example: ``await service.run(10)``
-        """
+        """Send requests for so long."""
         end = clock.now() + clock.seconds(seconds)
         while clock.now() < end:
             now = clock.now()
@@ -58,27 +55,18 @@
             self.most_out = max(self.most_out, sum(one.ejected_until > clock.now() for one in records))
 
     def share(self, name: str, since: float, until: float = 1e9) -> float:
-        """A worker's share of the requests sent in a time.
-
-        Example: ``service.share("i-0", 5)``
-        """
+        """A worker's share of the requests sent in a time."""
         sent = [who for at, who, _ in self.sent if since <= at < until]
         return sent.count(name) / max(1, len(sent))
 
     def bad(self, since: float) -> float:
-        """The share of requests that failed from a time on.
-
-        Example: ``service.bad(5)``
-        """
+        """The share of requests that failed from a time on."""
         found = [good for at, _, good in self.sent if at >= since]
         return 1 - sum(found) / max(1, len(found))
 
 
 def play(seed: int, count: int, fails: collections.abc.Callable, acts: collections.abc.Callable) -> Service:
-    """Play acts of a service in simulated time.
-
-    Example: ``play(1, 6, lambda name, now: (0.0, "lost"), acts)``
-    """
+    """Play acts of a service in simulated time."""
     simulated = loop.SimLoop()
     service = Service(seed, count, fails)
     simulated.run_until_complete(acts(service))
@@ -249,10 +237,7 @@
 
 
 def ejected(at: float) -> judgement.Judgement:
-    """A judgement of six workers that has just put ``i-3`` out.
-
-    Example: ``ejected(5.0).why("i-3", moment.seconds(5))``
-    """
+    """A judgement of six workers that has just put ``i-3`` out."""
     judged = judgement.Judgement()
     names = [f"i-{number}" for number in range(6)]
     judged.take({"chat": frozenset(names)})
@@ -264,10 +249,7 @@
 
 
 def admitted(judged: judgement.Judgement, at: float) -> int:
-    """How many of a hundred requests that may be repeated the worker would be let have.
-
-    Example: ``admitted(judged, 9.0) == 100``
-    """
+    """How many of a hundred requests that may be repeated the worker would be let have."""
     return sum(judged.admits("i-3", True, clock.seconds(at)) for _ in range(100))
 
 
--- a/aspencroft/proxy/pace.py
+++ b/aspencroft/proxy/pace.py
@@ -28,25 +28,16 @@
     at: datetime.timedelta
 
     def weight(self, now: datetime.timedelta, memory: datetime.timedelta) -> float:
-        """How much the estimate still counts, from 1 to 0.
-
-        Example: ``estimate.weight(clock.now(), WORKER_MEMORY)``
-        """
+        """How much the estimate still counts, from 1 to 0."""
         return math.exp(-((now - self.at) / memory))
 
     def faded(self, now: datetime.timedelta, memory: datetime.timedelta, prior: float) -> float:
-        """The estimate as it counts now, between its value and what is thought without it.
-
-        Example: ``estimate.faded(clock.now(), WORKER_MEMORY, 1.0)``
-        """
+        """The estimate as it counts now, between its value and what is thought without it."""
         return prior + (self.value - prior) * self.weight(now, memory)
 
 
 class ServicePace:
-    """One service's pace: that of an idle worker in seconds an event, and the slowness of zones and workers.
-
-    Example: ``pace.observe("i-1", "north", 0.03, clock.now())``
-    """
+    """One service's pace: that of an idle worker in seconds an event, and the slowness of zones and workers."""
 
     def __init__(self):
         self.idle = 0.0
@@ -54,10 +45,7 @@
         self.workers: dict[str, Estimate] = {}
 
     def observe(self, name: str, zone: str, seconds_an_event: float, now: datetime.timedelta) -> None:
-        """A worker's stream came at this pace.
-
-        Example: ``pace.observe("i-1", "north", 0.03, clock.now())``
-        """
+        """A worker's stream came at this pace."""
         if not self.idle:
             self.idle = seconds_an_event
         gain = IDLE_GAIN_DOWN if seconds_an_event < self.idle else IDLE_GAIN_UP
@@ -69,44 +57,29 @@
         self.workers[name] = Estimate(of_worker + GAIN * (slowness - of_worker), now)
 
     def of_zone(self, zone: str, now: datetime.timedelta) -> float:
-        """The slowness of a zone's workers as far as it is known.
-
-        Example: ``pace.of_zone("north", clock.now())``
-        """
+        """The slowness of a zone's workers as far as it is known."""
         known = self.zones.get(zone)
         return 1.0 if known is None else known.faded(now, ZONE_MEMORY, 1.0)
 
     def slowness(self, name: str, zone: str, now: datetime.timedelta) -> float:
-        """The slowness of a worker as far as it is known.
-
-        Example: ``pace.slowness("i-1", "north", clock.now()) >= 1.0``
-        """
+        """The slowness of a worker as far as it is known."""
         prior = self.of_zone(zone, now)
         known = self.workers.get(name)
         return prior if known is None else known.faded(now, WORKER_MEMORY, prior)
 
 
 class Paces:
-    """The paces of all services that an edge sends streams to.
-
-    Example: ``paces.of("chat").slowness("i-1", "north", clock.now())``
-    """
+    """The paces of all services that an edge sends streams to."""
 
     def __init__(self):
         self.services: dict[str, ServicePace] = collections.defaultdict(ServicePace)
 
     def of(self, service: str) -> ServicePace:
-        """One service's pace.
-
-        Example: ``paces.of("chat")``
-        """
+        """One service's pace."""
         return self.services[service]
 
     def take(self, services: dict[str, frozenset[str]]) -> None:
-        """The workers that there are, by service; what is known of others is dropped.
-
-        Example: ``paces.take({"chat": frozenset(("i-1",))})``
-        """
+        """The workers that there are, by service; what is known of others is dropped."""
         for service in [one for one in self.services if one not in services]:
             del self.services[service]
         for service, pace in self.services.items():
@@ -115,20 +88,14 @@
 
 
 class Stopwatch:
-    """Times the events of one stream, from the first that was seen to the last.
-
-    Example: ``watch.saw(reader.count)`` after each part, then ``watch.pace()``
-    """
+    """Times the events of one stream, from the first that was seen to the last."""
 
     def __init__(self):
         self.first: tuple[int, datetime.timedelta] | None = None
         self.last: tuple[int, datetime.timedelta] | None = None
 
     def saw(self, events: int) -> None:
-        """So many events have come by now.
-
-        Example: ``watch.saw(3)``
-        """
+        """So many events have come by now."""
         if not events or (self.last is not None and events == self.last[0]):
             return
         self.last = (events, clock.now())
@@ -136,10 +103,7 @@
             self.first = self.last
 
     def pace(self) -> float | None:
-        """Seconds an event; none when there were too few to tell.
-
-        Example: ``watch.pace() is None``
-        """
+        """Seconds an event; none when there were too few to tell."""
         if self.first is None or self.last is None or self.last[0] - self.first[0] < LEAST_GAPS:
             return None
         return (self.last[1] - self.first[1]).total_seconds() / (self.last[0] - self.first[0])
--- a/aspencroft/proxy/pace_test.py
+++ b/aspencroft/proxy/pace_test.py
@@ -10,10 +10,7 @@
 
 
 def play(acts: collections.abc.Callable) -> None:
-    """Play a scene in simulated time.
-
-    Example: ``play(acts)`` where ``acts(known)`` is a coroutine function
-    """
+    """Play a scene in simulated time."""
     loop.SimLoop().run_until_complete(acts(pace.ServicePace()))
 
 
--- a/aspencroft/proxy/working_set.py
+++ b/aspencroft/proxy/working_set.py
@@ -24,10 +24,7 @@
     programs: set[str]
 
     def shared(self) -> bool:
-        """Whether several programs use it.
-
-        Example: ``part.shared()``
-        """
+        """Whether several programs use it."""
         return len(self.programs) > 1
 
 
@@ -36,8 +33,6 @@
 
     ``tokens`` is the size of all, ``uses`` counts programs by part (at most ``MOST_PROGRAMS`` for each),
     ``single`` the parts that one program uses; ``own_tokens`` is the mean size of what belongs to one request.
-
-    Example: ``working_set.saw((("5c1e", 800), ("own", 40)), "program 1")``
     """
 
     def __init__(self):
@@ -49,10 +44,7 @@
         self.own_tokens = 0.0
 
     def saw(self, parts: tuple[tuple[str, int], ...], program: str) -> None:
-        """Take in the parts (name, tokens) of a program's prompt; the last is the request's own and isn't shared.
-
-        Example: ``working_set.saw(call.parts, "program 1")``
-        """
+        """Take in the parts (name, tokens) of a program's prompt; the last is the request's own and isn't shared."""
         now = clock.now()
         self.prompts += 1
         self.own_tokens += max(OWN_GAIN, 1 / self.prompts) * (parts[-1][1] - self.own_tokens)
@@ -66,18 +58,12 @@
             self.forget(next(iter(self.parts)))
 
     def keep(self, name: str, part: Part) -> None:
-        """Count a part as the one used last.
-
-        Example: ``working_set.keep("5c1e", part)``
-        """
+        """Count a part as the one used last."""
         self.parts[name] = part
         self.count(part, 1)
 
     def count(self, part: Part, sign: int) -> None:
-        """Add a part to the sums, or take it out.
-
-        Example: ``working_set.count(part, -1)``
-        """
+        """Add a part to the sums, or take it out."""
         self.tokens += sign * part.tokens
         self.uses += sign * len(part.programs)
         self.single += sign * (not part.shared())
@@ -87,8 +73,6 @@
 
         What share of the uses belongs to parts that are known is estimated by how many parts were met in one program
         only (I. J. Good, "The population frequencies of species", 1953); infinite while nothing was met twice.
-
-        Example: ``working_set.all_tokens() >= working_set.tokens``
         """
         known = 1.0 - self.single / self.uses if self.uses else 0.0
         return self.tokens / known if known > 0.0 else math.inf
@@ -98,8 +82,6 @@
 
         That is the last shared part, or else the first part. Who holds it holds those before it too, and what all
         prompts begin with would send them all to the same homes.
-
-        Example: ``working_set.home_parts((("system", 200), ("subject", 800), ("own", 40)), "program 1")``
         """
         if len(parts) < 2:
             return parts
@@ -111,18 +93,12 @@
         return parts
 
     def outdated(self, now: datetime.timedelta) -> bool:
-        """Whether the part longest unused is to be forgotten.
-
-        Example: ``working_set.outdated(clock.now())``
-        """
+        """Whether the part longest unused is to be forgotten."""
         oldest = next(iter(self.parts.values()))
         return len(self.parts) > MOST_PARTS or now - oldest.seen_at > IN_USE
 
     def forget(self, name: str) -> Part | None:
-        """Drop a part; what was known of it, if it was here.
-
-        Example: ``working_set.forget("5c1e")``
-        """
+        """Drop a part; what was known of it, if it was here."""
         part = self.parts.pop(name, None)
         if part is not None:
             self.count(part, -1)
@@ -133,8 +109,6 @@
 
         ``memory_tokens`` is one worker's KV memory in tokens, 0 when it isn't known. What requests in all ``slots``
         hold of their own is never given away; a share of the rest is for sessions between their turns.
-
-        Example: ``working_set.copies(workers=28, memory_tokens=452_141, slots=12)``
         """
         room = MEMORY_SHARE * max(0.0, memory_tokens - slots * self.own_tokens)
         all_tokens = self.all_tokens()
@@ -142,20 +116,14 @@
 
 
 class WorkingSets:
-    """The working sets of all services that an edge sends prompts to; those longest unused are forgotten first.
-
-    Example: ``working_sets.of("chat").tokens``
-    """
+    """The working sets of all services that an edge sends prompts to; those longest unused are forgotten first."""
 
     def __init__(self, most: int = MOST_SERVICES):
         self.most = most
         self.services: collections.OrderedDict[str, WorkingSet] = collections.OrderedDict()
 
     def of(self, service: str) -> WorkingSet:
-        """One service's working set.
-
-        Example: ``working_sets.of("chat")``
-        """
+        """One service's working set."""
         found = self.services.pop(service, None) or WorkingSet()
         self.services[service] = found
         while len(self.services) > self.most:
--- a/aspencroft/proxy/working_set_test.py
+++ b/aspencroft/proxy/working_set_test.py
@@ -10,26 +10,17 @@
 
 
 def play(acts: collections.abc.Callable) -> None:
-    """Play a scene in simulated time.
-
-    Example: ``play(acts)`` where ``acts(used)`` is a coroutine function
-    """
+    """Play a scene in simulated time."""
     loop.SimLoop().run_until_complete(acts(working_set.WorkingSet()))
 
 
 def prompt(subject: int, size: int = 12_600) -> tuple[tuple[str, int], ...]:
-    """A prompt's parts: a shared subject and its own tail.
-
-    Example: ``prompt(3)``
-    """
+    """A prompt's parts: a shared subject and its own tail."""
     return ((f"subject {subject}", size), (f"own {subject}", 1_680))
 
 
 def use(used: working_set.WorkingSet, parts, programs: int = 2) -> tuple[tuple[str, int], ...]:
-    """Have several programs use parts; the parts that the last one finds its homes by.
-
-    Example: ``use(used, prompt(1))``
-    """
+    """Have several programs use parts; the parts that the last one finds its homes by."""
     return [used.home_parts(parts, f"program {number}") for number in range(programs)][-1]
 
 
--- a/aspencroft/replication/append_patience.py
+++ b/aspencroft/replication/append_patience.py
@@ -20,42 +20,27 @@
 
 
 class AppendPatience:
-    """The slowest answer of late, fading, and the patience that follows from it; it's the most at the beginning.
-
-    Example: ``patience.answered(clock.seconds(0.02))``, then ``LEAST <= patience.limit() <= MOST``
-    """
+    """The slowest answer of late, fading, and the patience that follows from it; it's the most at the beginning."""
 
     def __init__(self):
         self.slowest = MOST / FACTOR
         self.at = clock.ZERO
 
     def begin(self) -> None:
-        """A primary begins: nothing is known yet, and after a stop of many machines all of them are busy.
-
-        Example: ``patience.begin()``
-        """
+        """A primary begins: nothing is known yet, and after a stop of many machines all of them are busy."""
         self.slowest, self.at = MOST / FACTOR, clock.now()
 
     def answered(self, took: datetime.timedelta) -> None:
-        """All backups answered after this time.
-
-        Example: ``patience.answered(clock.now() - began)``
-        """
+        """All backups answered after this time."""
         self.slowest = max(took, self.remembered())
         self.at = clock.now()
 
     def remembered(self) -> datetime.timedelta:
-        """The slowest answer of late, which counts for less with age.
-
-        Example: ``patience.remembered() < clock.seconds(1)``
-        """
+        """The slowest answer of late, which counts for less with age."""
         return self.slowest * math.exp(-((clock.now() - self.at) / MEMORY))
 
     def limit(self) -> datetime.timedelta:
-        """How long to wait for an answer.
-
-        Example: ``LEAST <= patience.limit() <= MOST``
-        """
+        """How long to wait for an answer."""
         return max(LEAST, min(MOST, FACTOR * self.remembered()))
 
     async def wait_for(self, asked: collections.abc.Collection[asyncio.Task]) -> None:
@@ -63,8 +48,6 @@
 
         After that the limit is doubled for a while, as the one that was too slow may be well and come back. Time in
         which this process itself stood still counts as one look: the answers may be here, unread.
-
-        Example: ``await patience.wait_for(tasks)``
         """
         began, limit = clock.now(), self.limit()
         waited, pending = clock.ZERO, set(asked)
--- a/aspencroft/replication/append_patience_test.py
+++ b/aspencroft/replication/append_patience_test.py
@@ -9,34 +9,22 @@
 
 
 class StallingLoop(loop.SimLoop):
-    """A simulated loop whose process may stand still: its clock goes on, nothing runs.
-
-    Example: ``StallingLoop().stalled += 1.5``
-    """
+    """A simulated loop whose process may stand still: its clock goes on, nothing runs."""
 
     stalled = 0.0
 
     def time(self) -> float:
-        """Simulated seconds, those of standing still too.
-
-        Example: ``stalling.time()``
-        """
+        """Simulated seconds, those of standing still too."""
         return super().time() + self.stalled
 
 
 def play(acts: collections.abc.Callable) -> None:
-    """Play a scene in simulated time.
-
-    Example: ``play(acts)`` where ``acts(patience)`` is a coroutine function
-    """
+    """Play a scene in simulated time."""
     StallingLoop().run_until_complete(acts(append_patience.AppendPatience()))
 
 
 async def asked(patience: append_patience.AppendPatience, *seconds: float) -> list[bool]:
-    """Ask backups that answer after so many seconds; which of them were given up.
-
-    Example: ``await asked(patience, 0.02, 9.0) == [False, True]``
-    """
+    """Ask backups that answer after so many seconds; which of them were given up."""
     tasks = [asyncio.ensure_future(asyncio.sleep(one)) for one in seconds]
     await patience.wait_for(tasks)
     await asyncio.wait(tasks)
--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -14,10 +14,7 @@
 
 
 class Backup:
-    """What a node does while it is a group's backup.
-
-    Example: ``await following.follow()``
-    """
+    """What a node does while it is a group's backup."""
 
     def __init__(self, own: group_state.GroupState, copies: log_shipping.LogShipping):
         self.own = own
@@ -25,9 +22,8 @@
         self.watched: replica_set.ReplicaId | None = None
 
     async def follow(self) -> None:
-        """Hold the backup's copy; take over once the primary is silent and its claim ran out, the first backup first.
-
-        Example: ``await following.follow()``
+        """Hold the backup's copy; take over once the primary is silent and its claim ran out, the first
+        backup first.
         """
         own = self.own
         if self.watched != own.known.primary:
@@ -56,8 +52,6 @@
         """Become the primary through the witnesses; only as a backup of the newest record.
 
         And only of the silent primary.
-
-        Example: ``await following.take_over(own.known)``
         """
         own = self.own
         if not await self.log_shipping.made_sure():
