--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -36,10 +36,7 @@
 
 
 class GroupReplica(group_state.GroupState):
-    """One group on one node.
-
-    Example: ``reply = await host.submit(command, moment.seconds(1))``
-    """
+    """One group on one node."""
 
     def __init__(
         self,
@@ -63,8 +60,6 @@
         A member whose disk refuses or hangs neither leads nor renews its lease for ``STEP_ASIDE``,
         which is longer than the
         lease and the silence after which a backup takes over.
-
-        Example: ``group.create_task(host.run())``
         """
         self.patience_end = clock.now() + PATIENCE
         if self.copy.holding is not None:
@@ -91,10 +86,7 @@
                 await clock.sleep(STEP_ASIDE)
 
     async def stand_by(self) -> None:
-        """Wait for a record that names this node; meanwhile let go of what it still holds of the group.
-
-        Example: ``await host.stand_by()``
-        """
+        """Wait for a record that names this node; meanwhile let go of what it still holds of the group."""
         self.why = "bystander"
         began = clock.now()
         while not self.changed.is_set():
@@ -110,8 +102,6 @@
 
         The copy is born anew under another identity, as one whose disk was lost: whoever should still count on it, by a
         ballot that is under way, finds that it is not the member that was meant.
-
-        Example: ``await host.release()``
         """
         standing = self.known
         if standing is None:
@@ -131,26 +121,17 @@
                 self.counts["released"] += 1
 
     async def submit(self, command, within: datetime.timedelta):
-        """Have a command decided, if this node is the primary; the reply comes once it is synced on all copies.
-
-        Example: ``reply = await host.submit(command, moment.seconds(1))``
-        """
+        """Have a command decided, if this node is the primary; the reply comes once it is synced on all copies."""
         return await self.serving.submit(command, within)
 
     def stands(self, message: messages.Ask) -> messages.Stands:
-        """As primary that serves: the record that stands, while no ballot is under way.
-
-        Example: ``host.stands(exchange.Ask(1, "a:1")).emptied``
-        """
+        """As primary that serves: the record that stands, while no ballot is under way."""
         if not self.claimed() or self.why != "serving" or self.balloting.locked():
             raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail=self.why, retry=group_state.COME_BACK)
         return messages.Stands(self.known, self.around.emptied(message.address))
 
     async def fetch(self, message: messages.Fetch) -> messages.Fetched:
-        """As a member of the same record: what this copy holds beyond that of one that just started.
-
-        Example: ``await host.fetch(exchange.Fetch(record, mark, identity))``
-        """
+        """As a member of the same record: what this copy holds beyond that of one that just started."""
         async with self.lock:
             if message.identity != self.copy.identity:
                 return messages.Fetched(None, (), True)
@@ -161,10 +142,7 @@
             return messages.Fetched(*self.copy.ahead_of(message.last, log_shipping.MEND_BYTES), False)
 
     async def append(self, message: messages.Append) -> messages.Appended:
-        """As backup: take entries that follow the last one; refuse lower epochs.
-
-        Example: ``await host.append(message)``
-        """
+        """As backup: take entries that follow the last one; refuse lower epochs."""
         async with self.lock:
             if self.known is None or message.holding.epoch > self.known.epoch:
                 self.learn(message.holding)
@@ -180,17 +158,11 @@
             return messages.Appended(self.copy.last())
 
     def compare(self, message: messages.Compare) -> messages.Compared:
-        """Identity and range digests of this copy.
-
-        Example: ``host.compare(exchange.Compare(0, 3)).marks``
-        """
+        """Identity and range digests of this copy."""
         return messages.Compared(self.copy.identity, self.copy.marks())
 
     async def repair(self, message: messages.Repair) -> messages.Appended:
-        """As candidate or backup: become like the primary's copy.
-
-        Example: ``await host.mend(message)``
-        """
+        """As candidate or backup: become like the primary's copy."""
         async with self.lock:
             self.check_repair(message)
             await self.copy.hold(message.holding)
@@ -200,19 +172,13 @@
             return messages.Appended(last)
 
     def check_repair(self, message: RepairStep) -> None:
-        """Refuse what is not from the primary of the newest record, or meant for another copy.
-
-        Example: ``host.check_repair(message)``
-        """
+        """Refuse what is not from the primary of the newest record, or meant for another copy."""
         self.learn(message.holding)
         if self.leading or message.identity != self.copy.identity or message.holding.epoch < self.known.epoch:
             raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not to be mended by that")
 
     async def begin_repair(self, message: messages.BeginRepair) -> replica_set.Acknowledged:
-        """As candidate or backup: from now on this copy is not whole before it holds the goal.
-
-        Example: ``await host.begin_repair(message)``
-        """
+        """As candidate or backup: from now on this copy is not whole before it holds the goal."""
         async with self.lock:
             self.check_repair(message)
             await self.copy.hold(message.holding)
@@ -220,19 +186,13 @@
             return replica_set.Acknowledged()
 
     def take_snapshot_part(self, message: messages.SnapshotPart) -> messages.SnapshotHeld:
-        """As candidate or backup: hold a part of a snapshot; the copy is what it was until all of it is installed.
-
-        Example: ``host.take_snapshot_part(message).held``
-        """
+        """As candidate or backup: hold a part of a snapshot; the copy is what it was until all of it is installed."""
         self.check_repair(message)
         self.heard = clock.now()
         return messages.SnapshotHeld(self.incoming.take(message))
 
     async def install_snapshot(self, message: messages.InstallSnapshot) -> messages.Appended:
-        """As candidate or backup: become what the parts of a snapshot show; asked again, say that it was done.
-
-        Example: ``await host.install_snapshot(message)``
-        """
+        """As candidate or backup: become what the parts of a snapshot show; asked again, say that it was done."""
         async with self.lock:
             self.check_repair(message)
             if self.copy.digest_at(message.sequence) != message.digest:
@@ -244,9 +204,6 @@
             return messages.Appended(self.copy.last())
 
     async def appoint(self, message: messages.Appoint) -> replica_set.Acknowledged:
-        """Hear at once of a record that names this node.
-
-        Example: ``await host.appoint(exchange.Appoint(record))``
-        """
+        """Hear at once of a record that names this node."""
         self.learn(message.holding)
         return replica_set.Acknowledged()
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -37,8 +37,6 @@
 
     ``copies`` is how many disks must hold what is answered, ``goal`` how many members the group is to have; ``records``
     are the newest records known here of all groups, ``payload_limit`` is how many bytes of callers' the group may hold.
-
-    Example: ``GroupPolicy(candidates, emptied, publish, gone, 2, lambda: 2, lambda: records, lambda: 24 << 20)``
     """
 
     candidates: collections.abc.Callable[[], tuple[replica_placement.Candidate, ...]]
@@ -52,10 +50,7 @@
 
 
 class GroupState:
-    """What all rooms of a node's part in a group share.
-
-    Example: ``part.claimed()``
-    """
+    """What all rooms of a node's part in a group share."""
 
     def __init__(
         self,
@@ -101,27 +96,18 @@
         self.patience_end = clock.ZERO
 
     def me(self) -> replica_set.ReplicaId:
-        """This node's member name in the group.
-
-        Example: ``part.me() == part.known.primary``
-        """
+        """This node's member name in the group."""
         return replica_set.ReplicaId(self.address, self.copy.identity)
 
     def learn(self, fresh: replica_set.ReplicaSet) -> None:
-        """Hear of a record of holders from anywhere; only a newer epoch counts.
-
-        Example: ``part.learn(record)``
-        """
+        """Hear of a record of holders from anywhere; only a newer epoch counts."""
         if self.known is None or fresh.epoch > self.known.epoch:
             self.known = fresh
             self.changed.set()
             self.around.publish(fresh)
 
     def claimed(self) -> bool:
-        """Whether this node may act as the primary at this moment.
-
-        Example: ``if not part.claimed(): raise ...``
-        """
+        """Whether this node may act as the primary at this moment."""
         tenure = record_changes.Tenure(self.leading, self.handing_over, self.lease_end, self.knows_chosen())
         return record_changes.may_serve(tenure, self.known, self.me(), clock.now())
 
@@ -130,53 +116,33 @@
 
         A witness may tell of a record that few accepted. Who served under it would leave out a backup that the chosen
         record names, and that may take over.
-
-        Example: ``part.knows_chosen()``
         """
         return self.chosen is not None and self.chosen_record == self.known
 
     def check_tenure(self) -> None:
-        """Stop at once when the newest record names another primary.
-
-        Example: ``part.check_tenure()``
-        """
+        """Stop at once when the newest record names another primary."""
         if self.known.primary != self.me():
             raise Deposed(f"epoch {self.known.epoch}")
 
     def check_disk(self) -> None:
-        """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead.
-
-        Example: ``part.check_disk()``
-        """
+        """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead."""
         if self.copy.stalled():
             raise DiskStalled(f"group {self.pair}: a write has not come back for long")
 
     def staying(self) -> tuple[replica_set.ReplicaId, ...]:
-        """The members that are neither emptied nor about to stop, nor giving their place to a better one.
-
-        Example: ``part.staying() == part.known.members()``
-        """
+        """The members that are neither emptied nor about to stop, nor giving their place to a better one."""
         return tuple(one for one in self.remaining() if one != self.moving)
 
     def remaining(self) -> tuple[replica_set.ReplicaId, ...]:
-        """The members that are neither emptied nor about to stop.
-
-        Example: ``part.remaining() == part.known.members()``
-        """
+        """The members that are neither emptied nor about to stop."""
         return tuple(one for one in self.known.members() if not self.around.emptied(one.address))
 
     def doubt(self, address: str) -> None:
-        """Try a node that failed last for a while, whatever membership thinks of it.
-
-        Example: ``part.doubt("a:1")``
-        """
+        """Try a node that failed last for a while, whatever membership thinks of it."""
         self.doubted[address] = clock.now() + DOUBT
 
     def doubts(self, address: str) -> bool:
-        """Whether a node failed lately.
-
-        Example: ``part.doubts("a:1")``
-        """
+        """Whether a node failed lately."""
         return self.doubted.get(address, clock.ZERO) > clock.now()
 
     async def ballot(
@@ -186,8 +152,6 @@
 
         Witnesses may have told of a record that was accepted by few and never chosen. Where the chosen one bears no
         higher epoch, it is given the next one, so that it is the newer one for everybody.
-
-        Example: ``await part.ballot(lambda standing: standing)``
         """
 
         def change(value: bytes) -> bytes:
--- a/aspencroft/replication/interrupted_write_test.py
+++ b/aspencroft/replication/interrupted_write_test.py
@@ -274,10 +274,7 @@
         self.before = before
 
     def synchronise(self, path) -> None:
-        """As on any disk, until the end.
-
-        Example: ``machine.synchronise(path)``
-        """
+        """As on any disk, until the end."""
         ending = self.end_at and self.counts["syncs"] + 1 >= self.end_at
         if ending and self.before:
             raise Ended
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -15,10 +15,7 @@
 
 
 class LogShipping:
-    """The sending side of a member: appending, comparing, mending.
-
-    Example: ``failed = await copying.append(standing, last, entries)``
-    """
+    """The sending side of a member: appending, comparing, mending."""
 
     def __init__(self, own: group_state.GroupState):
         self.own = own
@@ -29,10 +26,7 @@
     async def append(
         self, standing: replica_set.ReplicaSet, last: replica.Mark, entries: tuple[replica.Entry, ...]
     ) -> tuple[replica_set.ReplicaId, ...]:
-        """Sync entries here and on all backups at once; the backups whose copies are not the same then.
-
-        Example: ``failed = await copying.append(own.known, own.copy.last(), entries)``
-        """
+        """Sync entries here and on all backups at once; the backups whose copies are not the same then."""
         message = messages.Append(standing, last, entries)
         async with supervision.Group() as group:
             if entries:
@@ -43,9 +37,8 @@
         return tuple(one for one, task in sent.items() if task.cancelled() or task.result() != last_here)
 
     async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> replica.Mark | None:
-        """A backup's newest entry once it synced, or none; tried again while there is time, as it does no harm twice.
-
-        Example: ``mark = await copying.send(backup, message)``
+        """A backup's newest entry once it synced, or none; tried again while there is time, as it does no
+        harm twice.
         """
         end = clock.now() + APPEND
         while (left := end - clock.now()) > clock.ZERO:
@@ -62,8 +55,6 @@
         """Make all backups' copies the same as this one; those that failed.
 
         ``lost`` names those among them whose disk is known to have been lost.
-
-        Example: ``failed = await copying.agree(own.known)``
         """
         self.lost.clear()
         async with supervision.Group() as group:
@@ -71,10 +62,7 @@
         return tuple(one for one, task in mended.items() if not task.result())
 
     async def repair_member(self, peer: replica_set.ReplicaId) -> bool:
-        """Compare digests with a backup and mend it; whether its copy is now the same.
-
-        Example: ``same = await copying.mend_fellow(own.known.backups[0])``
-        """
+        """Compare digests with a backup and mend it; whether its copy is now the same."""
         own = self.own
         try:
             compared = await own.link.ask(peer.address, messages.Compare(own.pair, own.known.epoch), ANSWER)
@@ -89,10 +77,7 @@
             return False
 
     async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> replica.Mark:
-        """Send what the fellow lacks behind the last range on which the digests agree; its newest entry then.
-
-        Example: ``await copying.mend_from(fellow, compared)``
-        """
+        """Send what the fellow lacks behind the last range on which the digests agree; its newest entry then."""
         held = self.own.copy
         agreeing = [mark.sequence for mark in compared.marks if held.digest_at(mark.sequence) == mark.digest]
         snapshot = None if agreeing else held.snapshot
@@ -125,8 +110,6 @@
 
         Any one other member is enough, as each holds all that was answered. It goes on without one when all others lost
         their copies, or once patience is over. False while one is still waited for.
-
-        Example: ``if not await copying.made_sure(): return``
         """
         own = self.own
         if not own.unsure and not own.copy.incomplete():
@@ -145,10 +128,7 @@
         return False
 
     async def take_from(self, peer: replica_set.ReplicaId) -> bool | None:
-        """Take what a member holds beyond this copy; false when it does not answer, none when its copy is lost.
-
-        Example: ``await copying.take_from(own.known.primary)``
-        """
+        """Take what a member holds beyond this copy; false when it does not answer, none when its copy is lost."""
         own = self.own
         try:
             while True:
@@ -176,7 +156,5 @@
     As a backup it must: until its lease is over, the old primary may acknowledge an entry that this copy synced
     before its disk
     lost it, and that the member asked had not synced yet. One that leads was chosen after that lease was over.
-
-    Example: ``is_final(leading=True)``
     """
     return leading
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -40,10 +40,7 @@
 
 
 class Primary:
-    """What a node does while it is a group's primary.
-
-    Example: ``await serving.lead()``
-    """
+    """What a node does while it is a group's primary."""
 
     def __init__(
         self,
@@ -61,10 +58,7 @@
         self.touched = clock.ZERO
 
     async def submit(self, command, within: datetime.timedelta):
-        """Have a command decided by the primary; the reply comes once it is synced on all copies.
-
-        Example: ``reply = await serving.submit(command, moment.seconds(1))``
-        """
+        """Have a command decided by the primary; the reply comes once it is synced on all copies."""
         own = self.own
         if not own.claimed():
             raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail=own.why, retry=group_state.COME_BACK)
@@ -88,10 +82,7 @@
             ) from None
 
     async def lead(self) -> None:
-        """Claim, make the backups agree, then serve until deposed.
-
-        Example: ``await serving.lead()``
-        """
+        """Claim, make the backups agree, then serve until deposed."""
         own = self.own
         own.why = "claiming"
         await own.copy.hold(own.known)
@@ -116,10 +107,7 @@
             own.copy.settle_view()
 
     def abandon(self) -> None:
-        """Nobody is left without an answer when the primary is deposed.
-
-        Example: ``serving.abandon()``
-        """
+        """Nobody is left without an answer when the primary is deposed."""
         self.refuse_waiting(result.ResultCode.NOT_PRIMARY)
 
     async def renew(self) -> None:
@@ -128,8 +116,6 @@
         Once it failed, a claim of no length asks first whether answers come back:
         witnesses that hear this node and are not heard
         by it would else go on granting claims to a primary that can't use them, and keep its backups from taking over.
-
-        Example: ``group.create_task(serving.renew())``
         """
         own = self.own
         failed = False
@@ -156,18 +142,13 @@
         """Whether a refused lease calls for a ballot: a newer record was seen.
 
         Or a majority answered and the lease is over.
-
-        Example: ``serving.outdated(own.chosen, b"", True)``
         """
         own = self.own
         unchanged = own.chosen is used and not own.balloting.locked()
         return unchanged and bool(newest or (not own.claimed() and answered))
 
     async def settle_record(self, why: str) -> None:
-        """Have the record that stands chosen once more, and know it then.
-
-        Example: ``await serving.settle_record("no majority of witnesses grants the lease")``
-        """
+        """Have the record that stands chosen once more, and know it then."""
         own = self.own
         own.why = why
         try:
@@ -176,10 +157,7 @@
             LOG.info("pair {}: {}", own.pair, refusal)
 
     async def tick(self) -> None:
-        """Clock events of the view, decided like any command.
-
-        Example: ``group.create_task(serving.tick())``
-        """
+        """Clock events of the view, decided like any command."""
         own = self.own
         while True:
             await clock.sleep(BEAT)
@@ -200,8 +178,6 @@
 
         Or two at least when a look at all other nodes under this record found none that could hold a copy, as those
         are lost machines then, or when the disks of those that are missing are known to have been lost just now.
-
-        Example: ``serving.enough(own.known)``
         """
         copies, lost = self.own.around.copies, self.lost_disks
         if lost is not None and lost.excuse(standing, copies, group_state.LEAST, clock.now()):
@@ -209,10 +185,7 @@
         return record_changes.enough(standing, copies, group_state.LEAST, self.short)
 
     async def serve(self) -> None:
-        """Make the backups agree, then take batches of commands; recruit first whenever there are too few members.
-
-        Example: ``group.create_task(serving.serve())``
-        """
+        """Make the backups agree, then take batches of commands; recruit first whenever there are too few members."""
         own = self.own
         held_back: list[Decided] = []
         self.agreed = self.short = self.lost_disks = None
@@ -249,10 +222,7 @@
             self.leave_unclear(held_back)
 
     async def agree(self, standing: replica_set.ReplicaSet) -> None:
-        """Make the copies of all backups the same; those that fail are recorded out.
-
-        Example: ``await serving.agree(own.known)``
-        """
+        """Make the copies of all backups the same; those that fail are recorded out."""
         if not await self.log_shipping.made_sure():
             await clock.sleep(group_state.RETRY)
             return
@@ -267,10 +237,7 @@
             self.agreed = standing
 
     def answer(self, decided: list[Decided]) -> None:
-        """Hand out replies of what all replicas hold, if the lease still stands; else the outcome is unknown.
-
-        Example: ``serving.answer(decided)``
-        """
+        """Hand out replies of what all replicas hold, if the lease still stands; else the outcome is unknown."""
         if not self.own.claimed():
             self.leave_unclear(decided)
             return
@@ -284,30 +251,21 @@
         decided.clear()
 
     def leave_unclear(self, decided: list[Decided]) -> None:
-        """At the end of a tenure: what not all copies are known to hold is neither confirmed nor refused.
-
-        Example: ``serving.leave_unclear(decided)``
-        """
+        """At the end of a tenure: what not all copies are known to hold is neither confirmed nor refused."""
         for one in decided:
             if not one.submission.reply.done():
                 fail(one.submission.reply, unclear())
         decided.clear()
 
     def refuse_waiting(self, why: result.ResultCode) -> None:
-        """Commands that were not begun are refused at once, as while there is no backup.
-
-        Example: ``serving.refuse_waiting(result.Result.NO_BACKUP)``
-        """
+        """Commands that were not begun are refused at once, as while there is no backup."""
         while not self.submissions.empty():
             waiting = self.submissions.get_nowait()
             if not waiting.reply.done():
                 fail(waiting.reply, result.RequestError(why, retry=group_state.COME_BACK))
 
     async def take_batch(self) -> list[Submission]:
-        """The commands that wait, or none once it is time to show the backups a sign of life.
-
-        Example: ``batch = await serving.take_batch()``
-        """
+        """The commands that wait, or none once it is time to show the backups a sign of life."""
         try:
             async with clock.limit(BEAT):
                 batch = [await self.submissions.get()]
@@ -325,8 +283,6 @@
         ballot whose outcome was not known is finished: then the backups that synced may be none any more,
         and the batch waits
         until the members of the next record agree.
-
-        Example: ``await serving.one_batch(held_back)``
         """
         own = self.own
         batch = await self.take_batch()
@@ -366,10 +322,7 @@
         last: replica.Mark,
         held_back: list[Decided],
     ) -> tuple[replica.Entry, ...]:
-        """Have the view decide commands one after the other; the entries that come of it, folded already.
-
-        Example: ``entries = serving.decide(batch, own.known, own.copy.last(), held_back)``
-        """
+        """Have the view decide commands one after the other; the entries that come of it, folded already."""
         own = self.own
         entries: list[replica.Entry] = []
         for waiting in batch:
@@ -395,10 +348,7 @@
         return tuple(entries)
 
     async def drop(self, failed: collections.abc.Iterable[replica_set.ReplicaId]) -> None:
-        """Have the witnesses record backups out, before anything is answered without them.
-
-        Example: ``await serving.drop(failed)``
-        """
+        """Have the witnesses record backups out, before anything is answered without them."""
         own, gone = self.own, frozenset(failed)
         for one in gone:
             own.doubt(one.address)
@@ -411,19 +361,13 @@
 
 
 def unclear() -> result.RequestError:
-    """The answer to a command that was decided and may or may not last.
-
-    Example: ``raise unclear()``
-    """
+    """The answer to a command that was decided and may or may not last."""
     return result.RequestError(
         result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the lease ran out", group_state.COME_BACK
     )
 
 
 def fail(reply: asyncio.Future, refusal: result.RequestError) -> None:
-    """Refuse a submission; nobody need await the reply, as with clock events.
-
-    Example: ``fail(waiting.reply, result.Refusal(result.Result.NO_BACKUP))``
-    """
+    """Refuse a submission; nobody need await the reply, as with clock events."""
     reply.set_exception(refusal)
     reply.exception()
--- a/aspencroft/replication/record_changes.py
+++ b/aspencroft/replication/record_changes.py
@@ -10,10 +10,7 @@
 def take_over(
     standing: replica_set.ReplicaSet, me: replica_set.ReplicaId, silent: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
-    """A backup of the newest record becomes the primary, only in the place of the one that it found silent.
-
-    Example: ``take_over(standing, me, standing.primary).primary == me``
-    """
+    """A backup of the newest record becomes the primary, only in the place of the one that it found silent."""
     if me not in standing.backups or standing.primary != silent:
         return standing
     backups = tuple(one for one in standing.backups if one != me)
@@ -25,10 +22,7 @@
     me: replica_set.ReplicaId,
     gone: collections.abc.Collection[replica_set.ReplicaId],
 ) -> replica_set.ReplicaSet:
-    """The primary has some backups recorded out.
-
-    Example: ``without(standing, standing.primary, standing.backups).backups == ()``
-    """
+    """The primary has some backups recorded out."""
     if standing.primary != me or not set(gone) & set(standing.backups):
         return standing
     backups = tuple(one for one in standing.backups if one not in gone)
@@ -38,10 +32,7 @@
 def with_backup(
     standing: replica_set.ReplicaSet, me: replica_set.ReplicaId, peer: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
-    """The primary has a node whose copy is the same recorded as a backup.
-
-    Example: ``peer in with_backup(standing, standing.primary, peer).backups``
-    """
+    """The primary has a node whose copy is the same recorded as a backup."""
     if standing.primary != me or any(one.address == peer.address for one in standing.backups):
         return standing
     return dataclasses.replace(standing, epoch=standing.epoch + 1, backups=(*standing.backups, peer))
@@ -50,10 +41,7 @@
 def hand_over(
     standing: replica_set.ReplicaSet, me: replica_set.ReplicaId, heir: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
-    """The primary makes a backup the primary and stays as a backup.
-
-    Example: ``hand_over(standing, standing.primary, heir).primary == heir``
-    """
+    """The primary makes a backup the primary and stays as a backup."""
     if standing.primary != me or heir not in standing.backups:
         return standing
     backups = (*(one for one in standing.backups if one != heir), me)
@@ -64,8 +52,6 @@
     """The record to propose: with the next epoch where another one of no lower epoch is known here.
 
     Witnesses may have told of a record that was accepted by few and never chosen; a chosen one must be newer.
-
-    Example: ``distinct(standing, None) == standing``
     """
     if known is not None and fresh.epoch <= known.epoch and fresh != known:
         return dataclasses.replace(fresh, epoch=known.epoch + 1)
@@ -77,8 +63,6 @@
 
     ``copies`` must hold what is answered, or ``least`` of them when a look at all other nodes under this very record,
     ``short``, found none that could hold a copy, as those are lost machines then.
-
-    Example: ``enough(standing, 3, 2, None)``
     """
     count = len(standing.members())
     return count >= copies or (count >= least and short == standing)
@@ -95,19 +79,13 @@
     end: datetime.timedelta
 
     def excuse(self, standing: replica_set.ReplicaSet, copies: int, least: int, now: datetime.timedelta) -> bool:
-        """Whether a record names enough members, as those missing are losses that happened.
-
-        Example: ``lost.excuse(standing, 3, 2, clock.now())``
-        """
+        """Whether a record names enough members, as those missing are losses that happened."""
         count = len(standing.members())
         return standing == self.standing and now < self.end and count >= least and count + self.count >= copies
 
 
 def may_leave(staying: int, members: int, copies: int) -> bool:
-    """Whether members that are being drained may be recorded out: only while enough others hold the copy.
-
-    Example: ``may_leave(2, 3, 2)``
-    """
+    """Whether members that are being drained may be recorded out: only while enough others hold the copy."""
     return copies <= staying < members
 
 
@@ -134,8 +112,6 @@
     One that is handing over may not, whatever lease is granted to it meanwhile: witnesses drop that lease once they
     accept the next primary, which may lead before this one hears of it. One that was told of a record that it did
     not have chosen may not either: a record that few accepted can leave out a backup that may take over.
-
-    Example: ``may_serve(Tenure(True, False, end), standing, standing.primary, now)``
     """
     return (
         tenure.leading
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -88,10 +88,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Drawn:
-    """A picture in memory, in pieces: they share their bytes with the view. It is sent like a Picture.
-
-    Example: ``copy.Drawn(0, 0, copy.NO_DIGEST, ()).body == b""``
-    """
+    """A picture in memory, in pieces: they share their bytes with the view. It is sent like a Picture."""
 
     epoch: int
     sequence: int
@@ -100,24 +97,15 @@
 
     @property
     def body(self) -> bytes:
-        """All of it, copied together.
-
-        Example: ``view.restore(drawn.body)``
-        """
+        """All of it, copied together."""
         return b"".join(self.pieces)
 
     def size(self) -> int:
-        """Bytes.
-
-        Example: ``drawn.size() == len(drawn.body)``
-        """
+        """Bytes."""
         return sum(map(len, self.pieces))
 
     def values(self) -> collections.abc.Iterator[PicturePart | Pictured]:
-        """The picture as a disk holds it.
-
-        Example: ``[*drawn.values()][-1].sequence == drawn.sequence``
-        """
+        """The picture as a disk holds it."""
         count, waiting, size = 0, [], 0
         for piece in self.pieces:
             waiting.append(piece)
@@ -211,9 +199,8 @@
 
 
 def digest_after(digest: bytes, entry: Entry) -> bytes:
-    """The chained digest once an entry is added; SHA-256 takes a third of BLAKE2's time where processors help with it.
-
-    Example: ``digest_after(NO_DIGEST, Entry(1, 1, b"x"))``
+    """The chained digest once an entry is added; SHA-256 takes a third of BLAKE2's time where processors help with
+    it.
     """
     tag = struct.pack(">QQ", entry.epoch, entry.sequence)
     found = hashlib.sha256(digest + tag)
@@ -222,10 +209,7 @@
 
 
 class Replica:
-    """A pair's copy on this node's disk.
-
-    Example: ``copy = Copy(around, folder, make_view)``, ``await copy.open()``
-    """
+    """A pair's copy on this node's disk."""
 
     def __init__(
         self,
@@ -266,8 +250,6 @@
 
         An entry takes the place of an earlier one with its number: whoever wrote it did not hold that one. Earlier
         versions left such pairs when a write's caller was cancelled.
-
-        Example: ``await copy.open()``
         """
         self.kept, items, self.condition = await self.load()
         if self.condition is store.Condition.DAMAGED:
@@ -302,10 +284,7 @@
         self.refold()
 
     async def load(self) -> tuple[store.Store, tuple[store.Item, ...], store.Condition]:
-        """What the disk holds; tried again while the disk refuses, as there is nothing to be done without it.
-
-        Example: ``kept, items, condition = await copy.load()``
-        """
+        """What the disk holds; tried again while the disk refuses, as there is nothing to be done without it."""
         while True:
             try:
                 return await self.environment.disk.perform(store.load, self.folder, self.environment.disk)
@@ -314,27 +293,18 @@
             await clock.sleep(DISK_PAUSE)
 
     def replace_all(self, snapshot: Picture | Drawn) -> None:
-        """Hold a picture and nothing else.
-
-        Example: ``copy.replace_all(picture)``
-        """
+        """Hold a picture and nothing else."""
         self.snapshot = as_drawn(snapshot)
         self.picture_size = self.snapshot.size()
         self.entries, self.digests, self.held = [], [], 0
 
     def cut(self, places: slice) -> None:
-        """Let entries go.
-
-        Example: ``copy.cut(slice(0, 5))``
-        """
+        """Let entries go."""
         self.held -= sum(len(entry.body) + OF_AN_ENTRY for entry in self.entries[places])
         del self.entries[places], self.digests[places]
 
     def refold(self) -> None:
-        """Make the view anew from picture and entries; the picture shares the view's bytes from then on.
-
-        Example: ``copy.refold()``
-        """
+        """Make the view anew from picture and entries; the picture shares the view's bytes from then on."""
         self.view = self.make_view()
         if self.snapshot.pieces:
             self.view.restore(self.take_snapshot_body())
@@ -345,74 +315,50 @@
         self.view_at = self.last().sequence
 
     def take_snapshot_body(self) -> bytes:
-        """The snapshot's bytes in one piece; its pieces are let go of, as the view is made anew from these bytes.
-
-        Example: ``copy.view.restore(copy.take_snapshot_body())``
-        """
+        """The snapshot's bytes in one piece; its pieces are let go of, as the view is made anew from these bytes."""
         body = self.snapshot.body
         self.snapshot = dataclasses.replace(self.snapshot, pieces=())
         return body
 
     def fold(self, entry: Entry, event) -> None:
-        """Fold an entry's event into the view, which may run ahead of the entries while they are synced.
-
-        Example: ``copy.fold(entry, event)``
-        """
+        """Fold an entry's event into the view, which may run ahead of the entries while they are synced."""
         self.view.fold(event)
         self.view_at = entry.sequence
 
     def settle_view(self) -> None:
-        """At the end of a tenure: the view shows just the entries, and its clocks count for nothing.
-
-        Example: ``copy.settle_view()``
-        """
+        """At the end of a tenure: the view shows just the entries, and its clocks count for nothing."""
         if self.view_at == self.last().sequence:
             self.view.rest_clocks()
         else:
             self.refold()
 
     def remember(self, entry: Entry) -> None:
-        """Add an entry and its digest in memory.
-
-        Example: ``copy.remember(entry)``
-        """
+        """Add an entry and its digest in memory."""
         self.digests.append(digest_after(self.last().digest, entry))
         self.entries.append(entry)
         self.held += len(entry.body) + OF_AN_ENTRY
 
     def memory(self) -> ReplicaMemory:
-        """What this replica holds in memory.
-
-        Example: ``copy.memory().journal_bytes``
-        """
+        """What this replica holds in memory."""
         return ReplicaMemory(
             self.picture_size, self.held, len(self.entries), self.view.payload_bytes(), self.view.size()
         )
 
     def last(self) -> Mark:
-        """Sequence and digest of the newest entry.
-
-        Example: ``copy.last().sequence``
-        """
+        """Sequence and digest of the newest entry."""
         if self.entries:
             return Mark(self.entries[-1].sequence, self.digests[-1])
         return Mark(self.snapshot.sequence, self.snapshot.digest)
 
     def digest_at(self, sequence: int) -> bytes | None:
-        """The digest at a sequence, when the copy still knows it.
-
-        Example: ``copy.digest_at(copy.last().sequence) == copy.last().digest``
-        """
+        """The digest at a sequence, when the copy still knows it."""
         place = sequence - self.snapshot.sequence
         if place == 0:
             return self.snapshot.digest
         return self.digests[place - 1] if 0 < place <= len(self.digests) else None
 
     def beyond(self, previous: Mark, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-        """Those entries behind a mark that this copy has not yet; refused when the copies differ.
-
-        Example: ``copy.beyond(copy.last(), entries) == entries``
-        """
+        """Those entries behind a mark that this copy has not yet; refused when the copies differ."""
         ahead = self.last().sequence - previous.sequence
         present = tuple(self.entries[len(self.entries) - ahead :]) if ahead > 0 else ()
         if ahead < 0 or self.digest_at(previous.sequence) != previous.digest or present != entries[:ahead]:
@@ -425,8 +371,6 @@
         These are more than a primary has in flight, so that one of them is where two members of a record begin to
         differ:
         a repair never cuts a backup back below what was acknowledged.
-
-        Example: ``copy.marks()[-1] == copy.last()``
         """
         ends = [Mark(self.snapshot.sequence, self.snapshot.digest)]
         for place in range(RANGE - 1, len(self.entries), RANGE):
@@ -436,10 +380,7 @@
         return tuple(sorted(set(ends), key=lambda mark: mark.sequence))
 
     def ahead_of(self, mark: Mark, most: int) -> tuple[Drawn | None, tuple[Entry, ...]]:
-        """What this copy holds beyond a mark of another: entries of so many bytes, behind a picture if need be.
-
-        Example: ``copy.ahead_of(copy.last(), 1 << 20) == (None, ())``
-        """
+        """What this copy holds beyond a mark of another: entries of so many bytes, behind a picture if need be."""
         snapshot, place = None, mark.sequence - self.snapshot.sequence
         if place < 0:
             snapshot, place = self.snapshot, 0
@@ -454,17 +395,11 @@
         return snapshot, tuple(chosen)
 
     async def write(self, *values) -> None:
-        """Make values last on this disk, all or none; a cancellation waits until that is done.
-
-        Example: ``await copy.write(entry)``
-        """
+        """Make values last on this disk, all or none; a cancellation waits until that is done."""
         await uninterrupted.finish(self.write_items(tuple(map(stored, values))))
 
     async def write_items(self, items: tuple[store.Item, ...]) -> None:
-        """Append items to the generation in force, and to the one that is being written beside it.
-
-        Example: ``await copy.write_items(items)``
-        """
+        """Append items to the generation in force, and to the one that is being written beside it."""
         async with self.writing:
             self.write_began = clock.now()
             try:
@@ -475,25 +410,17 @@
                 self.meanwhile.extend(items)
 
     def stalled(self) -> bool:
-        """Whether a write has not come back for so long that another member had better be the primary.
-
-        Example: ``if copy.stalled(): ...``
-        """
+        """Whether a write has not come back for so long that another member had better be the primary."""
         return self.write_began is not None and clock.now() - self.write_began > STALLED
 
     async def write_entries(self, entries: tuple[Entry, ...]) -> None:
         """Make entries that follow the last one last, and remember them in the same step: what the disk holds and what
         memory holds never differ, also when the caller is cancelled.
-
-        Example: ``await copy.write_entries(entries)``
         """
         await uninterrupted.finish(self.write_and_remember(entries))
 
     async def write_and_remember(self, entries: tuple[Entry, ...]) -> None:
-        """The two steps of ``write_entries``.
-
-        Example: ``await copy.write_and_remember(entries)``
-        """
+        """The two steps of ``write_entries``."""
         await self.write_items(tuple(map(stored, entries)))
         for entry in entries:
             self.remember(entry)
@@ -502,8 +429,6 @@
         """Write and use a generation of a snapshot and entries, while the caller holds ``writing``.
 
         The older one stays in force if that fails. A snapshot that is being drawn is drawn in vain.
-
-        Example: ``await copy.rewrite(copy.snapshot, copy.entries)``
         """
         self.meanwhile = None
         fresh = self.successor()
@@ -516,18 +441,12 @@
         self.kept = fresh
 
     def successor(self) -> store.Store:
-        """The store of a new generation, whose number no other has.
-
-        Example: ``fresh = copy.successor()``
-        """
+        """The store of a new generation, whose number no other has."""
         self.newest = max(self.newest, self.kept.generation) + 1
         return self.kept.successor(self.newest)
 
     async def fill(self, fresh: store.Store, snapshot: Drawn, entries: list[Entry]) -> None:
-        """Write a picture and the entries behind it into a new generation, a bounded part at a time.
-
-        Example: ``await copy.fill(copy.successor(), copy.picture, copy.entries)``
-        """
+        """Write a picture and the entries behind it into a new generation, a bounded part at a time."""
         await self.environment.disk.perform(fresh.blank)
         waiting, size = [], 0
         for value in itertools.chain(
@@ -547,52 +466,35 @@
     async def hold(self, fresh: replica_set.ReplicaSet) -> None:
         """Make a newer record of holders last before acting under it; written twice, as a disk may lose its
         last synced value and no other copy need hold the same record.
-
-        Example: ``await copy.hold(record)``
         """
         if self.holding is None or fresh.epoch > self.holding.epoch:
             await uninterrupted.finish(self.write_record(fresh))
 
     async def write_record(self, fresh: replica_set.ReplicaSet) -> None:
-        """The two steps of ``hold``.
-
-        Example: ``await copy.write_record(record)``
-        """
+        """The two steps of ``hold``."""
         await self.write_items((stored(fresh), stored(fresh)))
         if self.holding is None or fresh.epoch > self.holding.epoch:
             self.holding = fresh
 
     async def append(self, entries: tuple[Entry, ...]) -> None:
-        """Take entries that follow the last one, make them last, then fold them.
-
-        Example: ``await copy.append(entries)``
-        """
+        """Take entries that follow the last one, make them last, then fold them."""
         await uninterrupted.finish(self.write_and_fold(entries))
 
     async def write_and_fold(self, entries: tuple[Entry, ...]) -> None:
-        """The steps of ``append``.
-
-        Example: ``await copy.write_and_fold(entries)``
-        """
+        """The steps of ``append``."""
         await self.write_and_remember(entries)
         for entry in entries:
             self.fold(entry, codec.untagged(entry.body))
 
     async def begin_repair(self, goal: RepairGoal) -> None:
-        """Make it last that this copy is not whole before it holds a mark, unless it holds that already.
-
-        Example: ``await copy.begin_repair(RepairGoal(mark.sequence, mark.digest))``
-        """
+        """Make it last that this copy is not whole before it holds a mark, unless it holds that already."""
         held = self.digest_at(goal.sequence) == goal.digest
         if goal != self.goal and not (held and self.goal is None):
             await self.write(goal)
             self.goal = goal
 
     def incomplete(self) -> bool:
-        """Whether a repair of this copy was begun and is not finished: it may lack what was acknowledged.
-
-        Example: ``if copy.incomplete(): ...``
-        """
+        """Whether a repair of this copy was begun and is not finished: it may lack what was acknowledged."""
         if self.goal is not None:
             past = self.goal.sequence < self.snapshot.sequence
             if past or self.digest_at(self.goal.sequence) == self.goal.digest:
@@ -607,18 +509,13 @@
         is being sent, as its receiver needs the entries behind it.
         Where the last snapshot is a while ago, fewer are enough:
         disk, start and catching up follow the state then, and not the changes of a whole day.
-
-        Example: ``if copy.grown(): ...``
         """
         if self.longer_than(COMPACT_ENTRIES, COMPACT_BYTES):
             return True
         return clock.now() >= self.rest_end and self.longer_than(RESTED_ENTRIES, RESTED_BYTES)
 
     def longer_than(self, entries: int, size: int) -> bool:
-        """Whether the entries are more than so many or so many bytes, and than half of the state.
-
-        Example: ``copy.longer_than(4000, 2 << 20)``
-        """
+        """Whether the entries are more than so many or so many bytes, and than half of the state."""
         times = WHILE_SENDING if self.sending else 1
         many = len(self.entries) >= times * max(entries, self.view.size() // 2)
         return many or self.held >= times * max(size, self.picture_size // 2)
@@ -628,8 +525,6 @@
 
         It is drawn behind the
         entries that come next, which are written meanwhile.
-
-        Example: ``copy.begin_picture()``
         """
         end = self.last()
         if self.drawing or not self.grown() or not self.entries or self.view_at != end.sequence:
@@ -642,19 +537,13 @@
         return True
 
     async def draw_pictures(self) -> None:
-        """Draw each picture that was begun.
-
-        Example: ``group.create_task(copy.draw_pictures())``
-        """
+        """Draw each picture that was begun."""
         while True:
             await self.wanted.wait()
             await self.finish_picture()
 
     async def compact(self) -> None:
-        """Replace the events by a picture when they are many.
-
-        Example: ``await copy.compact()``
-        """
+        """Replace the events by a picture when they are many."""
         if self.begin_snapshot():
             await self.finish_picture()
 
@@ -663,8 +552,6 @@
 
         And written beside
         the generation in force, which takes entries meanwhile; only its end holds them up.
-
-        Example: ``await copy.finish_picture()``
         """
         self.wanted.clear()
         if self.begun is None:
@@ -686,8 +573,6 @@
 
         Unless the copy
         was mended, which makes a generation of its own.
-
-        Example: ``await copy.use(picture, copy.meanwhile)``
         """
         fresh = self.successor()
         try:
@@ -709,24 +594,15 @@
             raise
 
     def holds_state(self) -> bool:
-        """Whether there is anything in this copy.
-
-        Example: ``Replica(...).holds_state()``
-        """
+        """Whether there is anything in this copy."""
         return bool(self.entries or self.snapshot.sequence)
 
     async def release(self) -> None:
-        """Hold nothing any more, under another identity: nobody may take this copy for one that holds what it held.
-
-        Example: ``await copy.release()``
-        """
+        """Hold nothing any more, under another identity: nobody may take this copy for one that holds what it held."""
         await uninterrupted.finish(self.begin_anew())
 
     async def begin_anew(self) -> None:
-        """The steps of ``release``: the disk first, so that a failed write leaves all as it was.
-
-        Example: ``await copy.begin_anew()``
-        """
+        """The steps of ``release``: the disk first, so that a failed write leaves all as it was."""
         async with self.writing:
             former, goal = self.identity, self.goal
             self.identity, self.goal = RELEASED + self.new_identity(), None
@@ -740,25 +616,16 @@
         allocator.return_free_pages()
 
     def new_identity(self) -> str:
-        """A name that no other store has.
-
-        Example: ``copy.new_identity()``
-        """
+        """A name that no other store has."""
         return format(self.environment.randomness.getrandbits(64), "016x")
 
     async def repair(self, through: int, snapshot: Picture | None, entries: tuple[Entry, ...]) -> Mark:
-        """Become like the primary: keep what agrees, drop what does not, add what is missing.
-
-        Example: ``mark = await copy.mend(120, None, entries)``
-        """
+        """Become like the primary: keep what agrees, drop what does not, add what is missing."""
         await uninterrupted.finish(self.replace_behind(through, snapshot, entries))
         return self.last()
 
     async def replace_behind(self, through: int, snapshot: Picture | Drawn | None, entries: tuple[Entry, ...]) -> None:
-        """The steps of ``repair``: the disk first, then memory, so that a failed write leaves both as they were.
-
-        Example: ``await copy.replace_behind(120, None, entries)``
-        """
+        """The steps of ``repair``: the disk first, then memory, so that a failed write leaves both as they were."""
         if snapshot is None and through == self.last().sequence:
             await self.write_and_remember(entries)
             if self.view_at == through:
@@ -785,10 +652,7 @@
 
 
 def as_drawn(snapshot: Picture | Drawn) -> Drawn:
-    """A snapshot in pieces.
-
-    Example: ``as_drawn(picture).size() == len(picture.body)``
-    """
+    """A snapshot in pieces."""
     if isinstance(snapshot, Drawn):
         return snapshot
     pieces = (snapshot.body,) if snapshot.body else ()
@@ -796,18 +660,12 @@
 
 
 def stored(value) -> store.Item:
-    """A value as the store holds it.
-
-    Example: ``stored(Identity("name"))``
-    """
+    """A value as the store holds it."""
     return store.Item(getattr(value, "epoch", 0), codec.tagged(value))
 
 
 async def drawn(parts: collections.abc.Iterator[bytes]) -> tuple[bytes, ...]:
-    """The pieces of a picture; the loop goes on between bounded numbers of them.
-
-    Example: ``await drawn(view.picture_parts())``
-    """
+    """The pieces of a picture; the loop goes on between bounded numbers of them."""
     pieces, since = [], 0
     for part in parts:
         pieces.append(part)
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -21,10 +21,7 @@
 
 
 class ReplicaChanges:
-    """A primary's search for members.
-
-    Example: ``taken = await recruiting.recruit()``
-    """
+    """A primary's search for members."""
 
     def __init__(self, own: group_state.GroupState, copies: log_shipping.LogShipping):
         self.own = own
@@ -37,8 +34,6 @@
     def order(self) -> list[replica_placement.Candidate]:
         """Candidates for a backup's place: those that failed lately last, areas without a member first, then those that
         hold the fewest replicas.
-
-        Example: ``recruiting.order()[0].area != own.area``
         """
         own = self.own
         members = {one.address for one in own.known.members()}
@@ -53,17 +48,11 @@
         return sorted(best_first, key=lambda one: own.doubts(one.address))
 
     def lacking(self) -> bool:
-        """Whether the group is to have more members than those that stay.
-
-        Example: ``recruiting.lacking()``
-        """
+        """Whether the group is to have more members than those that stay."""
         return len(self.own.staying()) < self.own.around.goal()
 
     async def add_replica(self, doubted: bool = True) -> bool:
-        """While nothing is served: find one node, make its copy the same, have it recorded as a backup.
-
-        Example: ``taken = await recruiting.recruit()``
-        """
+        """While nothing is served: find one node, make its copy the same, have it recorded as a backup."""
         for one in self.order():
             if not doubted and self.own.doubts(one.address):
                 continue
@@ -75,10 +64,7 @@
         return False
 
     async def prepare(self, one: replica_placement.Candidate, whole: bool = False) -> replica_set.ReplicaId | None:
-        """Make a candidate's copy the same as this one was a moment ago, or as it is now; none when that failed.
-
-        Example: ``fellow = await recruiting.prepare(candidate)``
-        """
+        """Make a candidate's copy the same as this one was a moment ago, or as it is now; none when that failed."""
         own = self.own
         try:
             compared = await own.link.ask(one.address, messages.Compare(own.pair, own.known.epoch), group_state.REPLY)
@@ -99,8 +85,6 @@
         Where it is not known whether the record names it, the tenure ends:
         the next one begins with a ballot that settles it.
         Until then nothing more may be answered, as that node would lack it and could take over.
-
-        Example: ``await recruiting.enlist(fellow)``
         """
         own = self.own
         if own.around.emptied(peer.address):
@@ -124,8 +108,6 @@
         """While the group is served: prepare a candidate whenever members are lacking.
 
         Serving admits it between two batches.
-
-        Example: ``group.create_task(recruiting.behind())``
         """
         while True:
             await clock.sleep(group_state.RETRY)
@@ -149,8 +131,6 @@
         """Have a member give its place to a better one, once that has been there for a while.
 
         The move itself goes the way of all changes: the better one is added first, then the other one recorded out.
-
-        Example: ``recruiting.balance()``
         """
         own = self.own
         if own.moving is not None or clock.now() < self.next_look:
@@ -172,8 +152,6 @@
         """The member that had better not be one: it is one too many, or a better place is free.
 
         None while members lack.
-
-        Example: ``recruiting.misplaced() is None``
         """
         own = self.own
         remaining = own.remaining()
@@ -191,19 +169,15 @@
         return move.leaving if move is not None else None
 
     def turn(self, leaving: replica_set.ReplicaId) -> int:
-        """How many groups of a lower number have a member on the same machine: they go first.
-
-        Example: ``recruiting.turn(own.me()) == 0``
-        """
+        """How many groups of a lower number have a member on the same machine: they go first."""
         return sum(
             record.pair < self.own.pair and any(one.address == leaving.address for one in record.members())
             for record in self.own.around.records()
         )
 
     async def admit(self) -> bool:
-        """Between two batches: send a prepared candidate the rest and have it recorded; whether the record changed so.
-
-        Example: ``changed = await recruiting.admit()``
+        """Between two batches: send a prepared candidate the rest and have it recorded; whether the record changed
+        so.
         """
         peer, self.ready = self.ready, None
         if peer is None:
@@ -222,8 +196,6 @@
         """Leave machines that are being emptied or stopped, or that another member took the place of.
 
         One step at a time, once enough others hold the copy. A primary hands its place to a backup that stays.
-
-        Example: ``await recruiting.move_away()``
         """
         own = self.own
         if own.moving is not None and own.moving not in own.known.members():
@@ -239,10 +211,7 @@
             await self.record_out(set(own.known.backups) - set(staying))
 
     async def record_out(self, leaving: set[replica_set.ReplicaId]) -> None:
-        """Have the witnesses record backups out that are to leave; tried again by the next call if that fails.
-
-        Example: ``await recruiting.record_out({own.known.backups[0]})``
-        """
+        """Have the witnesses record backups out that are to leave; tried again by the next call if that fails."""
         own = self.own
         try:
             await own.ballot(lambda standing: record_changes.without(standing, own.me(), leaving))
@@ -250,10 +219,7 @@
             LOG.info("pair {}: moving away: {}", own.pair, refusal)
 
     async def transfer_leadership(self, heir: replica_set.ReplicaId) -> None:
-        """Make a backup the primary and stay as a backup; it holds all that was answered.
-
-        Example: ``await recruiting.hand_over(own.known.backups[0])``
-        """
+        """Make a backup the primary and stay as a backup; it holds all that was answered."""
         own = self.own
         own.handing_over = True
         await own.ballot(lambda standing: record_changes.hand_over(standing, own.me(), heir))
--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -37,17 +37,11 @@
         self.cut_at = -1
 
     def bytes(self) -> int:
-        """What all files take now.
-
-        Example: ``disk.bytes()``
-        """
+        """What all files take now."""
         return sum(path.stat().st_size for path in self.folder.rglob("*") if path.is_file())
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """As on any disk; generations are complete at a synchronisation, before the older one goes.
-
-        Example: ``disk.synchronise(path)``
-        """
+        """As on any disk; generations are complete at a synchronisation, before the older one goes."""
         super().synchronise(path)
         if path.name in (store.CURRENT + ".fresh", "journal.dat"):
             self.peak = max(self.peak, self.bytes())
@@ -56,19 +50,13 @@
 
 
 def made(folder: pathlib.Path, disk: Disk) -> replica.Replica:
-    """A copy of talk group 1.
-
-    Example: ``made(tmp_path / "a", disk)``
-    """
+    """A copy of talk group 1."""
     around = environment.Environment(None, disk, None, disk.chance, None)
     return replica.Replica(around, folder, 1, lane_sessions.Talk)
 
 
 async def take(one: replica.Replica, command, now: datetime.timedelta) -> None:
-    """Have a command decided by a copy's view and its events appended, as a primary would.
-
-    Example: ``await take(one, command, now)``
-    """
+    """Have a command decided by a copy's view and its events appended, as a primary would."""
     events, _ = one.view.decide(command, now, 1)
     place = one.last().sequence
     await one.append(
@@ -77,10 +65,7 @@
 
 
 async def turn(one: replica.Replica, number: int, now: datetime.timedelta, size: int = INPUT) -> None:
-    """A kept turn of a chain of ten.
-
-    Example: ``await turn(one, 5, now)``
-    """
+    """A kept turn of a chain of ten."""
     program, previous = f"p{number // 10}", f"t{number - 1}" if number % 10 else ""
     await take(
         one,
@@ -92,27 +77,18 @@
 
 
 async def fill(one: replica.Replica, numbers: range, now: datetime.timedelta = clock.seconds(9)) -> None:
-    """Many turns at one moment.
-
-    Example: ``await fill(one, range(100))``
-    """
+    """Many turns at one moment."""
     for number in numbers:
         await turn(one, number, now)
 
 
 def run(main) -> None:
-    """Play a scene in simulated time.
-
-    Example: ``run(scene())``
-    """
+    """Play a scene in simulated time."""
     sim_loop.SimLoop().run_until_complete(main)
 
 
 def same(one: replica.Replica, other: replica.Replica) -> bool:
-    """Whether two copies show the same.
-
-    Example: ``same(one, again)``
-    """
+    """Whether two copies show the same."""
     return (one.last(), one.view.snapshot()) == (other.last(), other.view.snapshot())
 
 
--- a/aspencroft/replication/snapshot_transfer.py
+++ b/aspencroft/replication/snapshot_transfer.py
@@ -39,9 +39,8 @@
 
 
 class IncomingSnapshot:
-    """The parts of a snapshot that a member has received, in memory and apart from its copy until they are all there.
-
-    Example: ``held = incoming.take(part)``
+    """The parts of a snapshot that a member has received, in memory and apart from its copy until they are
+    all there.
     """
 
     def __init__(self):
@@ -51,10 +50,7 @@
         self.expiry: asyncio.TimerHandle | None = None
 
     def take(self, part: messages.SnapshotPart) -> int:
-        """Add a part that follows the last one; how many bytes of its transfer are held then.
-
-        Example: ``incoming.take(part) == part.offset + len(part.body)``
-        """
+        """Add a part that follows the last one; how many bytes of its transfer are held then."""
         if part.transfer != self.transfer:
             self.forget()
             self.transfer = part.transfer
@@ -67,19 +63,13 @@
         return self.size
 
     def whole(self, end: messages.InstallSnapshot) -> replica.Drawn:
-        """The snapshot; refused unless all of its bytes are held.
-
-        Example: ``incoming.whole(message).sequence == message.sequence``
-        """
+        """The snapshot; refused unless all of its bytes are held."""
         if end.transfer != self.transfer or end.size != self.size:
             raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="parts of the snapshot are missing")
         return replica.Drawn(end.epoch, end.sequence, end.digest, tuple(self.parts))
 
     def forget(self) -> None:
-        """Let all parts go.
-
-        Example: ``incoming.forget()``
-        """
+        """Let all parts go."""
         self.transfer, self.parts, self.size = 0, [], 0
 
 
@@ -92,20 +82,14 @@
 
 
 class SnapshotSender:
-    """The sending side.
-
-    Example: ``await sender.send(peer, own.copy.snapshot)``
-    """
+    """The sending side."""
 
     def __init__(self, own: group_state.GroupState):
         self.own = own
         self.current: Transfer | None = None
 
     def transfer_of(self, snapshot: replica.Drawn) -> Transfer:
-        """The transfer of this very snapshot; a later try or another receiver takes it up under the same number.
-
-        Example: ``sender.transfer_of(snapshot).number``
-        """
+        """The transfer of this very snapshot; a later try or another receiver takes it up under the same number."""
         if self.current is None or self.current.snapshot is not snapshot:
             number = self.own.copy.environment.randomness.getrandbits(62) + 1
             self.current = Transfer(number, snapshot)
@@ -115,8 +99,6 @@
         """Have a member hold the whole snapshot and install it; its newest entry then.
 
         Snapshots of this copy are held back meanwhile, so that the entries behind this one are there to be sent next.
-
-        Example: ``mark = await sender.send(peer, own.copy.snapshot)``
         """
         transfer = self.transfer_of(snapshot)
         self.own.copy.sending += 1
@@ -129,10 +111,7 @@
                 self.current = None if self.own.copy.snapshot is not snapshot else self.current
 
     async def send_parts(self, peer: replica_set.ReplicaId, transfer: Transfer) -> None:
-        """Send what the member does not hold of a transfer yet.
-
-        Example: ``await sender.send_parts(peer, transfer)``
-        """
+        """Send what the member does not hold of a transfer yet."""
         size = transfer.snapshot.size()
         held = await self.send_part(peer, transfer, 0, b"")
         while held < size:
@@ -142,10 +121,7 @@
                     break
 
     async def send_part(self, peer: replica_set.ReplicaId, transfer: Transfer, offset: int, body: bytes) -> int:
-        """Send one part, again after a broken connection; how many bytes the member holds then.
-
-        Example: ``held = await sender.send_part(peer, transfer, 0, b"")``
-        """
+        """Send one part, again after a broken connection; how many bytes the member holds then."""
         message = messages.SnapshotPart(self.own.known, peer.identity, transfer.number, offset, body)
         for _ in range(TRIES - 1):
             try:
@@ -157,10 +133,7 @@
         return (await self.own.link.ask(peer.address, message, PART_TIME)).held
 
     async def install(self, peer: replica_set.ReplicaId, transfer: Transfer) -> replica.Mark:
-        """Have the member replace its copy by the snapshot that it holds.
-
-        Example: ``mark = await sender.install(peer, transfer)``
-        """
+        """Have the member replace its copy by the snapshot that it holds."""
         snapshot, size = transfer.snapshot, transfer.snapshot.size()
         message = messages.InstallSnapshot(
             self.own.known,
--- a/aspencroft/residency/candidate.py
+++ b/aspencroft/residency/candidate.py
@@ -15,10 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """One thing that could stay in a worker's memory.
-
-    Example: ``Candidate(MODEL, "coder", 15_200_000_000, 0.9, moment.seconds(0.63), "")``
-    """
+    """One thing that could stay in a worker's memory."""
 
     kind: str
     name: str
@@ -29,34 +26,22 @@
 
     @property
     def value(self) -> float:
-        """Expected recovery work avoided, in seconds.
-
-        Example: ``candidate.value == candidate.chance * candidate.cost.total_seconds()``
-        """
+        """Expected recovery work avoided, in seconds."""
         return self.chance * self.cost.total_seconds()
 
     @property
     def density(self) -> float:
-        """Value for each byte.
-
-        Example: ``sorted(candidates, key=lambda one: -one.density)``
-        """
+        """Value for each byte."""
         return self.value / self.size
 
 
 def reload_cost(size: int, startup: datetime.timedelta) -> datetime.timedelta:
-    """Startup and transfer of so many bytes from the host.
-
-    Example: ``reload_cost(15_200_000_000, WEIGHT_STARTUP)`` is about 0.63 s.
-    """
+    """Startup and transfer of so many bytes from the host."""
     return startup + clock.seconds(size / BANDWIDTH)
 
 
 def recompute_cost(tokens: int) -> datetime.timedelta:
-    """Prefill anew, fitted to the paper's 0.18, 2.64 and 8.89 s at 2.7K, 27.5K and 61.8K tokens.
-
-    Example: ``recompute_cost(27_500)`` is about 2.64 s.
-    """
+    """Prefill anew, fitted to the paper's 0.18, 2.64 and 8.89 s at 2.7K, 27.5K and 61.8K tokens."""
     return clock.seconds(LINEAR * tokens + SQUARE * tokens * tokens)
 
 
--- a/aspencroft/residency/keep_plan.py
+++ b/aspencroft/residency/keep_plan.py
@@ -10,10 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeepPlan:
-    """What one worker is to hold, what it holds ready, and what is protected.
-
-    Example: ``KeepPlan("m1", ("model:coder",), (), (), 0)``: coder is wanted and not yet ready.
-    """
+    """What one worker is to hold, what it holds ready, and what is protected."""
 
     worker: str
     target: tuple[str, ...]
@@ -32,10 +29,7 @@
     restore: tuple[str, ...]
 
     def empty(self) -> bool:
-        """Whether there is nothing to order.
-
-        Example: ``Step((), (), (), ()).empty()``
-        """
+        """Whether there is nothing to order."""
         return not (self.release or self.offload or self.load or self.restore)
 
 
@@ -90,10 +84,7 @@
 
 
 def wanted_of(chosen: selection.Selection, protected: dict[str, int]) -> dict[str, int]:
-    """Names and sizes of the target set, protected things first, then by density.
-
-    Example: ``wanted_of(select(candidates, budget), {})``
-    """
+    """Names and sizes of the target set, protected things first, then by density."""
     wanted = dict(protected)
     for one in sorted(chosen.chosen, key=lambda single: -single.density):
         wanted[key(one.kind, one.name)] = one.size
--- a/aspencroft/residency/residency.py
+++ b/aspencroft/residency/residency.py
@@ -44,10 +44,7 @@
     busy: int = 0
 
     def take(self, report: adapter.Report, now: datetime.timedelta) -> None:
-        """Take a report, except for what was ordered so lately that the report may be older.
-
-        Example: ``belief.take(report, now)``
-        """
+        """Take a report, except for what was ordered so lately that the report may be older."""
         late = {name for name, end in self.ordered.items() if end > now}
         self.ordered = {name: end for name, end in self.ordered.items() if end > now}
         fresh = {one.name: one for one in report.kept if one.name not in late}
@@ -56,10 +53,7 @@
         self.reports, self.busy = self.reports + 1, sum(one.busy for one in report.kept)
 
     def ordered_now(self, step: keep_plan.Step, sizes: dict[str, int], now: datetime.timedelta) -> None:
-        """Believe that an order taken by the worker is under way.
-
-        Example: ``belief.ordered_now(step, sizes, now)``
-        """
+        """Believe that an order taken by the worker is under way."""
         for name in step.release:
             self.kept.pop(name, None)
         for name in step.offload:
@@ -72,10 +66,7 @@
 
 
 class Residency:
-    """The work of the duty's holder; all it knows is heard or read anew, so it may move at any time.
-
-    Example: ``group.create_task(Residency(own, back).run())``
-    """
+    """The work of the duty's holder; all it knows is heard or read anew, so it may move at any time."""
 
     def __init__(self, own: node.Node, back: adapter.Adapter):
         self.node = own
@@ -92,10 +83,7 @@
         self.counts = {"probes": 0, "orders": 0, "orders refused": 0, "intents": 0, "solved": 0}
 
     async def run(self) -> None:
-        """Compete for the duty; while it is held hear, probe, solve, order and publish.
-
-        Example: ``group.create_task(residency.run())``
-        """
+        """Compete for the duty; while it is held hear, probe, solve, order and publish."""
         async with supervision.Group() as group:
             group.create_task(supervision.stand("residency duty", self.duty.run, self.node.standing))
             group.create_task(supervision.stand("residency hear", self.hear, self.node.standing))
@@ -104,10 +92,7 @@
             group.create_task(supervision.stand("residency solve", self.solve, self.node.standing))
 
     async def hear(self) -> None:
-        """Take word from edges: calls served and intents locked.
-
-        Example: ``group.create_task(residency.hear())``
-        """
+        """Take word from edges: calls served and intents locked."""
         while True:
             message = await self.duty.words.get()
             now = clock.now()
@@ -120,10 +105,7 @@
                 self.note_served(message)
 
     def note_served(self, message: messages.Called) -> None:
-        """A served call shows that the worker holds the model, and the program's KV.
-
-        Example: ``residency.note_served(message)``
-        """
+        """A served call shows that the worker holds the model, and the program's KV."""
         service = self.node.relay.plan.services.get(message.service)
         belief = self.beliefs.get(message.worker)
         if service is None or belief is None or service.kind != worker.MODEL:
@@ -133,10 +115,7 @@
             belief.kept[name] = adapter.Kept(name, service.size, 0, keep_plan.DEVICE, 0)
 
     async def read_list(self) -> None:
-        """Read the platform's list while the duty is held.
-
-        Example: ``group.create_task(residency.read_list())``
-        """
+        """Read the platform's list while the duty is held."""
         while True:
             if self.duty.held() and self.node.settings.workers:
                 try:
@@ -146,10 +125,7 @@
             await clock.sleep(LIST)
 
     def models(self, state: str) -> list[worker.Worker]:
-        """The model workers that are not leaving, without those of the quiet list: all, or those asleep.
-
-        Example: ``residency.models("workers")``, ``residency.models("asleep")``
-        """
+        """The model workers that are not leaving, without those of the quiet list: all, or those asleep."""
         leaving = self.node.relay.plan.leaving
         held = self.node.relay.topics.get("quiet")
         without = json.loads(held.body).get(state, ()) if held is not None else ()
@@ -163,8 +139,6 @@
         """Read one worker's report at a time, on a budget: a report is priced as a probe.
 
         The rest duty reads none: what it must know of machines that it empties is published here.
-
-        Example: ``group.create_task(residency.probe())``
         """
         place = 0
         while True:
@@ -182,10 +156,7 @@
                 LOG.info("report of {}: {}", target.name, refusal)
 
     async def solve(self) -> None:
-        """Solve for every worker now and then, at once after an intent; order, then publish.
-
-        Example: ``group.create_task(residency.solve())``
-        """
+        """Solve for every worker now and then, at once after an intent; order, then publish."""
         while True:
             try:
                 async with clock.limit(RESOLVE):
@@ -207,10 +178,7 @@
             await self.publish()
 
     def decide(self, now: datetime.timedelta) -> list[tuple[worker.Worker, keep_plan.Step]]:
-        """The target set and next orders of each worker whose report was read.
-
-        Example: ``for target, step in residency.decide(now): ...``
-        """
+        """The target set and next orders of each worker whose report was read."""
         current = self.node.relay.plan
         allowed = frozenset(name for lane in current.lanes.values() for name in lane.services)
         services = tuple(sorted(name for name in allowed if current.services[name].kind == worker.MODEL))
@@ -237,10 +205,7 @@
         return steps
 
     def places(self, name: str, targets: list[worker.Worker]) -> dict[str, int]:
-        """Which copy of a model each worker would keep: holders first, then by an agreed lot.
-
-        Example: ``residency.places("coder", targets)["m1"] == 0``
-        """
+        """Which copy of a model each worker would keep: holders first, then by an agreed lot."""
 
         def rank(one: worker.Worker) -> tuple:
             belief = self.beliefs.get(one.name)
@@ -264,8 +229,6 @@
         """One worker's joint selection of models, adapters and parked KV beside what is protected.
 
         A model that other workers are to hold already counts for less here, as calls prefer holders.
-
-        Example: ``keep, sizes = residency.target(target, belief, current, chances, copies, now)``
         """
         protected = {
             name: one.size
@@ -312,19 +275,13 @@
         return keep, sizes
 
     def live(self, name: str, now: datetime.timedelta) -> bool:
-        """Whether parked KV belongs to a program that spoke just now.
-
-        Example: ``residency.live("kv:p1", now)``
-        """
+        """Whether parked KV belongs to a program that spoke just now."""
         kind, _, program = name.partition(":")
         session = self.signals.sessions.get(program) if kind == candidate.KV else None
         return session is not None and now - session.seen < LIVE
 
     async def order(self, target: worker.Worker, step: keep_plan.Step) -> None:
-        """Send one order under the duty's epoch; a worker that refuses the epoch ends the duty here.
-
-        Example: ``await residency.order(target, step)``
-        """
+        """Send one order under the duty's epoch; a worker that refuses the epoch ends the duty here."""
         if not self.duty.held():
             return
         self.number += 1
@@ -342,10 +299,7 @@
             belief.known = False
 
     async def publish(self) -> None:
-        """Give the keep plan to the root of the relay tree when it changed, or now and then.
-
-        Example: ``await residency.publish()``
-        """
+        """Give the keep plan to the root of the relay tree when it changed, or now and then."""
         workers = {
             name: {
                 "target": list(one.target),
@@ -372,10 +326,7 @@
 
 
 async def publish(own: node.Node, held: duty.Duty, topic: str, body: str) -> None:
-    """Give a topic's new state to the root, under a revision that grows with the duty's epoch.
-
-    Example: ``await publish(own, duty, "quiet", "{}")``
-    """
+    """Give a topic's new state to the root, under a revision that grows with the duty's epoch."""
     holders = own.ring.holdings.get(0)
     if holders is None or not held.held():
         return
--- a/aspencroft/residency/selection.py
+++ b/aspencroft/residency/selection.py
@@ -15,10 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Option:
-    """A legal choice for one model: what it keeps of the model and its adapters.
-
-    Example: ``Option(15, 0.6, (model,))``
-    """
+    """A legal choice for one model: what it keeps of the model and its adapters."""
 
     size: int
     value: float
@@ -27,10 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Selection:
-    """What is to stay, its size and value; whether what is protected alone is too much.
-
-    Example: ``select(candidates, budget).chosen``
-    """
+    """What is to stay, its size and value; whether what is protected alone is too much."""
 
     chosen: tuple[candidate.Candidate, ...]
     size: int
@@ -41,10 +35,7 @@
 def groups_of(
     weights: tuple[candidate.Candidate, ...], protected: frozenset[str], budget: int
 ) -> tuple[tuple[Option, ...], ...]:
-    """Legal options per model: an adapter only with its base, unless the base is protected.
-
-    Example: ``groups_of((model, adapter), frozenset(), budget)``
-    """
+    """Legal options per model: an adapter only with its base, unless the base is protected."""
     models = {one.name: one for one in weights if one.kind == candidate.MODEL}
     found = []
     for base in dict.fromkeys([*models, *[one.base for one in weights if one.kind == candidate.ADAPTER]]):
@@ -71,10 +62,7 @@
 
 
 def scale(singles: list[candidate.Candidate], budget: int) -> float:
-    """L: the better of the density prefix and the best single, at least half the optimum.
-
-    Example: ``scale(candidates, budget)``
-    """
+    """L: the better of the density prefix and the best single, at least half the optimum."""
     best = max((one.value for one in singles), default=0.0)
     room, prefix = budget, 0.0
     for one in sorted(singles, key=lambda single: -single.density):
@@ -86,10 +74,7 @@
 
 
 def compressed(high: list[candidate.Candidate], threshold: float) -> list[candidate.Candidate]:
-    """High-value KV by geometric value buckets, only the smallest of each bucket.
-
-    Example: ``compressed(high, threshold)``
-    """
+    """High-value KV by geometric value buckets, only the smallest of each bucket."""
     most = math.ceil(2 / THRESHOLD)
     growth = 1 / (1 - COMPRESSION)
     buckets: dict[int, list[candidate.Candidate]] = {}
@@ -99,10 +84,7 @@
 
 
 def frontier(groups: tuple[tuple[Option, ...], ...], unit: float, budget: int) -> list[Option]:
-    """For each rounded value the smallest set that reaches it, sizes exact.
-
-    Example: ``frontier(groups, 0.01, budget)``
-    """
+    """For each rounded value the smallest set that reaches it, sizes exact."""
     states: dict[int, tuple[int, float, tuple]] = {0: (0, 0.0, ())}
     for options in groups:
         fresh = dict(states)
@@ -120,10 +102,7 @@
 
 
 def flat(members: tuple) -> tuple[candidate.Candidate, ...]:
-    """Nested pairs of members as one row.
-
-    Example: ``flat(((), (model,))) == (model,)``
-    """
+    """Nested pairs of members as one row."""
     row: list[candidate.Candidate] = []
     while members:
         members, last = members
@@ -138,10 +117,7 @@
     kv_bytes: int = 0,
     protected: frozenset[str] = frozenset(),
 ) -> Selection:
-    """A set within (1 - 0.15) of the best that fits beside what is protected.
-
-    Example: ``select(candidates, budget=72_000_000_000, weight_bytes=15_200_000_000)``
-    """
+    """A set within (1 - 0.15) of the best that fits beside what is protected."""
     free = budget - weight_bytes - kv_bytes
     if free < 0:
         return Selection((), 0, 0.0, -free)
@@ -184,10 +160,7 @@
 
 
 def optimum(candidates: list[candidate.Candidate], budget: int) -> float:
-    """The best value by trying every legal set: the plain model of ``select``.
-
-    Example: ``optimum(candidates, 10)``
-    """
+    """The best value by trying every legal set: the plain model of ``select``."""
     best = 0.0
     for mask in range(1 << len(candidates)):
         chosen = [one for place, one in enumerate(candidates) if mask >> place & 1]
@@ -199,10 +172,7 @@
 
 
 def sample(chance: random.Random, adapters: bool) -> list[candidate.Candidate]:
-    """Candidates at random, for the tests.
-
-    Example: ``sample(random.Random(1), True)``
-    """
+    """Candidates at random, for the tests."""
     found = []
     for number in range(chance.randrange(1, 11)):
         kind = chance.choice([candidate.MODEL, candidate.KV, candidate.KV])
--- a/aspencroft/residency/signals.py
+++ b/aspencroft/residency/signals.py
@@ -27,10 +27,7 @@
 
 
 class Signals:
-    """What the residency duty has heard; it is lost with its holder and grows anew from traffic.
-
-    Example: ``signals.called("program", "planner", now)``, ``signals.intend("program", intent, now)``
-    """
+    """What the residency duty has heard; it is lost with its holder and grows anew from traffic."""
 
     def __init__(self):
         self.sessions: dict[str, Session] = {}
@@ -39,10 +36,7 @@
         self.calls = 0
 
     def called(self, program: str, service: str, now: datetime.timedelta) -> None:
-        """A call went to a service: the transition is counted, an intent for it is fulfilled.
-
-        Example: ``signals.called("p", "coder", now)``
-        """
+        """A call went to a service: the transition is counted, an intent for it is fulfilled."""
         self.calls += 1
         before = self.sessions.pop(program, None)
         if before is not None:
@@ -58,26 +52,17 @@
         self.popularity[service] = (self.popular(service, now) + 1.0, now)
 
     def intend(self, program: str, intent: tap.Intent, now: datetime.timedelta) -> None:
-        """A planner's header named what it calls next; the intent expires if no call comes.
-
-        Example: ``signals.intend("p", tap.Intent(("coder",)), now)``
-        """
+        """A planner's header named what it calls next; the intent expires if no call comes."""
         before = self.sessions.get(program) or Session("", now, None, now)
         self.sessions[program] = dataclasses.replace(before, seen=now, intent=intent, intent_end=now + INTENT_LIFE)
 
     def popular(self, service: str, now: datetime.timedelta) -> float:
-        """A service's calls, fading by half every minute.
-
-        Example: ``signals.popular("coder", now)``
-        """
+        """A service's calls, fading by half every minute."""
         count, since = self.popularity.get(service, (0.0, now))
         return count * 0.5 ** ((now - since) / FADE)
 
     def next_of(self, session: Session, service: str, services: tuple[str, ...], now: datetime.timedelta) -> float:
-        """How likely a session's next call goes to a service.
-
-        Example: ``signals.next_of(session, "coder", services, now) == LOCKED``
-        """
+        """How likely a session's next call goes to a service."""
         if session.intent is not None and now < session.intent_end:
             if service in session.intent.models:
                 return LOCKED if len(session.intent.models) == 1 else FAN_OUT
@@ -90,10 +75,7 @@
     def reuse(
         self, service: str, services: tuple[str, ...], window: datetime.timedelta, now: datetime.timedelta
     ) -> float:
-        """The chance that any session calls a service within the window; popularity is the floor.
-
-        Example: ``signals.reuse("coder", services, window, now)``
-        """
+        """The chance that any session calls a service within the window; popularity is the floor."""
         missed = 1.0
         for session in self.sessions.values():
             if now - session.seen < SESSION_LIFE:
@@ -103,10 +85,7 @@
         return max(1.0 - missed, floor)
 
     def returns(self, program: str, window: datetime.timedelta, now: datetime.timedelta) -> float:
-        """The chance that a program's parked KV is used again within the window.
-
-        Example: ``signals.returns("p", window, now)``
-        """
+        """The chance that a program's parked KV is used again within the window."""
         session = self.sessions.get(program)
         if session is None:
             return 0.01
--- a/aspencroft/residency/tap.py
+++ b/aspencroft/residency/tap.py
@@ -10,20 +10,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Intent:
-    """What a tool-call header names: one model for certain, or a fan-out's candidate set.
-
-    Example: ``Intent(("coder",))`` is locked; ``Intent(("coder", "math"))`` is a set.
-    """
+    """What a tool-call header names: one model for certain, or a fan-out's candidate set."""
 
     models: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class Tap:
-    """The end of the stream that may still become a header.
-
-    Example: ``tap, intents = Tap("").feed('<call model="co')``
-    """
+    """The end of the stream that may still become a header."""
 
     rest: str = ""
 
--- a/aspencroft/runtime/allocator.py
+++ b/aspencroft/runtime/allocator.py
@@ -9,10 +9,7 @@
 
 
 def return_free_pages() -> None:
-    """Give all pages back that hold nothing, also amid the heap; after much was freed at once, as it takes a while.
-
-    Example: ``return_free_pages()`` once a large state was let go.
-    """
+    """Give all pages back that hold nothing, also amid the heap; after much was freed at once, as it takes a while."""
     try:
         trim = ctypes.CDLL(None).malloc_trim
     except (OSError, AttributeError):
@@ -26,8 +23,6 @@
     By itself glibc raises that size to that of the largest block freed so far. Parts of snapshots (1 MiB) then come
     from the heap, and the small objects that are made between them keep their space from being given back. The
     parameters are those of mallopt(3).
-
-    Example: ``return_large_blocks()`` at the start of a process.
     """
     try:
         set_parameter = ctypes.CDLL(None).mallopt
--- a/aspencroft/runtime/boottime.py
+++ b/aspencroft/runtime/boottime.py
@@ -5,14 +5,8 @@
 
 
 class BoottimeLoop(asyncio.SelectorEventLoop):
-    """A selector loop on CLOCK_BOOTTIME, so that a claim ends during a suspension too.
-
-    Example: ``asyncio.Runner(loop_factory=boottime.BoottimeLoop)``
-    """
+    """A selector loop on CLOCK_BOOTTIME, so that a claim ends during a suspension too."""
 
     def time(self) -> float:
-        """Seconds since the machine's boot, suspended time included.
-
-        Example: ``loop.time()``
-        """
+        """Seconds since the machine's boot, suspended time included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/aspencroft/runtime/environment.py
+++ b/aspencroft/runtime/environment.py
@@ -78,10 +78,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Environment:
-    """Network, disk, HTTP transport, source of randomness and wall clock of one node.
-
-    Example: ``surroundings.machine()`` for the real ones.
-    """
+    """Network, disk, HTTP transport, source of randomness and wall clock of one node."""
 
     network: Network
     disk: Disk
@@ -99,24 +96,15 @@
         self.poll: select.poll | None = None
 
     async def read(self, count: int) -> bytes:
-        """Exactly so many bytes, or IncompleteReadError.
-
-        Example: ``header = await channel.read(28)``
-        """
+        """Exactly so many bytes, or IncompleteReadError."""
         return await self.reader.readexactly(count)
 
     async def read_some(self, limit: int) -> bytes:
-        """What has come, at most so many bytes, waiting for the first; empty at the end of the stream.
-
-        Example: ``data = await channel.read_some(65536)``
-        """
+        """What has come, at most so many bytes, waiting for the first; empty at the end of the stream."""
         return await self.reader.read(limit)
 
     def quiet(self) -> bool:
-        """Whether the stream is open and nothing has come that was not read, in the machine's own buffer neither.
-
-        Example: ``if not channel.quiet(): channel.close()``
-        """
+        """Whether the stream is open and nothing has come that was not read, in the machine's own buffer neither."""
         if self.writer.is_closing() or self.reader.exception() or self.reader.at_eof() or self.reader._buffer:
             return False
         if self.poll is None:
@@ -125,10 +113,7 @@
         return not self.poll.poll(0)
 
     def watch(self, silence: datetime.timedelta) -> None:
-        """Have the machine break the stream when the other machine (not its program) is silent for so long.
-
-        Example: ``channel.watch(moment.seconds(4))``
-        """
+        """Have the machine break the stream when the other machine (not its program) is silent for so long."""
         link, whole = self.writer.get_extra_info("socket"), max(1, round(silence.total_seconds() / 4))
         link.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         link.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, whole)
@@ -137,25 +122,16 @@
         link.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(silence.total_seconds() * 1000))
 
     async def write(self, data: bytes) -> None:
-        """Write and wait while the fellow is slow.
-
-        Example: ``await channel.write(frame)``
-        """
+        """Write and wait while the fellow is slow."""
         self.writer.write(data)
         await self.writer.drain()
 
     def close(self) -> None:
-        """Close the stream at once.
-
-        Example: ``channel.close()``
-        """
+        """Close the stream at once."""
         self.writer.close()
 
     def abort(self) -> None:
-        """Close the stream without sending what still waits to be sent.
-
-        Example: ``channel.abort()``
-        """
+        """Close the stream without sending what still waits to be sent."""
         self.writer.transport.abort()
 
 
@@ -166,10 +142,7 @@
         self.servers: list[asyncio.Server] = []
 
     async def listen(self, address: str) -> "asyncio.Queue[Channel]":
-        """Accept streams at host:port into a bounded queue.
-
-        Example: ``accepted = await network.listen("127.0.0.1:7000")``
-        """
+        """Accept streams at host:port into a bounded queue."""
         accepted: asyncio.Queue[Channel] = asyncio.Queue(128)
 
         async def arrive(reader, writer):
@@ -180,10 +153,7 @@
         return accepted
 
     async def connect(self, address: str) -> Channel:
-        """Open a stream to host:port.
-
-        Example: ``channel = await network.connect("127.0.0.1:7000")``
-        """
+        """Open a stream to host:port."""
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
             raise ConnectionError(f"{address!r} is no address")
@@ -201,23 +171,15 @@
 
         A cancellation waits for the thread, which can't be called back:
         whoever holds a lock around the work keeps it until nothing is written any more.
-
-        Example: ``await disk.perform(path.read_bytes)``
         """
         return await uninterrupted.finish(self.in_thread(function, arguments))
 
     async def in_thread(self, function: typing.Callable, arguments: tuple):
-        """Have one of the threads do file work.
-
-        Example: ``await disk.in_thread(path.read_bytes, ())``
-        """
+        """Have one of the threads do file work."""
         return await asyncio.get_running_loop().run_in_executor(self.threads, function, *arguments)
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """Make a file or folder last; called inside ``perform``.
-
-        Example: ``disk.synchronise(folder / "current")``
-        """
+        """Make a file or folder last; called inside ``perform``."""
         descriptor = os.open(path, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -226,20 +188,14 @@
 
 
 def http_transport() -> "httpx.AsyncBaseTransport":
-    """HTTP over the machine's network; its library is loaded with the first one, as most processes need none.
-
-    Example: ``machine().transport()``
-    """
+    """HTTP over the machine's network; its library is loaded with the first one, as most processes need none."""
     httpx = importlib.import_module("httpx")
     limits = httpx.Limits(max_connections=512, max_keepalive_connections=64, keepalive_expiry=20)
     return httpx.AsyncHTTPTransport(limits=limits, retries=0)
 
 
 def machine() -> Environment:
-    """The real surroundings of a daemon.
-
-    Example: ``node.Node(settings, surroundings.machine())``
-    """
+    """The real surroundings of a daemon."""
     return Environment(
         SocketNetwork(),
         FileDisk(),
--- a/aspencroft/runtime/json_input.py
+++ b/aspencroft/runtime/json_input.py
@@ -11,10 +11,7 @@
 
 
 def refuse_constant(text: str):
-    """NaN and infinities are no JSON.
-
-    Example: ``json.loads("[NaN]", parse_constant=refuse_constant)``
-    """
+    """NaN and infinities are no JSON."""
     raise Unsound(f"{text} is no JSON number")
 
 
@@ -53,10 +50,7 @@
 
 
 def check_text(text: str) -> None:
-    """Refuse text that has no bytes in UTF-8.
-
-    Example: ``check_text("é")``
-    """
+    """Refuse text that has no bytes in UTF-8."""
     if not text.isascii():
         try:
             text.encode()
--- a/aspencroft/runtime/supervision.py
+++ b/aspencroft/runtime/supervision.py
@@ -17,8 +17,6 @@
 
     Python 3.11's own leaves its cancellation of the parent counted for ever when a task fails while the
     parent already waits at the end of the block, and forgets one from outside that comes meanwhile.
-
-    Example: ``async with steady.Group() as group: group.create_task(work())``
     """
 
     async def __aexit__(self, kind, error, trace):
@@ -33,10 +31,7 @@
 async def stand(
     name: str, work: collections.abc.Callable[[], collections.abc.Awaitable], counts: collections.Counter
 ) -> None:
-    """Do work that never ends by itself; an unforeseen error is logged and counted, then it goes on.
-
-    Example: ``group.create_task(steady.stand("relay", relay.run, counts))``
-    """
+    """Do work that never ends by itself; an unforeseen error is logged and counted, then it goes on."""
     while True:
         try:
             await work()
@@ -53,8 +48,6 @@
 
     A task group whose task fails in the very moment in which the group is cancelled raises the failure and
     forgets the cancellation; whoever handles such a failure and goes on calls this first.
-
-    Example: ``except* OSError: steady.heed()``
     """
     task = asyncio.current_task()
     if task is not None and task.cancelling():
--- a/aspencroft/runtime/uninterrupted.py
+++ b/aspencroft/runtime/uninterrupted.py
@@ -9,8 +9,6 @@
 
     A thread that writes to a disk cannot be called back. Whoever holds a lock around such a write must keep it until
     the write is over, and must record what was written, or the next writer meets bytes that nobody knows of.
-
-    Example: ``await uninterrupted.finish(copy.append(entries))``
     """
     task = asyncio.ensure_future(work)
     cancelled: asyncio.CancelledError | None = None
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -169,10 +169,7 @@
     base: tuple[Turn, ...]
 
     def reserved(self) -> int:
-        """Tokens that are kept free for it; none without a budget.
-
-        Example: ``event.reserved() <= event.most``
-        """
+        """Tokens that are kept free for it; none without a budget."""
         return self.most if self.budget else 0
 
 
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -24,8 +24,6 @@
     """Programs and operation keys, folded from events.
 
     Times count from when this primary first saw a thing, so a takeover never shortens them.
-
-    Example: ``events, reply = talk.decide(speech.OpenTurn(...), now, epoch)``
     """
 
     def __init__(self):
@@ -39,10 +37,7 @@
         self.ledger = ledger.Ledger()
 
     def decide(self, command, now: datetime.timedelta, epoch: int) -> tuple[tuple, object]:
-        """Events and reply for a command, or a Refusal.
-
-        Example: ``talk.decide(speech.ForgetProgram("p"), now, 1)``
-        """
+        """Events and reply for a command, or a Refusal."""
         if type(command) in ledger.COMMANDS:
             return self.ledger.decide(command, now)
         if isinstance(command, messages.OpenTurn):
@@ -64,27 +59,18 @@
         raise result.RequestError(result.ResultCode.MALFORMED, detail=type(command).__name__)
 
     def kept_out(self, program: messages.Program, now: datetime.timedelta) -> bool:
-        """Whether the keep time since the last turn ran out.
-
-        Example: ``talk.kept_out(program, now)``
-        """
+        """Whether the keep time since the last turn ran out."""
         return now - self.touched.setdefault(program.name, now) > program.keep
 
     def remembered_out(self, operation: messages.Operation, now: datetime.timedelta) -> bool:
-        """Whether a key was held a full minute beyond the last moment in which its work could run.
-
-        Example: ``talk.remembered_out(operation, now)``
-        """
+        """Whether a key was held a full minute beyond the last moment in which its work could run."""
         span = max(MINUTE, operation.keep) + BEYOND
         if operation.outcome != messages.DONE:
             span += operation.within + MINUTE / 2
         return now - self.noted.setdefault(operation.key, now) > span
 
     def open_turn(self, command: messages.OpenTurn, now: datetime.timedelta) -> tuple[tuple, object]:
-        """A turn starts behind the last one of its chain while used plus reserved is under the budget.
-
-        Example: ``talk.open_turn(command, now)``
-        """
+        """A turn starts behind the last one of its chain while used plus reserved is under the budget."""
         known = self.programs.get(command.program)
         if known is None:
             if command.after != 0:
@@ -117,10 +103,7 @@
         return (event,), messages.TurnGranted(last + 1, past, command.reserve)
 
     def close_turn(self, command: messages.CloseTurn, now: datetime.timedelta) -> tuple[tuple, object]:
-        """A turn under way ends once; saying it again does no harm.
-
-        Example: ``talk.close_turn(command, now)``
-        """
+        """A turn under way ends once; saying it again does no harm."""
         known = self.programs.get(command.program)
         if known is None:
             raise result.RequestError(result.ResultCode.UNKNOWN_PROGRAM, result.Ran.UNKNOWN, command.program)
@@ -141,10 +124,7 @@
         return (event,), messages.Closed(command.outcome)
 
     def claim_operation(self, command: messages.ClaimOperation, now: datetime.timedelta) -> tuple[tuple, object]:
-        """The first request takes the key; others get its state and never run.
-
-        Example: ``talk.claim_operation(command, now)``
-        """
+        """The first request takes the key; others get its state and never run."""
         known = self.operations.get(command.key)
         if known is not None:
             if known.lane != command.lane:
@@ -163,10 +143,7 @@
         )
 
     def close_operation(self, command: messages.CloseOperation, now: datetime.timedelta) -> tuple[tuple, object]:
-        """The go that holds the key tells how it ended.
-
-        Example: ``talk.close_operation(command, now)``
-        """
+        """The go that holds the key tells how it ended."""
         known = self.operations.get(command.key)
         if known is None or known.go != command.go or known.outcome:
             return (), messages.Closed("" if known is None else known.outcome)
@@ -177,10 +154,7 @@
         )
 
     def fold(self, event) -> None:
-        """Take an event in.
-
-        Example: ``talk.fold(speech.ProgramForgotten("p"))``
-        """
+        """Take an event in."""
         if type(event) in ledger.EVENTS:
             self.ledger.fold(event)
         elif isinstance(event, messages.TurnOpened):
@@ -220,8 +194,6 @@
 
         All turns under way are looked at each time; of programs and keys a bounded number, round and round,
         so that a large pair never holds the loop for long. The first look at a thing starts its clock here.
-
-        Example: ``for command in talk.due(now, lambda edge: False): ...``
         """
         found = []
         for go, name in self.going.items():
@@ -246,25 +218,16 @@
         return (*found, *self.ledger.due(now, gone))
 
     def rest_clocks(self) -> None:
-        """This node is the primary no more: what it saw when counts for nothing if it is one again.
-
-        Example: ``talk.rest_clocks()``
-        """
+        """This node is the primary no more: what it saw when counts for nothing if it is one again."""
         self.touched, self.opened, self.noted, self.looked = {}, {}, {}, iter(())
         self.ledger.rest_clocks()
 
     def snapshot(self) -> bytes:
-        """All of it as bytes.
-
-        Example: ``Talk().restore(talk.picture())``
-        """
+        """All of it as bytes."""
         return b"".join(self.snapshot_parts())
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The picture of this moment in bounded parts; what changes meanwhile is not in it.
-
-        Example: ``b"".join(talk.picture_parts()) == talk.picture()``
-        """
+        """The picture of this moment in bounded parts; what changes meanwhile is not in it."""
         held = (list(self.programs.values()), list(self.operations.values()))
         ledger_parts = self.ledger.snapshot_parts()
 
@@ -278,10 +241,7 @@
         return parts()
 
     def size(self) -> int:
-        """How much a picture holds, in programs, keys and entries of the ledger.
-
-        Example: ``talk.size()``
-        """
+        """How much a picture holds, in programs, keys and entries of the ledger."""
         return len(self.programs) + len(self.operations) + self.ledger.size()
 
     def payload_bytes(self) -> int:
@@ -292,17 +252,11 @@
         return self.ledger.bytes
 
     def limit_payload(self, most: int) -> None:
-        """Bound the history and kept answers, in bytes; what is held already stays.
-
-        Example: ``Talk().limit_payload(8 << 20)``
-        """
+        """Bound the history and kept answers, in bytes; what is held already stays."""
         self.ledger.most_bytes = most
 
     def restore(self, body: bytes) -> None:
-        """Become what a picture shows; one from before there was a ledger ends behind the operations.
-
-        Example: ``talk.restore(body)``
-        """
+        """Become what a picture shows; one from before there was a ledger ends behind the operations."""
         shown, place = codec.unpack_from(messages.TalkPicture, body, 0)
         if place < len(body) and self.ledger.restore(body, place) != len(body):
             raise codec.Broken("bytes are left over")
@@ -312,10 +266,7 @@
 
 
 def closed(program: messages.Program, event: messages.TurnClosed) -> messages.Program:
-    """A program once a turn of it ended.
-
-    Example: ``closed(program, event).used``
-    """
+    """A program once a turn of it ended."""
     ended = next(one for one in program.under_way if one.go == event.go)
     under_way = tuple(one for one in program.under_way if one.go != event.go)
     if event.outcome == messages.NOT_RUN:
--- a/aspencroft/sessions/ledger.py
+++ b/aspencroft/sessions/ledger.py
@@ -44,8 +44,6 @@
     is late, is not counted, so that no turn is taken for older than it is.
     A turn is kept as long as a turn that goes on from it is kept or under way.
     History is held once and shared by all chains through it.
-
-    Example: ``events, reply = ledger.decide(entry.BeginTurn(...), now)``
     """
 
     def __init__(self):
@@ -64,10 +62,7 @@
         self.rest_clocks()
 
     def rest_clocks(self) -> None:
-        """This node is the primary no more: what it saw when counts for nothing if it is one again.
-
-        Example: ``ledger.rest_clocks()``
-        """
+        """This node is the primary no more: what it saw when counts for nothing if it is one again."""
         self.active: dict[str, datetime.timedelta] = {}
         self.answered: dict[str, datetime.timedelta] = {}
         self.begun: dict[str, datetime.timedelta] = {}
@@ -81,17 +76,11 @@
     # -- commands ------------------------------------------------------------------------------
 
     def decide(self, command, now: datetime.timedelta) -> tuple[tuple, object]:
-        """Events and reply for a command of COMMANDS, or a Refusal.
-
-        Example: ``ledger.decide(entry.FindTurn("turn"), now)``
-        """
+        """Events and reply for a command of COMMANDS, or a Refusal."""
         return COMMANDS[type(command)](self, command, now)
 
     def begin_turn(self, command: entry.BeginTurn, now: datetime.timedelta) -> tuple[tuple, object]:
-        """A turn starts while used and reserved tokens are under the program's budget; once for each attempt.
-
-        Example: ``ledger.begin_turn(command, now)``
-        """
+        """A turn starts while used and reserved tokens are under the program's budget; once for each attempt."""
         known = self.under_way.get(command.attempt)
         if known is not None:
             if (known.program, known.session, known.previous, known.edge) != (
@@ -146,10 +135,7 @@
         return (event,), self.begun_turn(command.previous, command.have, worker, base)
 
     def has_room(self, command: entry.BeginTurn, base: tuple[entry.Turn, ...]) -> bool:
-        """Whether there is room for a turn's history; less of it for the first one of a chain.
-
-        Example: ``ledger.has_room(command, ())``
-        """
+        """Whether there is room for a turn's history; less of it for the first one of a chain."""
         added = sum(len(one.input) + len(one.output) for one in base)
         share = 1.0 if command.previous else FIRST_TURN_SHARE
         return self.bytes + added < share * self.most_bytes
@@ -158,8 +144,6 @@
         """The budget that stands for a turn, zero when none was said; refused when it is spent or reserved.
 
         A refusal counts as the program's activity: the record of one that goes on asking is not forgotten.
-
-        Example: ``ledger.allowed(command, now)``
         """
         account = self.accounts.get(command.program)
         if account is None:
@@ -181,8 +165,6 @@
         """What of the given chain is to be kept here, the bytes of the whole chain.
 
         And the worker that ran its last turn.
-
-        Example: ``base, size, worker = ledger.predecessor(command)``
         """
         if not command.previous:
             return (), 0, ""
@@ -207,19 +189,13 @@
         )
 
     def sure(self, attempt: str) -> None:
-        """Refuse to say that there is no such turn while its end is not known.
-
-        Example: ``ledger.sure("turn")``
-        """
+        """Refuse to say that there is no such turn while its end is not known."""
         ended = self.ended.get(attempt)
         if attempt in self.under_way or (ended is not None and ended.retained and ended.outcome == messages.UNKNOWN):
             raise result.RequestError(result.ResultCode.TURN_NOT_ENDED, detail=attempt, retry=SOON)
 
     def begun_turn(self, previous: str, have: str, worker: str, base: tuple[entry.Turn, ...]) -> entry.TurnBegun:
-        """The reply to a turn's start: the chain up to ``previous``, or what of it lies behind ``have``.
-
-        Example: ``ledger.begun_turn("turn", "", "i-1", ()).complete``
-        """
+        """The reply to a turn's start: the chain up to ``previous``, or what of it lies behind ``have``."""
         new = {one.attempt: one for one in base}
         chain, last = [], previous
         while last and last != have:
@@ -230,10 +206,7 @@
         return entry.TurnBegun(tuple(chain), worker, not last)
 
     def find_turn(self, command: entry.FindTurn, now: datetime.timedelta) -> tuple[tuple, object]:
-        """Whether a turn is kept, and its chain.
-
-        Example: ``ledger.find_turn(entry.FindTurn("turn"), now)``
-        """
+        """Whether a turn is kept, and its chain."""
         if command.attempt not in self.turns:
             self.sure(command.attempt)
             return (), entry.TurnFound(False, ())
@@ -243,8 +216,6 @@
         """A turn ends once; only an unknown outcome may become known later.
 
         An attempt that did not run never begins any more.
-
-        Example: ``ledger.end_turn(command, now)``
         """
         if command.outcome not in OUTCOMES or not command.attempt:
             raise result.RequestError(result.ResultCode.MALFORMED, detail="no attempt or outcome")
@@ -283,10 +254,7 @@
         return (event,), messages.Closed(command.outcome)
 
     def never_begun(self, command: entry.EndTurn, now: datetime.timedelta) -> tuple[tuple, object]:
-        """The end of an attempt that this group does not know: if it did not run, its start may still be on the way.
-
-        Example: ``ledger.never_begun(command, now)``
-        """
+        """The end of an attempt that this group does not know: if it did not run, its start may still be on the way."""
         if command.outcome != messages.NOT_RUN:
             raise result.RequestError(result.ResultCode.UNKNOWN_TURN, result.Ran.UNKNOWN, command.attempt)
         if len(self.turns) + len(self.under_way) + len(self.ended) >= MOST_TURNS:
@@ -295,10 +263,7 @@
         return (entry.TurnEnded(command.attempt, messages.NOT_RUN, b"", b"", 0, ""),), messages.Closed(messages.NOT_RUN)
 
     def claim_key(self, command: entry.ClaimKey, now: datetime.timedelta) -> tuple[tuple, object]:
-        """The first attempt takes the key; others get its state and never run.
-
-        Example: ``ledger.claim_key(command, now)``
-        """
+        """The first attempt takes the key; others get its state and never run."""
         known = self.keys.get(command.key)
         if known is not None:
             mine = not known.outcome and (known.attempt, known.edge) == (command.attempt, command.edge)
@@ -312,10 +277,7 @@
         return (event,), entry.KeyHeld(True, "", 0, (), b"")
 
     def close_key(self, command: entry.CloseKey, now: datetime.timedelta) -> tuple[tuple, object]:
-        """The attempt that holds the key tells how it ended; an unknown outcome may only become a done one.
-
-        Example: ``ledger.close_key(command, now)``
-        """
+        """The attempt that holds the key tells how it ended; an unknown outcome may only become a done one."""
         if command.outcome not in OUTCOMES:
             raise result.RequestError(result.ResultCode.MALFORMED, detail="no outcome")
         known = self.keys.get(command.key)
@@ -339,17 +301,11 @@
     # -- events --------------------------------------------------------------------------------
 
     def fold(self, event) -> None:
-        """Take an event of EVENTS in.
-
-        Example: ``ledger.fold(entry.KeyClaimed(...))``
-        """
+        """Take an event of EVENTS in."""
         EVENTS[type(event)](self, event)
 
     def turn_began(self, event: entry.TurnBegan) -> None:
-        """A turn is under way, and its program's tokens are reserved.
-
-        Example: ``ledger.turn_began(event)``
-        """
+        """A turn is under way, and its program's tokens are reserved."""
         for one in event.base:
             self.keep(one, "", event.keep)
         self.under_way[event.attempt] = dataclasses.replace(event, base=()) if event.base else event
@@ -368,10 +324,7 @@
             )
 
     def turn_ended(self, event: entry.TurnEnded) -> None:
-        """A turn is over: charged, and kept or only remembered as ended.
-
-        Example: ``ledger.turn_ended(event)``
-        """
+        """A turn is over: charged, and kept or only remembered as ended."""
         running, late = self.under_way.pop(event.attempt, None), self.ended.pop(event.attempt, None)
         known = running or late or entry.Ended(event.attempt, "", "", "", 0, 0, False, clock.ZERO)
         self.begun.pop(event.attempt, None)
@@ -412,10 +365,7 @@
             self.unpin(running.previous)
 
     def keep(self, turn: entry.Turn, program: str, keep: datetime.timedelta) -> None:
-        """Hold a turn's history.
-
-        Example: ``ledger.keep(entry.Turn("turn", "", b"in", b"out", "i-1"), "p", MINUTE)``
-        """
+        """Hold a turn's history."""
         if turn.attempt in self.turns:
             return
         self.ended.pop(turn.attempt, None)
@@ -428,10 +378,7 @@
         self.pin(turn.previous)
 
     def drop(self, attempt: str) -> None:
-        """Let a turn's history go; a turn with a short keep time is still remembered as ended, lest it begin again.
-
-        Example: ``ledger.drop("turn")``
-        """
+        """Let a turn's history go; a turn with a short keep time is still remembered as ended, lest it begin again."""
         one = self.turns.pop(attempt, None)
         self.ended_at.pop(attempt, None)
         self.answered.pop(attempt, None)
@@ -457,38 +404,26 @@
             )
 
     def pin(self, attempt: str) -> None:
-        """A turn that goes on from this one is kept or under way.
-
-        Example: ``ledger.pin("turn")``
-        """
+        """A turn that goes on from this one is kept or under way."""
         if attempt:
             self.followers[attempt] = self.followers.get(attempt, 0) + 1
 
     def unpin(self, attempt: str) -> None:
-        """A turn that went on from this one is no more.
-
-        Example: ``ledger.unpin("turn")``
-        """
+        """A turn that went on from this one is no more."""
         if attempt:
             left = self.followers.pop(attempt, 0) - 1
             if left > 0:
                 self.followers[attempt] = left
 
     def key_claimed(self, event: entry.KeyClaimed) -> None:
-        """A key is held.
-
-        Example: ``ledger.key_claimed(event)``
-        """
+        """A key is held."""
         self.keys[event.key] = entry.Key(
             event.key, event.attempt, event.within, event.window, event.edge, "", 0, (), b""
         )
         self.at_work[event.key] = None
 
     def key_closed(self, event: entry.KeyClosed) -> None:
-        """A key has an outcome, or is free.
-
-        Example: ``ledger.key_closed(event)``
-        """
+        """A key has an outcome, or is free."""
         known = self.keys.get(event.key)
         if event.outcome == messages.NOT_RUN:
             self.freed[event.attempt] = None
@@ -512,20 +447,14 @@
         self.bytes += weight(event.headers, event.body)
 
     def drop_key(self, key: str) -> None:
-        """Let a key go.
-
-        Example: ``ledger.drop_key("key")``
-        """
+        """Let a key go."""
         known = self.keys.pop(key, None)
         self.noted.pop(key, None)
         if known is not None:
             self.bytes -= weight(known.headers, known.body)
 
     def forgotten(self, event: entry.Forget) -> None:
-        """Things were kept long enough.
-
-        Example: ``ledger.forgotten(event)``
-        """
+        """Things were kept long enough."""
         for name in event.turns:
             self.drop(name)
         for name in event.ended:
@@ -543,10 +472,7 @@
     # -- clocks --------------------------------------------------------------------------------
 
     def programs_out(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those programs of which nothing is under way or kept, and that were quiet for long.
-
-        Example: ``ledger.programs_out(ledger.accounts, now)``
-        """
+        """Those programs of which nothing is under way or kept, and that were quiet for long."""
         found = []
         for name in names:
             one = self.accounts.get(name)
@@ -556,17 +482,11 @@
         return tuple(found)
 
     def age(self, attempt: str) -> datetime.timedelta:
-        """For how long a turn has been kept at least, by the group's own time.
-
-        Example: ``ledger.age("turn") >= clock.ZERO``
-        """
+        """For how long a turn has been kept at least, by the group's own time."""
         return max(clock.ZERO, self.time - self.ended_at.get(attempt, self.time))
 
     def tick_due(self, now: datetime.timedelta) -> tuple[entry.Tick, ...]:
-        """The tick that is to be recorded, if any; none is while no turn is kept.
-
-        Example: ``ledger.tick_due(now)``
-        """
+        """The tick that is to be recorded, if any; none is while no turn is kept."""
         if not self.turns:
             self.ticked = None
         elif self.ticked is None:
@@ -576,26 +496,19 @@
         return ()
 
     def tick(self, command: entry.Tick, now: datetime.timedelta) -> tuple[tuple, object]:
-        """The group's own time goes on by one tick, if that has gone by; a late one counts no more.
-
-        Example: ``ledger.tick(entry.Tick(TICK), now)``
-        """
+        """The group's own time goes on by one tick, if that has gone by; a late one counts no more."""
         if self.ticked is None or now - self.ticked < command.span:
             return (), messages.Closed("")
         self.ticked = now
         return (command,), messages.Closed("")
 
     def time_passed(self, event: entry.Tick) -> None:
-        """A tick was recorded.
-
-        Example: ``ledger.time_passed(entry.Tick(TICK))``
-        """
+        """A tick was recorded."""
         self.time += event.span
 
     def turns_out(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those turns, and turns before them, that were kept long enough and that no kept or running turn goes on from.
-
-        Example: ``ledger.turns_out(ledger.turns, now)``
+        """Those turns, and turns before them, that were kept long enough and that no kept or running turn goes on
+        from.
         """
         found: dict[str, None] = {}
         gone: collections.Counter[str] = collections.Counter()
@@ -614,19 +527,13 @@
         return tuple(found)
 
     def ended_out(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those ended attempts that can be late no more.
-
-        Example: ``ledger.ended_out(ledger.ended, now)``
-        """
+        """Those ended attempts that can be late no more."""
         return tuple(
             name for name in names if name in self.ended and now - self.stopped.setdefault(name, now) > MINUTE + BEYOND
         )
 
     def keys_out(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those keys that were held for their window beyond the last moment in which their work could run.
-
-        Example: ``ledger.keys_out(ledger.keys, now)``
-        """
+        """Those keys that were held for their window beyond the last moment in which their work could run."""
         found = []
         for name in names:
             one = self.keys.get(name)
@@ -636,19 +543,13 @@
         return tuple(found)
 
     def freed_out(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those attempts whose claim of a key can be late no more.
-
-        Example: ``ledger.freed_out(ledger.freed, now)``
-        """
+        """Those attempts whose claim of a key can be late no more."""
         return tuple(
             name for name in names if name in self.freed and now - self.freed_at.setdefault(name, now) > MINUTE + BEYOND
         )
 
     def forget(self, command: entry.Forget, now: datetime.timedelta) -> tuple[tuple, object]:
-        """Keep times ran out; looked at once more, as things may have changed since.
-
-        Example: ``ledger.forget(command, now)``
-        """
+        """Keep times ran out; looked at once more, as things may have changed since."""
         event = entry.Forget(
             self.programs_out(command.programs, now),
             self.turns_out(command.turns, now),
@@ -665,8 +566,6 @@
         All that is under way is looked at each time; of the rest a bounded number, in rounds some seconds apart.
         The first look
         at a thing starts its clock here.
-
-        Example: ``for command in ledger.due(now, lambda edge: False): ...``
         """
         found: list[object] = []
         lives: dict[str, bool] = {}
@@ -689,10 +588,7 @@
         return (*found, *self.tick_due(now), *self.look(now))
 
     def look(self, now: datetime.timedelta) -> tuple[entry.Forget, ...]:
-        """What a bounded number of looks finds to be kept long enough.
-
-        Example: ``ledger.look(now)``
-        """
+        """What a bounded number of looks finds to be kept long enough."""
         out: list[tuple[str, ...]] = [(), (), (), (), ()]
         ways = (self.programs_out, self.turns_out, self.ended_out, self.keys_out, self.freed_out)
         left = LOOKS
@@ -712,8 +608,6 @@
         """The picture of this moment in bounded parts; history is shared, not copied.
 
         What changes meanwhile is not in it.
-
-        Example: ``Ledger().restore(b"".join(ledger.picture_parts()), 0)``
         """
         held = [list(table.values()) for table in (self.accounts, self.turns, self.under_way, self.ended, self.keys)]
         freed = list(self.freed)
@@ -749,10 +643,7 @@
         return parts()
 
     def size(self) -> int:
-        """How much a picture holds, in entries.
-
-        Example: ``ledger.size()``
-        """
+        """How much a picture holds, in entries."""
         return (
             len(self.accounts)
             + len(self.turns)
@@ -766,8 +657,6 @@
         """Become what a picture shows that stands at a place of the bytes; the place behind it.
 
         In one of an earlier version the ages of turns are missing: they count as new.
-
-        Example: ``ledger.restore(body, 0) == len(body)``
         """
         shown, end = codec.unpack_from(entry.LedgerPicture, body, place)
         ages = entry.TurnAges(clock.ZERO, (clock.ZERO,) * len(shown.turns))
@@ -806,10 +695,7 @@
 
 
 def closing(command: entry.CloseKey) -> entry.KeyClosed:
-    """The event of a key's end; an answer that is too large leaves only word that it was given.
-
-    Example: ``closing(command).outcome``
-    """
+    """The event of a key's end; an answer that is too large leaves only word that it was given."""
     if command.outcome != messages.DONE:
         return entry.KeyClosed(command.key, command.attempt, command.outcome, 0, (), b"")
     if weight(command.headers, command.body) > LARGEST_ANSWER:
--- a/aspencroft/sessions/ledger_test.py
+++ b/aspencroft/sessions/ledger_test.py
@@ -21,46 +21,31 @@
 
 
 def begin(attempt: str, previous: str = "", **changes) -> entry.BeginTurn:
-    """A turn of program p at edge e, without a budget, kept for a minute.
-
-    Example: ``begin("b", "a", budget=100)``
-    """
+    """A turn of program p at edge e, without a budget, kept for a minute."""
     return dataclasses.replace(
         entry.BeginTurn("p", "s", attempt, previous, 10, 0, True, KEEP, WITHIN, "e", "", ()), **changes
     )
 
 
 def end(attempt: str, outcome: str = messages.DONE, **changes) -> entry.EndTurn:
-    """The end of a turn of program p.
-
-    Example: ``end("a", speech.UNKNOWN)``
-    """
+    """The end of a turn of program p."""
     given = entry.EndTurn("p", "s", attempt, outcome, f"in {attempt}\n".encode(), f"out {attempt}\n".encode(), 7, "i-1")
     return dataclasses.replace(given, **changes)
 
 
 def claim(attempt: str, **changes) -> entry.ClaimKey:
-    """A claim of key k at edge e.
-
-    Example: ``claim("a", key="other")``
-    """
+    """A claim of key k at edge e."""
     return dataclasses.replace(entry.ClaimKey("k", attempt, b"d", WITHIN, MINUTE, "e"), **changes)
 
 
 def close(attempt: str, outcome: str = messages.DONE, **changes) -> entry.CloseKey:
-    """The end of the attempt under key k.
-
-    Example: ``close("a", speech.NOT_RUN)``
-    """
+    """The end of the attempt under key k."""
     given = entry.CloseKey("k", attempt, outcome, 200, (entry.Pair(b"Seal", b"1"),), b"body")
     return dataclasses.replace(given, **changes)
 
 
 def take(book: ledger.Ledger, command, now: datetime.timedelta):
-    """Decide and fold a command; its reply.
-
-    Example: ``take(book, begin("a"), START)``
-    """
+    """Decide and fold a command; its reply."""
     events, reply = book.decide(command, now)
     for event in events:
         book.fold(codec.untagged(codec.tagged(event)))
@@ -68,20 +53,14 @@
 
 
 def refused(book: ledger.Ledger, command, now: datetime.timedelta) -> result.RequestError:
-    """The refusal of a command.
-
-    Example: ``refused(book, begin("a"), START).result``
-    """
+    """The refusal of a command."""
     with pytest.raises(result.RequestError) as caught:
         book.decide(command, now)
     return caught.value
 
 
 def due(book: ledger.Ledger, now: datetime.timedelta, gone=lambda edge: False) -> list:
-    """What the clock calls for; ticks of the group's own time among it are recorded and left out.
-
-    Example: ``due(book, START)``
-    """
+    """What the clock calls for; ticks of the group's own time among it are recorded and left out."""
     commands = book.due(now, gone)
     for command in commands:
         if isinstance(command, entry.Tick):
@@ -90,10 +69,7 @@
 
 
 def settle(book: ledger.Ledger, now: datetime.timedelta, gone=lambda edge: False) -> list:
-    """Have the clock's commands decided until there are no more; what they were, but for ticks.
-
-    Example: ``settle(book, START)``
-    """
+    """Have the clock's commands decided until there are no more; what they were, but for ticks."""
     found = []
     for _ in range(2 * (book.size() + 10)):
         book.next_round = clock.ZERO
@@ -107,10 +83,7 @@
 
 
 def taken_over(book: ledger.Ledger) -> ledger.Ledger:
-    """What a backup holds that becomes the primary.
-
-    Example: ``book = taken_over(book)``
-    """
+    """What a backup holds that becomes the primary."""
     other = ledger.Ledger()
     body = b"".join(book.snapshot_parts())
     assert other.restore(body, 0) == len(body)
@@ -127,10 +100,7 @@
 
 
 class Plain:
-    """What the ledger should do, by scanning lists: one row an attempt, one a program, one a key.
-
-    Example: ``plain.expect(command, now)`` gives the reply or the refusal's result
-    """
+    """What the ledger should do, by scanning lists: one row an attempt, one a program, one a key."""
 
     def __init__(self):
         self.rows: list[dict] = []
@@ -139,20 +109,14 @@
         self.freed: list[dict] = []
 
     def one(self, rows: list[dict], **wanted) -> dict | None:
-        """The row in which these fields stand.
-
-        Example: ``plain.one(plain.rows, attempt="a")``
-        """
+        """The row in which these fields stand."""
         for row in rows:
             if all(row[name] == value for name, value in wanted.items()):
                 return row
         return None
 
     def chain(self, attempt: str) -> list[dict]:
-        """Kept rows up to one, oldest first.
-
-        Example: ``plain.chain("a")``
-        """
+        """Kept rows up to one, oldest first."""
         found = []
         while attempt:
             row = self.one(self.rows, attempt=attempt, state="kept")
@@ -161,19 +125,13 @@
         return found
 
     def turns(self, rows: list[dict]) -> tuple[entry.Turn, ...]:
-        """Rows as replies show them.
-
-        Example: ``plain.turns(plain.chain("a"))``
-        """
+        """Rows as replies show them."""
         return tuple(
             entry.Turn(one["attempt"], one["previous"], one["input"], one["output"], one["worker"]) for one in rows
         )
 
     def begin(self, command: entry.BeginTurn, now) -> object:
-        """The outcome of a turn's start.
-
-        Example: ``plain.begin(command, now)``
-        """
+        """The outcome of a turn's start."""
         row = self.one(self.rows, attempt=command.attempt)
         if row is not None and row["state"] == "running":
             if any(row[name] != getattr(command, name) for name in ("program", "session", "previous", "edge")):
@@ -246,10 +204,7 @@
         return self.begun(command, hint)
 
     def begun(self, command: entry.BeginTurn, hint: str) -> entry.TurnBegun:
-        """The reply to a turn's start.
-
-        Example: ``plain.begun(command, "i-1")``
-        """
+        """The reply to a turn's start."""
         chain = self.chain(command.previous)
         names = [row["attempt"] for row in chain]
         if command.have in names:
@@ -257,10 +212,7 @@
         return entry.TurnBegun(self.turns(chain), hint, True)
 
     def end(self, command: entry.EndTurn, now) -> object:
-        """The outcome of a turn's end.
-
-        Example: ``plain.end(command, now)``
-        """
+        """The outcome of a turn's end."""
         row = self.one(self.rows, attempt=command.attempt)
         if row is None:
             if command.outcome != messages.NOT_RUN:
@@ -306,10 +258,7 @@
         return messages.Closed(command.outcome)
 
     def find(self, command: entry.FindTurn, now) -> object:
-        """The outcome of looking a turn up.
-
-        Example: ``plain.find(command, now)``
-        """
+        """The outcome of looking a turn up."""
         row = self.one(self.rows, attempt=command.attempt)
         if row is None or (row["state"] == "ended" and not (row["retained"] and row["outcome"] == messages.UNKNOWN)):
             return entry.TurnFound(False, ())
@@ -318,10 +267,7 @@
         return entry.TurnFound(True, self.turns(self.chain(command.attempt)))
 
     def claim(self, command: entry.ClaimKey, now) -> object:
-        """The outcome of a claim.
-
-        Example: ``plain.claim(command, now)``
-        """
+        """The outcome of a claim."""
         row = self.one(self.keys, key=command.key)
         if row is not None:
             return entry.KeyHeld(
@@ -351,10 +297,7 @@
         return entry.KeyHeld(True, "", 0, (), b"")
 
     def close(self, command: entry.CloseKey, now) -> object:
-        """The outcome of a key's end.
-
-        Example: ``plain.close(command, now)``
-        """
+        """The outcome of a key's end."""
         row = self.one(self.keys, key=command.key, attempt=command.attempt)
         if command.outcome == messages.NOT_RUN and (row is None or not row["outcome"]):
             if row is not None:
@@ -372,10 +315,7 @@
         return messages.Closed(command.outcome)
 
     def expect(self, command, now) -> object:
-        """The reply to a command, or the result of its refusal.
-
-        Example: ``plain.expect(command, now)``
-        """
+        """The reply to a command, or the result of its refusal."""
         ways = {
             entry.BeginTurn: self.begin,
             entry.EndTurn: self.end,
@@ -386,10 +326,7 @@
         return ways[type(command)](command, now)
 
     def forget(self, event: entry.Forget, now) -> None:
-        """Check that what is forgotten was kept long enough, then drop it.
-
-        Example: ``plain.forget(event, now)``
-        """
+        """Check that what is forgotten was kept long enough, then drop it."""
         for attempt in event.turns:
             row = self.one(self.rows, attempt=attempt, state="kept")
             assert now - row["since"] > row["keep"] + BEYOND, row
@@ -418,19 +355,13 @@
             self.freed.remove(row)
 
     def overdue(self, now, gone) -> set[str]:
-        """What is under way though its edge is gone or its time over.
-
-        Example: ``plain.overdue(now, lambda edge: False)``
-        """
+        """What is under way though its edge is gone or its time over."""
         running = [("attempt", row) for row in self.rows if row["state"] == "running"]
         running += [("key", row) for row in self.keys if not row["outcome"]]
         return {row[name] for name, row in running if gone(row["edge"]) or now - row["since"] > row["within"] + BEYOND}
 
     def start_clocks(self, now) -> None:
-        """A new primary: all times count from here on, but for kept turns, whose age the group knows.
-
-        Example: ``plain.start_clocks(now)``
-        """
+        """A new primary: all times count from here on, but for kept turns, whose age the group knows."""
         for row in (*self.rows, *self.programs, *self.keys, *self.freed):
             if row.get("state") == "kept":
                 continue
@@ -440,10 +371,7 @@
 
 
 def random_command(chance: random.Random, issued: list, foreign: dict[str, tuple], number: int):
-    """A command, often one about attempts of before, sometimes an old one once more.
-
-    Example: ``random_command(random.Random(1), [], {}, 0)``
-    """
+    """A command, often one about attempts of before, sometimes an old one once more."""
     if issued and chance.random() < 0.2:
         return chance.choice(issued[-30:])
     begun = [one for one in issued[-60:] if isinstance(one, entry.BeginTurn)]
@@ -722,10 +650,7 @@
 
 
 def line(book: ledger.Ledger, names: str, now: datetime.timedelta, **changes) -> None:
-    """A chain of kept turns, one a letter.
-
-    Example: ``line(book, "abc", START)``
-    """
+    """A chain of kept turns, one a letter."""
     for previous, attempt in itertools.pairwise(["", *names]):
         take(book, begin(attempt, previous, **changes), now)
         take(book, end(attempt), now)
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -232,20 +232,14 @@
     under_way: tuple[OpenGo, ...]
 
     def chain(self, helper: str) -> Chain:
-        """The chain of a helper; an empty one when it has no turns.
-
-        Example: ``program.chain("").past``
-        """
+        """The chain of a helper; an empty one when it has no turns."""
         for one in self.chains:
             if one.helper == helper:
                 return one
         return Chain(helper, ())
 
     def reserved(self) -> int:
-        """What turns under way may still put out.
-
-        Example: ``program.used + program.reserved() < program.budget``
-        """
+        """What turns under way may still put out."""
         return sum(one.reserve for one in self.under_way)
 
 
--- a/aspencroft/simulation/alerting_test.py
+++ b/aspencroft/simulation/alerting_test.py
@@ -7,10 +7,7 @@
 
 
 def rule(expression: str, control: str = "", **labels: str) -> dict:
-    """A rule that waits two seconds.
-
-    Example: ``rule("sum(aspencroft_parked) > 5", "keep_awake")``
-    """
+    """A rule that waits two seconds."""
     named = {**({"control": control} if control else {}), **labels}
     return {"alert": "Test", "expr": expression, "for": "2s", "keep_firing_for": "5s", "labels": named}
 
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -120,10 +120,7 @@
         self.requests = 0
 
     async def read_some(self, limit: int) -> bytes:
-        """What came, up to the byte at which the connection ends.
-
-        Example: ``await channel.read_some(65536)``
-        """
+        """What came, up to the byte at which the connection ends."""
         most = self.trouble.request_bytes
         if most is not None and self.read_bytes >= most:
             return await self.end()
@@ -132,10 +129,7 @@
         return data
 
     async def write(self, data: bytes) -> None:
-        """Write up to the byte at which the connection ends.
-
-        Example: ``await channel.write(b"HTTP/1.1 200 OK")``
-        """
+        """Write up to the byte at which the connection ends."""
         if self.trouble.status:
             data = data.replace(b"HTTP/1.1 500", b"HTTP/1.1 %d" % self.trouble.status)
         most = self.trouble.answer_bytes
@@ -147,10 +141,7 @@
             await self.end()
 
     async def end(self) -> bytes:
-        """End the connection, or go silent for good.
-
-        Example: ``await channel.end()``
-        """
+        """End the connection, or go silent for good."""
         if self.trouble.ending == SILENCE:
             await asyncio.Event().wait()
         await clock.sleep(DELIVERED)
@@ -158,17 +149,11 @@
         raise ConnectionResetError("the scene's reset")
 
     def close(self) -> None:
-        """Close the stream.
-
-        Example: ``channel.close()``
-        """
+        """Close the stream."""
         self.channel.close()
 
     def abort(self) -> None:
-        """Reset the stream.
-
-        Example: ``channel.abort()``
-        """
+        """Reset the stream."""
         self.channel.abort()
 
 
@@ -182,10 +167,7 @@
         self.connections = 0
 
     async def converse(self, channel: environment.Channel) -> None:
-        """One connection.
-
-        Example: ``group.create_task(life.converse(channel))``
-        """
+        """One connection."""
         self.connections += 1
         if self.connections > 1:
             return await super().converse(channel)
@@ -196,10 +178,7 @@
         await super().converse(TroubledChannel(channel, self.trouble))
 
     async def answer_in_place(self, channel: environment.Channel) -> None:
-        """Serve the first request, and give another answer in the place of the second one's.
-
-        Example: ``await life.answer_in_place(channel)``
-        """
+        """Serve the first request, and give another answer in the place of the second one's."""
         conversation = worker_server.Conversation(self, channel)
         conversation.owed = b""
         serve = conversation.serve
@@ -223,10 +202,7 @@
         self.commands = commands
 
     async def submit(self, group: int, command, within: datetime.timedelta):
-        """Decide a command.
-
-        Example: ``await group.submit(1, entry.ClaimKey(...), clock.seconds(1))``
-        """
+        """Decide a command."""
         await clock.sleep(clock.seconds(0.001))
         if self.commands is not None:
             self.commands -= 1
@@ -239,20 +215,14 @@
         return reply
 
     def take_over(self, gone: str = "") -> None:
-        """Another primary goes on from the snapshot, and ends what an edge that is gone left behind.
-
-        Example: ``group.take_over("edge-1")``
-        """
+        """Another primary goes on from the snapshot, and ends what an edge that is gone left behind."""
         fresh = ledger.Ledger()
         fresh.restore(b"".join(self.ledger.snapshot_parts()), 0)
         self.ledger = fresh
         self.tick(gone)
 
     def tick(self, gone: str = "") -> None:
-        """Decide what the clock asks for.
-
-        Example: ``group.tick()``
-        """
+        """Decide what the clock asks for."""
         for command in self.ledger.due(clock.now(), lambda edge: edge == gone):
             for event in self.ledger.decide(command, clock.now())[0]:
                 self.ledger.fold(event)
@@ -274,10 +244,7 @@
         self.asked: dict[str, str] = {}
 
     def edge(self, name: str) -> forwarder.Forwarder:
-        """An edge with its own connections.
-
-        Example: ``scene.edge("edge-1")``
-        """
+        """An edge with its own connections."""
         route = http_route.of("route", {**ROUTE, **self.kind.route})
         around = environment.Environment(wire.SimNetwork(self.wire, name), None, None, random.Random(3), None)
         plan = types.SimpleNamespace(
@@ -311,10 +278,7 @@
         return forwarder.Forwarder(own, worker_server.StandDialect(), known, pool.Pool(around, collections.Counter()))
 
     def call_of(self, attempt: str, key: str = "") -> call.Call:
-        """A call of this scene's kind.
-
-        Example: ``scene.call_of("a1")``
-        """
+        """A call of this scene's kind."""
         headers = ((b"host", b"h"), (b"x-attempt", attempt.encode()), (b"x-work-ms", b"5"), *self.kind.headers)
         return call.Call(
             "POST",
@@ -333,10 +297,7 @@
         )
 
     async def ask(self, edge: forwarder.Forwarder, one: call.Call) -> tuple[str, bool, str]:
-        """What a caller is told, whether that promises that nothing ran, and the body if it looks whole.
-
-        Example: ``told, not_run, body = await scene.ask(edge, scene.call_of("a1"))``
-        """
+        """What a caller is told, whether that promises that nothing ran, and the body if it looks whole."""
         seal = ""
         try:
             answer = await edge.take(one)
@@ -352,27 +313,18 @@
         return f"answer {answer.status}", False, f"{seal} {body.decode()}"
 
     def runs_of(self, attempt: str) -> list[tuple[str, worker_server.Run]]:
-        """All runs of an attempt, with their workers.
-
-        Example: ``scene.runs_of("a1")``
-        """
+        """All runs of an attempt, with their workers."""
         return [(life.name, run) for life in self.lives for run in life.runs if run.attempt == attempt]
 
     def check_answer(self, told: str, body: str, *attempts: str) -> list[str]:
-        """What is wrong with an answer: it must be the whole answer of one run of these attempts.
-
-        Example: ``scene.check_answer("answer 200", body, "a1")``
-        """
+        """What is wrong with an answer: it must be the whole answer of one run of these attempts."""
         if not told.startswith("answer"):
             return []
         answers = [f"{run.seal} {run.output.decode()}" for one in attempts for _, run in self.runs_of(one)]
         return [] if body in answers else [f"{attempts[0]} got an answer that none of its runs gave"]
 
     async def start(self) -> None:
-        """Begin the workers' lives.
-
-        Example: ``await scene.start()``
-        """
+        """Begin the workers' lives."""
         for number, life in enumerate(self.lives):
             name = f"w{number}"
             self.loop.begin(name)
@@ -386,10 +338,7 @@
         await clock.sleep(clock.seconds(0.01))
 
     async def first(self, edge: forwarder.Forwarder) -> tuple[str, bool, str]:
-        """The call that meets the trouble.
-
-        Example: ``await scene.first(edge)``
-        """
+        """The call that meets the trouble."""
         if self.trouble.in_place:
             await self.ask(edge, self.call_of("before"))
             edge.instances.end("i-1")
@@ -411,10 +360,7 @@
         return found
 
     async def killed_edge(self, edge: forwarder.Forwarder) -> tuple[str, bool, str]:
-        """The call at an edge that is killed, and whose end the group learns of.
-
-        Example: ``await scene.killed_edge(edge)``
-        """
+        """The call at an edge that is killed, and whose end the group learns of."""
         self.loop.create_task(self.ask(edge, self.call_of("a1")), context=self.loop.context_of("edge-1"))
         await clock.sleep(clock.seconds(self.trouble.edge_ends / 1000))
         self.loop.end("edge-1")
@@ -424,10 +370,7 @@
         return NOBODY
 
     async def play(self) -> Seen:
-        """The call in trouble, the next call at the same edge, and for a key a repeat at another edge.
-
-        Example: ``seen = await scene.play()``
-        """
+        """The call in trouble, the next call at the same edge, and for a key a repeat at another edge."""
         await self.start()
         edge, other = self.edge("edge-1"), self.edge("edge-2")
         self.loop.begin("edge-1")
@@ -459,10 +402,7 @@
         )
 
     async def repeat(self, edge: forwarder.Forwarder, first_body: str) -> tuple[str, list[str]]:
-        """The same key at another edge, behind a takeover of the group.
-
-        Example: ``told, wrong = await scene.repeat(edge, body)``
-        """
+        """The same key at another edge, behind a takeover of the group."""
         self.group.take_over()
         told, _, body = await self.ask(edge, self.call_of("a3", f"{self.kind.key}-a1"))
         await clock.sleep(SETTLED)
@@ -472,10 +412,7 @@
 
 
 async def drain_endings(edge: forwarder.Forwarder, group: GroupStandIn) -> None:
-    """Bring to the group what an edge tells it behind its answers.
-
-    Example: ``asyncio.ensure_future(drain_endings(edge, group))``
-    """
+    """Bring to the group what an edge tells it behind its answers."""
     row = edge.endings.rows[1]
     while True:
         command = await row.get()
@@ -486,10 +423,7 @@
 
 
 def play(kind: Kind, trouble: Trouble) -> Seen:
-    """Play one scene.
-
-    Example: ``play(KINDS[0], Trouble(answer_bytes=10)).told``
-    """
+    """Play one scene."""
     scene = Scene(kind, trouble)
     try:
         return scene.loop.run_until_complete(scene.play())
@@ -558,10 +492,7 @@
 
 
 def faults(**named: float) -> collections.abc.Callable[[Kind], list[Trouble]]:
-    """A trouble of the emulator's own kinds.
-
-    Example: ``faults(lost=1.0)(KINDS[0])``
-    """
+    """A trouble of the emulator's own kinds."""
     return lambda kind: [Trouble(faults=worker_server.Faults(**named))]
 
 
@@ -642,10 +573,7 @@
     seen: list[Seen]
 
     def cells(self) -> tuple[str, ...]:
-        """The row's cells as text.
-
-        Example: ``row.cells()[0] == "safe"``
-        """
+        """The row's cells as text."""
         return (
             self.kind.name,
             self.moment,
@@ -667,10 +595,7 @@
 
 
 def rows() -> list[Row]:
-    """All scenes.
-
-    Example: ``for row in rows(): print(row.cells())``
-    """
+    """All scenes."""
     return [
         Row(kind, moment.name, [play(kind, trouble) for trouble in moment.troubles(kind)])
         for kind in KINDS
@@ -701,10 +626,7 @@
 
 
 def table(found: list[Row]) -> str:
-    """The rows as a table for the docs.
-
-    Example: ``print(table(rows()))``
-    """
+    """The rows as a table for the docs."""
     lines = [HEADER, ("---",) * len(HEADER), *(row.cells() for row in found)]
     return "\n".join(f"| {' | '.join(line)} |" for line in lines) + "\n"
 
--- a/aspencroft/simulation/calls_test.py
+++ b/aspencroft/simulation/calls_test.py
@@ -79,10 +79,7 @@
 
 
 def pair_of(name: str, pairs: int) -> int:
-    """The talk pair of a name.
-
-    Example: ``pair_of("p", 2)``
-    """
+    """The talk pair of a name."""
     return path.pair_of(name, pairs)
 
 
--- a/aspencroft/simulation/campaign.py
+++ b/aspencroft/simulation/campaign.py
@@ -52,10 +52,7 @@
 
 @dataclasses.dataclass
 class Day:
-    """One campaign's course: what operators got acknowledged, and how long service took to return.
-
-    Example: ``await Day(one, chance).run()``
-    """
+    """One campaign's course: what operators got acknowledged, and how long service took to return."""
 
     scene: simulated_cluster.SimulatedCluster
     chance: random.Random
@@ -70,10 +67,7 @@
     hurt: set[str] = dataclasses.field(default_factory=set)
 
     async def run(self) -> None:
-        """Form, write the plan, let traffic and operators run beside faults, end, ask once more.
-
-        Example: ``await day.run()``
-        """
+        """Form, write the plan, let traffic and operators run beside faults, end, ask once more."""
         await self.scene.until(self.scene.formed, 30, "formed")
         self.client = httpx.AsyncClient(transport=wire.SimTransport(self.scene.wire, simulated_cluster.OUTSIDE))
         await self.put_first_plan()
@@ -105,17 +99,11 @@
             await self.operators.read()
 
     def stop_traffic(self) -> None:
-        """Callers and operators begin nothing new.
-
-        Example: ``day.stop_traffic()``
-        """
+        """Callers and operators begin nothing new."""
         self.over = self.operators.over = True
 
     async def faults_at_once(self) -> None:
-        """One fault; now and then a second one begins before it ended.
-
-        Example: ``await day.faults_at_once()``
-        """
+        """One fault; now and then a second one begins before it ended."""
         first = self.chance.choice(self.kinds)
         others = [kind for kind in self.kinds if kind not in SOLO]
         async with asyncio.TaskGroup() as group:
@@ -125,10 +113,7 @@
                 group.create_task(self.fault(self.chance.choice(others)))
 
     async def swing(self) -> None:
-        """Signals on a lane whose services operators change all the time.
-
-        Example: ``group.create_task(day.swing())``
-        """
+        """Signals on a lane whose services operators change all the time."""
         number = 0
         while not self.over:
             number += 1
@@ -136,10 +121,7 @@
             await asyncio.sleep(self.chance.expovariate(4))
 
     async def put_first_plan(self) -> None:
-        """An operator writes the deployment's plan; said again until it is acknowledged.
-
-        Example: ``await day.put_first_plan()``
-        """
+        """An operator writes the deployment's plan; said again until it is acknowledged."""
         for _ in range(10):
             try:
                 response = await self.client.put("http://core-1/plan", json=self.scene.mix.document)
@@ -151,19 +133,13 @@
         raise AssertionError("the first plan was never acknowledged")
 
     def serves(self) -> bool:
-        """Whether every pair is served with two copies, and every edge holds a current plan.
-
-        Example: ``await scene.until(day.serves, 12, "back in service")``
-        """
+        """Whether every pair is served with two copies, and every edge holds a current plan."""
         return self.scene.ready() and all(
             self.scene.nodes[self.scene.leader(pair)].hosts[pair].known.backups for pair in range(3)
         )
 
     async def traffic(self) -> None:
-        """Programs and signals by the mix until the day is over.
-
-        Example: ``group.create_task(day.traffic())``
-        """
+        """Programs and signals by the mix until the day is over."""
         number = 0
         async with asyncio.TaskGroup() as group:
             while not self.over:
@@ -172,10 +148,7 @@
                 await asyncio.sleep(self.chance.expovariate(4))
 
     async def watch_revisions(self) -> None:
-        """No node steps back.
-
-        Example: ``group.create_task(day.watch_revisions())``
-        """
+        """No node steps back."""
         newest: dict[str, int] = collections.defaultdict(int)
         while True:
             for name, own in self.scene.nodes.items():
@@ -186,10 +159,7 @@
             await asyncio.sleep(0.2)
 
     async def fault(self, kind: str) -> None:
-        """Cause one kind of failure, and end it.
-
-        Example: ``await day.fault("kill")``
-        """
+        """Cause one kind of failure, and end it."""
         one, chance = self.scene, self.chance
         self.done.append(f"{one.loop.time():.1f} {kind}")
         disks = [*one.storages, *(one.cores if one.holds.get("core") else ())]
@@ -216,10 +186,7 @@
             self.hurt.discard(victim)
 
     def cut_of(self, kind: str) -> set[tuple[str, str]]:
-        """Cut the network in the way of a kind of fault; the ways that were cut.
-
-        Example: ``ways = day.cut_of("area")``
-        """
+        """Cut the network in the way of a kind of fault; the ways that were cut."""
         one, chance = self.scene, self.chance
         names = one.names()
         if kind == "area":
@@ -242,10 +209,7 @@
         return one.wire.cut(left, [name for name in names if name not in left], kind == "one way")
 
     async def fault_of(self, kind: str, victim: str, long: float) -> None:
-        """Cause a kind of failure at a machine for so long, and end it.
-
-        Example: ``await day.fault_of("kill", "core-0", 2.0)``
-        """
+        """Cause a kind of failure at a machine for so long, and end it."""
         one, chance = self.scene, self.chance
         if kind == "kill":
             one.kill(victim)
@@ -348,10 +312,7 @@
             await asyncio.sleep(long)
 
     async def change_seeds(self) -> None:
-        """An operator names other witnesses; one of the former ones is lost for good afterwards.
-
-        Example: ``await day.change_seeds()``
-        """
+        """An operator names other witnesses; one of the former ones is lost for good afterwards."""
         one = self.scene
         voter_set = one.nodes[one.leader(0)].proposer.voter_set
         able = [f"{name}:1" for name in (*one.cores, *one.edges)]
@@ -378,10 +339,7 @@
                 one.start(name)
 
     async def empty_machine(self, victim: str) -> None:
-        """An operator has a storage machine emptied; once it holds nothing it is switched off for good.
-
-        Example: ``await day.empty_machine("storage-0")``
-        """
+        """An operator has a storage machine emptied; once it holds nothing it is switched off for good."""
         one = self.scene
         fresh = f"storage-{one.made(one.storages) + self.swaps}"
         self.swaps += 1
@@ -408,10 +366,7 @@
         one.disks[victim].wipe()
 
     async def hurt_workers(self, long: float) -> None:
-        """Workers hand requests back, lose answers, cut streams and drop what they keep, for a while.
-
-        Example: ``await day.hurt_workers(3)``
-        """
+        """Workers hand requests back, lose answers, cut streams and drop what they keep, for a while."""
         one, chance = self.scene, self.chance
         for target in one.world.workers():
             target.faults = backend.Faults(
@@ -430,10 +385,7 @@
             target.faults = backend.Faults()
 
     def verdict(self) -> list[str]:
-        """The plain model's word on the whole day.
-
-        Example: ``assert day.verdict() == []``
-        """
+        """The plain model's word on the whole day."""
         one = self.scene
         allowed = frozenset(
             (lane, service) for lane, spec in one.mix.document["lanes"].items() for service in spec["services"]
@@ -504,10 +456,7 @@
 
 
 def flat(group: BaseExceptionGroup) -> list[BaseException]:
-    """The exceptions in a group of groups.
-
-    Example: ``flat(ExceptionGroup("", [ValueError()]))``
-    """
+    """The exceptions in a group of groups."""
     found = []
     for error in group.exceptions:
         found.extend(flat(error) if isinstance(error, BaseExceptionGroup) else [error])
--- a/aspencroft/simulation/consensus_model.py
+++ b/aspencroft/simulation/consensus_model.py
@@ -91,10 +91,7 @@
     step: datetime.timedelta = witness_state.LEASE
 
     def addresses(self) -> tuple[str, ...]:
-        """All nodes that are voters at any time.
-
-        Example: ``Scenario(("a", "b", "c"), ("c", "d", "e")).addresses()``
-        """
+        """All nodes that are voters at any time."""
         return tuple(dict.fromkeys(self.voters + self.coming))
 
 
@@ -234,10 +231,7 @@
         self.parts: list = []
 
     def of(self, part) -> int:
-        """The number of a part.
-
-        Example: ``interner.of(part) == interner.of(part)``
-        """
+        """The number of a part."""
         key = part.key() if isinstance(part, VoterNode) else part
         number = self.numbers.get(key)
         if number is None:
@@ -277,10 +271,7 @@
 
 
 class ConsensusModel:
-    """Voters, candidates, messages, restarts and the clock.
-
-    Example: ``explorer.explore(ConsensusModel(Scenario()), explorer.Bound(10, 10_000))``
-    """
+    """Voters, candidates, messages, restarts and the clock."""
 
     def __init__(self, scenario: Scenario):
         self.scenario = scenario
--- a/aspencroft/simulation/cutoff.py
+++ b/aspencroft/simulation/cutoff.py
@@ -42,8 +42,6 @@
 
     A node is in touch once its own life, its ways to and from all cores that reach a majority, and the core itself
     have been calm for as long as the bounds say.
-
-    Example: ``Contact(scene, Bounds()).sample()``
     """
 
     def __init__(self, scene: simulated_cluster.SimulatedCluster, bounds: Bounds):
@@ -57,33 +55,21 @@
         self.seen: tuple = ()
 
     def linked(self, one: str, other: str) -> bool:
-        """Whether two nodes reach each other in both directions.
-
-        Example: ``contact.linked("edge-0", "core-1")``
-        """
+        """Whether two nodes reach each other in both directions."""
         return not self.scene.wire.is_cut(one, other) and not self.scene.wire.is_cut(other, one)
 
     def running(self) -> list[str]:
-        """The cores that run.
-
-        Example: ``"core-0" in contact.running()``
-        """
+        """The cores that run."""
         return [name for name in self.scene.cores if self.scene.alive(name)]
 
     def majority(self) -> list[str]:
-        """The running cores that reach more than half of the core, themselves included.
-
-        Example: ``contact.majority() == scene.cores``
-        """
+        """The running cores that reach more than half of the core, themselves included."""
         running = self.running()
         enough = len(self.scene.cores) // 2 + 1
         return [one for one in running if sum(self.linked(one, other) for other in running) >= enough]
 
     def sample(self) -> None:
-        """Look at lives and cuts now.
-
-        Example: ``contact.sample()``
-        """
+        """Look at lives and cuts now."""
         now, running, majority = self.scene.loop.time(), self.running(), self.majority()
         seen = (
             tuple((name, self.scene.loop.lives.get(name)) for name in [*self.scene.cores, *self.scene.storages]),
@@ -105,25 +91,16 @@
                 self.isolated.setdefault(name, now)
 
     def undisturbed(self, name: str) -> bool:
-        """Whether a node itself and its ways to the majority have been calm for long enough.
-
-        Example: ``contact.undisturbed("edge-0")``
-        """
+        """Whether a node itself and its ways to the majority have been calm for long enough."""
         now = self.scene.loop.time()
         return self.scene.alive(name) and now - self.disturbed.get(name, 0.0) >= self.bounds.contact
 
     def settled(self) -> bool:
-        """Whether the core has been calm for long enough.
-
-        Example: ``contact.settled()``
-        """
+        """Whether the core has been calm for long enough."""
         return self.scene.loop.time() - max(self.core_changed, self.majority_lost) >= self.bounds.contact
 
     def cut_off(self, name: str) -> bool:
-        """Whether a node has had no way to and from any core of the majority for longer than a lease.
-
-        Example: ``contact.cut_off("core-0")``
-        """
+        """Whether a node has had no way to and from any core of the majority for longer than a lease."""
         since = self.isolated.get(name)
         return since is not None and self.scene.loop.time() - since > LEASE
 
@@ -132,9 +109,8 @@
 
 
 def cut(scene: simulated_cluster.SimulatedCluster, kind: str, side: list[str], rest: list[str]) -> None:
-    """Cut a side off: in one direction or both, with new streams swallowed or refused, and the open ones reset or held.
-
-    Example: ``cut(scene, "out", ["core-0"], scene.cores[1:])``
+    """Cut a side off: in one direction or both, with new streams swallowed or refused, and the open ones reset or
+    held.
     """
     rest = [name for name in rest if name not in side]
     if kind == "in":
@@ -157,10 +133,7 @@
 
 
 async def random_trouble(scene: simulated_cluster.SimulatedCluster, trial: "Trial", rounds: int = ROUNDS) -> None:
-    """Cuts of cores, alone or with edges, for up to twenty seconds; now and then a core restarts behind its cut.
-
-    Example: ``await trial.play(lambda: random_trouble(scene, trial))``
-    """
+    """Cuts of cores, alone or with edges, for up to twenty seconds; now and then a core restarts behind its cut."""
     chance = trial.chance
     for _ in range(rounds):
         await asyncio.sleep(2 + 5 * chance.random())
@@ -198,10 +171,7 @@
     trouble: collections.abc.Callable[..., collections.abc.Coroutine],
     size: simulated_cluster.Size,
 ) -> "Trial":
-    """Form a cluster, then order, read and watch while trouble takes its course; the trial with its faults.
-
-    Example: ``play(1, random_trouble, simulated_cluster.Size(24, 3, 5, apart=True)).faults``
-    """
+    """Form a cluster, then order, read and watch while trouble takes its course; the trial with its faults."""
     trials = []
 
     async def story(scene: simulated_cluster.SimulatedCluster) -> None:
@@ -216,10 +186,7 @@
 
 
 class Trial:
-    """An operator that orders and reads at random cores, and a watch over what nodes hold.
-
-    Example: ``await Trial(scene, random.Random(1)).operate()``
-    """
+    """An operator that orders and reads at random cores, and a watch over what nodes hold."""
 
     def __init__(
         self,
@@ -238,26 +205,18 @@
         self.over = False
 
     def newest(self, within: float = 0.0) -> int:
-        """The newest version acknowledged that long ago or longer.
-
-        Example: ``trial.newest(2.0)``
-        """
+        """The newest version acknowledged that long ago or longer."""
         now = self.scene.loop.time()
         return max((version for version, at in self.acknowledged.items() if at + within <= now), default=0)
 
     def fault(self, text: str) -> None:
-        """Note what was wrong, with its time.
-
-        Example: ``trial.fault("core-1 served a read")``
-        """
+        """Note what was wrong, with its time."""
         self.faults.append(f"{self.scene.loop.time():.2f} {text}")
 
     async def at(self, name: str, work: collections.abc.Callable[[], collections.abc.Coroutine]):
         """What a node answers within a second of silence: a reply, a refusal, or none where it has no process.
 
         A process that was killed meanwhile owes no answer, whether or not another one has begun in its place.
-
-        Example: ``await trial.at("core-1", scene.nodes["core-1"].read_configuration)``
         """
         began, life = self.scene.loop.time(), self.scene.loop.lives.get(name)
         task = self.scene.loop.create_task(work(), context=self.scene.loop.context_of(name))
@@ -283,17 +242,11 @@
         return error
 
     def own(self, name: str):
-        """A node whose process runs, or none.
-
-        Example: ``trial.own("core-0").relay``
-        """
+        """A node whose process runs, or none."""
         return self.scene.nodes.get(name) if self.scene.alive(name) else None
 
     async def order(self, version: int) -> None:
-        """Have a version taken, trying one core after another.
-
-        Example: ``await trial.order(3)``
-        """
+        """Have a version taken, trying one core after another."""
         command = command_of(version)
         calm_since = None
         while not self.over:
@@ -315,10 +268,7 @@
             await asyncio.sleep(PAUSE)
 
     async def read(self, name: str) -> None:
-        """Read at one core: what comes back is as new as all that was acknowledged before.
-
-        Example: ``await trial.read("core-0")``
-        """
+        """Read at one core: what comes back is as new as all that was acknowledged before."""
         own, due = self.own(name), self.newest()
         if own is None:
             return
@@ -330,10 +280,7 @@
             self.fault(f"{name} read {reply.version} though {due} was acknowledged")
 
     async def operate(self) -> None:
-        """Order version after version, and read now and then.
-
-        Example: ``group.create_task(trial.operate())``
-        """
+        """Order version after version, and read now and then."""
         version = 0
         while not self.over:
             version += 1
@@ -342,10 +289,7 @@
             await asyncio.sleep(self.chance.random() * 0.8)
 
     def judge(self) -> None:
-        """No edge in touch may hold less than what was acknowledged a while ago, and none may step back.
-
-        Example: ``trial.judge()``
-        """
+        """No edge in touch may hold less than what was acknowledged a while ago, and none may step back."""
         calm = self.contact.settled()
         outer = self.scene.loop.time() - self.contact.majority_lost >= self.bounds.apply + self.bounds.outer
         for name in self.scene.edges:
@@ -360,10 +304,7 @@
                 self.fault(f"{name} in touch may not act on its configuration")
 
     def judge_roots(self) -> None:
-        """A node that hands out configuration as its root holds all that was acknowledged before it began.
-
-        Example: ``trial.judge_roots()``
-        """
+        """A node that hands out configuration as its root holds all that was acknowledged before it began."""
         due = self.newest(ROOT_SLACK)
         for name in self.scene.cores:
             own = self.own(name)
@@ -371,10 +312,7 @@
                 self.fault(f"{name} is the root with {own.relay.plan.version}, not {due}")
 
     async def watch(self) -> None:
-        """Sample and judge again and again.
-
-        Example: ``group.create_task(trial.watch())``
-        """
+        """Sample and judge again and again."""
         held: dict[tuple[str, int], int] = {}
         while not self.over:
             self.contact.sample()
@@ -391,10 +329,7 @@
             await asyncio.sleep(SAMPLE)
 
     async def play(self, trouble: collections.abc.Callable[[], collections.abc.Coroutine]) -> None:
-        """Order, read and watch while trouble takes its course.
-
-        Example: ``await trial.play(trouble)``
-        """
+        """Order, read and watch while trouble takes its course."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.watch())
             group.create_task(self.operate())
--- a/aspencroft/simulation/disk.py
+++ b/aspencroft/simulation/disk.py
@@ -18,10 +18,7 @@
 
 
 def names_in(folder: pathlib.Path) -> dict[str, int]:
-    """The names in a folder with the inode of each file, or ``FOLDER``.
-
-    Example: ``names_in(path) == {"current": 17, "generation-1": FOLDER}``
-    """
+    """The names in a folder with the inode of each file, or ``FOLDER``."""
     return {path.name: FOLDER if path.is_dir() else path.stat().st_ino for path in folder.iterdir()}
 
 
@@ -29,10 +26,7 @@
 
 
 class LimitedFile:
-    """A file on a disk with so much space left: what does not fit is written in part, then refused.
-
-    Example: ``LimitedFile(path.open("wb"), disk).write(b"x")``
-    """
+    """A file on a disk with so much space left: what does not fit is written in part, then refused."""
 
     def __init__(self, file: typing.IO, machine: "SimDisk"):
         self.file = file
@@ -48,10 +42,7 @@
         return getattr(self.file, name)
 
     def write(self, data: str | bytes) -> int:
-        """Write what there is space for.
-
-        Example: ``file.write(b"x")``
-        """
+        """Write what there is space for."""
         fits = data[: self.machine.space]
         self.file.write(fits)
         self.file.flush()
@@ -66,8 +57,6 @@
 
     Files last up to the bytes that were synced, names of files and folders once the folder that holds them was synced.
     Hard links beside the folder keep what a lost rename or removal brings back.
-
-    Example: ``disk.power_loss()`` drops unsynced bytes and names, each by its own chance.
     """
 
     def __init__(self, folder: pathlib.Path, chance: random.Random):
@@ -85,17 +74,12 @@
         """Do file work, half of the disk's delay before and half behind it.
 
         As with a thread of a real disk, work that has begun goes on when the caller is cancelled, who waits for it.
-
-        Example: ``await disk.perform(path.read_bytes)``
         """
         self.counts["performs"] += 1
         return await uninterrupted.finish(self.work(function, arguments))
 
     async def work(self, function: typing.Callable, arguments: tuple):
-        """What a thread of the disk does.
-
-        Example: ``await disk.work(path.read_bytes, ())``
-        """
+        """What a thread of the disk does."""
         delay = self.delay * (0.5 + self.chance.random())
         await asyncio.sleep(delay / 2)
         if self.stalled is not None:
@@ -107,10 +91,7 @@
         return found
 
     def within_space(self, function: typing.Callable, arguments: tuple):
-        """Do file work with the space that is left; no limit where ``space`` is none.
-
-        Example: ``disk.within_space(path.write_bytes, (b"x",))``
-        """
+        """Do file work with the space that is left; no limit where ``space`` is none."""
         if self.space is None:
             return function(*arguments)
 
@@ -122,26 +103,17 @@
             return function(*arguments)
 
     def stall(self) -> None:
-        """Let no work return until ``resume``.
-
-        Example: ``disk.stall()``
-        """
+        """Let no work return until ``resume``."""
         self.stalled = asyncio.Event()
 
     def resume(self) -> None:
-        """Let the work go on that hung.
-
-        Example: ``disk.resume()``
-        """
+        """Let the work go on that hung."""
         if self.stalled is not None:
             self.stalled.set()
         self.stalled = None
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """Note that a file's bytes, or a folder's names, last from now on.
-
-        Example: ``disk.synchronise(path)``
-        """
+        """Note that a file's bytes, or a folder's names, last from now on."""
         self.counts["syncs"] += 1
         if self.failing_sync:
             raise OSError(errno.EIO, os.strerror(errno.EIO), str(path))
@@ -156,27 +128,18 @@
             self.synced[path.stat().st_ino] = path.stat().st_size
 
     def links(self) -> pathlib.Path:
-        """The folder of hard links, outside of the disk's own.
-
-        Example: ``disk.links()``
-        """
+        """The folder of hard links, outside of the disk's own."""
         return self.folder.parent / f"{self.folder.name}.links"
 
     def keep_inode(self, path: pathlib.Path, inode: int) -> None:
-        """Keep a file's bytes reachable after its name is gone; its number is not used again either.
-
-        Example: ``disk.keep_inode(path, path.stat().st_ino)``
-        """
+        """Keep a file's bytes reachable after its name is gone; its number is not used again either."""
         self.links().mkdir(parents=True, exist_ok=True)
         link = self.links() / str(inode)
         if not link.exists():
             os.link(path, link)
 
     def forget_unused(self) -> None:
-        """Let go of files that no name leads to, neither now nor after a loss of power.
-
-        Example: ``disk.forget_unused()``
-        """
+        """Let go of files that no name leads to, neither now nor after a loss of power."""
         for folder in list(self.durable):
             named = folder == self.folder or folder.name in self.durable.get(folder.parent, {})
             if not named and not folder.exists():
@@ -192,8 +155,6 @@
 
         A name that was made, renamed or removed without a sync of its folder is kept or goes back; an unsynced block is
         there, missing or torn, and at times all of them are gone.
-
-        Example: ``disk.power_loss()``
         """
         if self.folder.exists():
             self.settle_names(self.folder)
@@ -203,10 +164,7 @@
         self.note_all()
 
     def settle_names(self, folder: pathlib.Path) -> None:
-        """Keep each changed name of a folder, or put back what was there at its last sync.
-
-        Example: ``disk.settle_names(disk.folder)``
-        """
+        """Keep each changed name of a folder, or put back what was there at its last sync."""
         present, lasting = names_in(folder), self.durable.get(folder, {})
         for name in sorted({*present, *lasting}):
             if present.get(name) == lasting.get(name) or self.chance.random() < 0.5:
@@ -225,10 +183,7 @@
                 self.settle_names(path)
 
     def lose_blocks(self, path: pathlib.Path) -> None:
-        """Lose unsynced blocks of a file, each by its own chance.
-
-        Example: ``disk.lose_blocks(path)``
-        """
+        """Lose unsynced blocks of a file, each by its own chance."""
         data = path.read_bytes()
         lasting = min(self.synced.get(path.stat().st_ino, 0), len(data))
         tail = bytearray(data[lasting:])
@@ -248,30 +203,21 @@
         path.write_bytes(data[:lasting] + tail)
 
     def note_all(self) -> None:
-        """What is there after a loss of power lasts.
-
-        Example: ``disk.note_all()``
-        """
+        """What is there after a loss of power lasts."""
         self.durable.clear()
         for path in (self.folder, *sorted(self.folder.rglob("*"))):
             if path.exists():
                 self.synchronise(path)
 
     def wipe(self) -> None:
-        """The machine was swapped for one with an empty disk.
-
-        Example: ``disk.wipe()``
-        """
+        """The machine was swapped for one with an empty disk."""
         shutil.rmtree(self.folder, ignore_errors=True)
         shutil.rmtree(self.links(), ignore_errors=True)
         self.synced.clear()
         self.durable.clear()
 
     def lose_last(self) -> int:
-        """The disk loses just the last value of each store, though it was synced; how many were lost.
-
-        Example: ``disk.lose_last()``
-        """
+        """The disk loses just the last value of each store, though it was synced; how many were lost."""
         lost = 0
         for path in sorted(self.folder.rglob("*.dat")):
             places = store.scan(path.read_bytes()).places
@@ -281,10 +227,7 @@
         return lost
 
     def damage(self) -> None:
-        """Flip bytes in the middle of a data file.
-
-        Example: ``disk.damage()``
-        """
+        """Flip bytes in the middle of a data file."""
         files = [path for path in sorted(self.folder.rglob("*.dat")) if path.stat().st_size > 2 * store.BLOCK]
         for path in files:
             data = bytearray(path.read_bytes())
--- a/aspencroft/simulation/explorer.py
+++ b/aspencroft/simulation/explorer.py
@@ -40,20 +40,14 @@
     trace: tuple[str, ...]
 
     def text(self) -> str:
-        """One line for people.
-
-        Example: ``print(explore(model, bound).text())``
-        """
+        """One line for people."""
         reach = "all states" if self.complete else f"whole to depth {self.depth}"
         verdict = self.violation or "no invariant broken"
         return f"{self.states} states, {self.steps} steps, {reach}, {self.seconds:.1f} s: {verdict}"
 
 
 def explore(model: Model, bound: Bound) -> Exploration:
-    """Visit every state within the bound once, nearest first.
-
-    Example: ``explore(model, Bound(depth=12, states=100_000)).violation is None``
-    """
+    """Visit every state within the bound once, nearest first."""
     gc.disable()
     try:
         return search(model, bound)
@@ -62,10 +56,7 @@
 
 
 def search(model: Model, bound: Bound) -> Exploration:
-    """The search itself; states are never in cycles, so that nothing is lost without the garbage collector.
-
-    Example: ``search(model, bound).states``
-    """
+    """The search itself; states are never in cycles, so that nothing is lost without the garbage collector."""
     began = time.perf_counter()
     first = model.initial()
     reached: dict[typing.Hashable, tuple[typing.Hashable, str] | None] = {first: None}
@@ -93,10 +84,7 @@
 
 
 def trace_to(state: typing.Hashable, reached: dict) -> tuple[str, ...]:
-    """The names of the steps that led to a state.
-
-    Example: ``trace_to(first, reached) == ()``
-    """
+    """The names of the steps that led to a state."""
     names = []
     while reached[state] is not None:
         state, name = reached[state]
--- a/aspencroft/simulation/faulty_list_server.py
+++ b/aspencroft/simulation/faulty_list_server.py
@@ -52,10 +52,7 @@
 
 
 def mutated(value, chance: random.Random):
-    """A JSON value with one place in it made odd.
-
-    Example: ``mutated({"a": [1]}, random.Random(1))``
-    """
+    """A JSON value with one place in it made odd."""
     if isinstance(value, dict) and value and chance.random() < 0.8:
         name = chance.choice(sorted(value))
         if chance.random() < 0.15:
@@ -68,10 +65,7 @@
 
 
 def odd_bytes(sound: bytes, chance: random.Random) -> bytes:
-    """A page's bytes made wrong: another page, a changed value, a cut, a flipped byte.
-
-    Example: ``odd_bytes(b'{"workers": []}', random.Random(1))``
-    """
+    """A page's bytes made wrong: another page, a changed value, a cut, a flipped byte."""
     how = chance.randrange(4)
     if how == 0:
         return chance.choice(RAW)
@@ -91,10 +85,7 @@
 
 
 class Liar:
-    """A page's application whose answers are made wrong for a share of requests.
-
-    Example: ``one.wire.pages["platform:80"] = ("platform", Liar(sound, chance, 0.5))``
-    """
+    """A page's application whose answers are made wrong for a share of requests."""
 
     def __init__(self, sound, chance: random.Random, share: float):
         self.sound = sound
