--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -118,20 +118,14 @@
 
 
 class Door:
-    """A caller's way to one edge: the call is served in the edge's own life, as its front would.
-
-    Example: ``await Door(world, "edge-0").ask(call)``
-    """
+    """A caller's way to one edge: the call is served in the edge's own life, as its front would."""
 
     def __init__(self, world: "World", name: str):
         self.world = world
         self.name = name
 
     async def ask(self, one: call.Call) -> call.Answer:
-        """Have a call served; Gone when the edge is not there or ends.
-
-        Example: ``answer = await door.ask(call)``
-        """
+        """Have a call served; Gone when the edge is not there or ends."""
         world, visit = self.world, Visit(asyncio.Queue())
         await asyncio.sleep(WAY)
         if not world.alive(self.name) or self.name not in world.forwarders:
@@ -156,20 +150,14 @@
                 self.leave(visit)
 
     def leave(self, visit: Visit) -> None:
-        """The caller is gone; the edge hears of it.
-
-        Example: ``door.leave(visit)``
-        """
+        """The caller is gone; the edge hears of it."""
         world = self.world
         world.visits[self.name].pop(visit, None)
         if visit.task is not None and not visit.task.done() and world.alive(self.name):
             world.loop.call_later(WAY, visit.task.cancel, context=world.loop.context_of(self.name))
 
     async def parts(self, visit: Visit) -> collections.abc.AsyncIterator[bytes]:
-        """What comes of a stream.
-
-        Example: ``async for part in door.parts(visit): ...``
-        """
+        """What comes of a stream."""
         try:
             while True:
                 kind, value = await visit.told.get()
@@ -182,17 +170,11 @@
             self.leave(visit)
 
     def tell(self, visit: Visit, kind: str, value=None) -> None:
-        """Send something back to the caller.
-
-        Example: ``door.tell(visit, "part", b"x")``
-        """
+        """Send something back to the caller."""
         self.world.wire.outside(WAY, visit.told.put_nowait, (kind, value))
 
     async def serve(self, forwarding: forwarder.Forwarder, one: call.Call, visit: Visit) -> None:
-        """What the edge's process does with a call.
-
-        Example: ``loop.create_task(door.serve(forwarding, call, visit), context=context)``
-        """
+        """What the edge's process does with a call."""
         try:
             answer = await forwarding.take(dataclasses.replace(one, arrived=clock.now()))
         except result.RequestError as refusal:
@@ -219,10 +201,7 @@
 
 
 class Cloud:
-    """The platform's list of workers: it lags, bounds how often it is asked, and can be silent.
-
-    Example: ``cloud.change(found)``; ``cloud.shown(12.0)``
-    """
+    """The platform's list of workers: it lags, bounds how often it is asked, and can be silent."""
 
     def __init__(self):
         self.history: list[tuple[float, tuple[instance.Instance, ...]]] = [(-10.0, ())]
@@ -231,17 +210,11 @@
         self.reads = 0
 
     def change(self, now: float, found: tuple[instance.Instance, ...]) -> None:
-        """The list is this from now on; it shows so later.
-
-        Example: ``cloud.change(1.0, (one,))``
-        """
+        """The list is this from now on; it shows so later."""
         self.history.append((now + LIST_LAG, found))
 
     def shown(self, now: float) -> list[instance.Instance]:
-        """What the list shows; a Refusal when it is asked too often.
-
-        Example: ``cloud.shown(2.0)``
-        """
+        """What the list shows; a Refusal when it is asked too often."""
         self.reads += 1
         while self.asked and self.asked[0] < now - 1:
             self.asked.popleft()
@@ -252,10 +225,7 @@
 
 
 class World(simulated_cluster.SimulatedCluster):
-    """A scene whose edges forward opaque calls, with workers, a list of them, and what is noted for the judge.
-
-    Example: ``play(7, story)``
-    """
+    """A scene whose edges forward opaque calls, with workers, a list of them, and what is noted for the judge."""
 
     def __init__(self, seed: int, size: simulated_cluster.Size, folder: pathlib.Path):
         more = {
@@ -285,29 +255,20 @@
     # -- nodes -----------------------------------------------------------------------------------
 
     def begin_world(self) -> None:
-        """Start the workers, and the platform's look at the edges.
-
-        Example: ``world.begin_world()``
-        """
+        """Start the workers, and the platform's look at the edges."""
         self.loop.begin(simulated_cluster.OUTSIDE)
         for service, work, count in FLEET:
             for number in range(count):
                 self.begin_worker(f"{service}-{number}", service, work)
 
     def start(self, name: str) -> None:
-        """Start a node's process.
-
-        Example: ``world.start("edge-0")``
-        """
+        """Start a node's process."""
         self.dark.discard(name)
         self.lives[name].append(self.loop.time())
         super().start(name)
 
     async def live(self, name: str, place: settings.Settings, around: environment.Environment) -> None:
-        """A node's process, as the programs build it.
-
-        Example: ``loop.create_task(world.live(name, place, around), context=context)``
-        """
+        """A node's process, as the programs build it."""
         try:
             own = node.Node(place, around)
             self.nodes[name] = own
@@ -322,10 +283,7 @@
             raise
 
     def works(self, name: str, own: node.Node) -> list:
-        """What a node's program does beside being a node.
-
-        Example: ``world.works("edge-0", own)``
-        """
+        """What a node's program does beside being a node."""
 
         async def lister() -> list[instance.Instance]:
             await asyncio.sleep(2 * WAY)
@@ -345,37 +303,25 @@
         return []
 
     def kill(self, name: str) -> None:
-        """End a node's process without a word from itself; its machine goes on.
-
-        Example: ``world.kill("edge-0")``
-        """
+        """End a node's process without a word from itself; its machine goes on."""
         super().kill(name)
         self.end_visits(name, True)
 
     def power_off(self, name: str) -> None:
-        """The machine loses power.
-
-        Example: ``world.power_off("storage-0")``
-        """
+        """The machine loses power."""
         super().power_off(name)
         self.dark.add(name)
         self.end_visits(name, False)
 
     def end_visits(self, name: str, told: bool) -> None:
-        """An edge ended: its callers hear of it, or not.
-
-        Example: ``world.end_visits("edge-0", True)``
-        """
+        """An edge ended: its callers hear of it, or not."""
         self.forwarders.pop(name, None)
         for visit in self.visits.pop(name, ()):
             if told:
                 self.wire.outside(WAY, visit.told.put_nowait, ("gone", None))
 
     async def stop(self, name: str) -> None:
-        """Stop a node in order, as the programs do.
-
-        Example: ``await world.stop("edge-0")``
-        """
+        """Stop a node in order, as the programs do."""
         own, forwarding = self.nodes[name], self.forwarders.get(name)
 
         async def whole() -> None:
@@ -392,26 +338,19 @@
         self.kill(name)
 
     def reset_streams(self, name: str) -> None:
-        """All streams of a machine are reset; its processes go on.
-
-        Example: ``world.reset_streams("storage-0")``
-        """
+        """All streams of a machine are reset; its processes go on."""
         for near_node, far_node, near, far in self.wire.channels:
             if name in (near_node, far_node):
                 near.abort()
                 far.abort()
 
     def formed(self) -> bool:
-        """Whether all groups are served.
-
-        Example: ``await world.until(world.formed, 20, "formed")``
-        """
+        """Whether all groups are served."""
         return all(self.leader(group) for group in range(1 + GROUPS))
 
     def whole(self) -> bool:
-        """Whether all groups are served with all their copies, all witnesses are there, and every living edge may act.
-
-        Example: ``await world.until(world.whole, 12, "whole")``
+        """Whether all groups are served with all their copies, all witnesses are there, and every living edge may
+        act.
         """
         witnesses = {
             address.split(":")[0]
@@ -430,10 +369,7 @@
         )
 
     async def watch_readiness(self) -> None:
-        """The platform's look at each edge: two misses take it out, one answer in.
-
-        Example: ``group.create_task(world.watch_readiness())``
-        """
+        """The platform's look at each edge: two misses take it out, one answer in."""
         misses: collections.Counter = collections.Counter()
         while True:
             for name in self.edges:
@@ -448,10 +384,7 @@
             await asyncio.sleep(READY_EVERY)
 
     def left_over(self) -> list[str]:
-        """What the edges still hold though no call is under way.
-
-        Example: ``world.left_over() == []``
-        """
+        """What the edges still hold though no call is under way."""
         found = []
         for name, forwarding in self.forwarders.items():
             connections = forwarding.pool
@@ -466,17 +399,11 @@
         return found
 
     def is_ready(self, name: str) -> bool:
-        """What an edge says of itself.
-
-        Example: ``world.is_ready("edge-0")``
-        """
+        """What an edge says of itself."""
         return self.loop.context_of(name).run(self.forwarders[name].ready)
 
     def doors(self) -> list[Door]:
-        """The edges that take new connections: all of them when fewer than half are in.
-
-        Example: ``world.doors()[0].name``
-        """
+        """The edges that take new connections: all of them when fewer than half are in."""
         able = [name for name in self.edges if name in self.ready_edges]
         return [Door(self, name) for name in (able if 2 * len(able) >= len(self.edges) else self.edges)]
 
@@ -486,8 +413,6 @@
         """Do something in a node's own life, as its control point would.
 
         Gone when it ends, TimeoutError when it is silent.
-
-        Example: ``await world.at_node("core-0", lambda own: own.read_configuration(), 1.0)``
         """
         await asyncio.sleep(WAY)
         if not self.alive(name) or name not in self.nodes:
@@ -519,10 +444,7 @@
 
     @contextlib.contextmanager
     def trouble(self, name: str, planned: bool = False):
-        """A machine's time of trouble, for the judge.
-
-        Example: ``with world.trouble("edge-0"): ...``
-        """
+        """A machine's time of trouble, for the judge."""
         one = rules.Trouble(name, self.loop.time(), planned)
         self.troubles.append(one)
         try:
@@ -533,10 +455,7 @@
     # -- workers ---------------------------------------------------------------------------------
 
     def begin_worker(self, host: str, service: str, work: worker_server.Work) -> worker_server.Worker:
-        """Start a worker's life at a host; the list shows it.
-
-        Example: ``world.begin_worker("chat-a-0", "chat-a", MODEL)``
-        """
+        """Start a worker's life at a host; the list shows it."""
         name = f"i-{len(self.workers)}"
         zone = simulated_cluster.AREAS[len(self.workers) % 3]
         life = worker_server.Worker(
@@ -559,24 +478,15 @@
         return life
 
     def list_workers(self) -> None:
-        """Let the platform's list show what is there now.
-
-        Example: ``world.list_workers()``
-        """
+        """Let the platform's list show what is there now."""
         self.cloud.change(self.loop.time(), tuple(self.listed.values()))
 
     def shown_as_leaving(self, life: worker_server.Worker) -> None:
-        """A worker is shown as draining or gone from now on, with the list's lag.
-
-        Example: ``world.shown_as_leaving(life)``
-        """
+        """A worker is shown as draining or gone from now on, with the list's lag."""
         self.draining.setdefault(life.name, self.loop.time() + LIST_LAG)
 
     def end_worker(self, host: str) -> None:
-        """A worker's process ends.
-
-        Example: ``world.end_worker("chat-a-0")``
-        """
+        """A worker's process ends."""
         self.loop.end(host)
         self.wire.drop(host, silent=False)
         self.at[host].ended = True
@@ -585,8 +495,6 @@
         """A worker drains and ends; another takes its service over elsewhere.
 
         And a later one of another service its address.
-
-        Example: ``await world.release_worker("chat-a-0", 3.0)``
         """
         life = self.at[host]
         fresh = f"{life.service}-{len(self.workers)}"
@@ -604,18 +512,12 @@
         self.reuse(host, life.service)
 
     def reuse(self, host: str, service: str) -> None:
-        """An address is given to a worker of another service.
-
-        Example: ``world.reuse("chat-a-0", "chat-a")``
-        """
+        """An address is given to a worker of another service."""
         other = self.chance.choice(sorted({name for name, _, _ in FLEET} - {service}))
         self.begin_worker(host, other, next(work for name, work, _ in FLEET if name == other))
 
     async def crash_worker(self, host: str) -> None:
-        """A worker crashes; the list shows it for some seconds, while its address may be another's already.
-
-        Example: ``await world.crash_worker("chat-a-0")``
-        """
+        """A worker crashes; the list shows it for some seconds, while its address may be another's already."""
         life = self.at[host]
         self.end_worker(host)
         await asyncio.sleep(REUSE)
@@ -627,10 +529,7 @@
         self.shown_as_leaving(life)
 
     def note_refusal(self, one: call.Call, refusal: result.RequestError) -> None:
-        """Note how full the workers that could serve a call were when it was refused.
-
-        Example: ``world.note_refusal(call, refusal)``
-        """
+        """Note how full the workers that could serve a call were when it was refused."""
         if refusal.result.name not in rules.NOT_OWN:
             return
         services = self.allowed(one)
@@ -648,10 +547,7 @@
 
 
 class Operator:
-    """Whoever writes configurations: one after the other, races, invalid ones; each repeated until it is clear.
-
-    Example: ``await Operator(world, random.Random(1)).first()``
-    """
+    """Whoever writes configurations: one after the other, races, invalid ones; each repeated until it is clear."""
 
     def __init__(self, world: World, chance: random.Random):
         self.world = world
@@ -666,10 +562,7 @@
         self.busy = asyncio.Lock()
 
     def begin(self) -> None:
-        """What the first configuration holds.
-
-        Example: ``operator.begin()``
-        """
+        """What the first configuration holds."""
         for service, work, _ in FLEET:
             spec = {"kind": "model" if work.shape else "plain", "max_connections": work.connections}
             if work.shape:
@@ -698,10 +591,7 @@
             }
 
     def version(self, routes: dict[str, dict], base: int, valid: bool = True, step: int | None = None) -> rules.Version:
-        """A version that an operator means to send.
-
-        Example: ``operator.version(routes, 0)``
-        """
+        """A version that an operator means to send."""
         self.number += self.chance.randrange(1, 4) if step is None else step
         items = {(ROUTES, name): json.dumps(spec, sort_keys=True) for name, spec in routes.items()}
         items.update({(SERVICES, name): json.dumps(spec, sort_keys=True) for name, spec in self.services.items()})
@@ -712,10 +602,7 @@
     def command(
         self, one: rules.Version, before: dict[tuple[str, str], str] | None
     ) -> operator_configuration.ApplyConfiguration:
-        """The order for a version, whole or as what differs from the one before.
-
-        Example: ``operator.command(version, None)``
-        """
+        """The order for a version, whole or as what differs from the one before."""
         kinds = {ROUTES: "http_routes", SERVICES: "services"}
         items = tuple(
             operator_configuration.Item(group, name, text, kinds[group], name, text)
@@ -735,10 +622,7 @@
     async def send(
         self, one: rules.Version, command: operator_configuration.ApplyConfiguration, span: float = 30.0
     ) -> str:
-        """Send an order until the answer is clear, to one node after the other; how it ended.
-
-        Example: ``await operator.send(version, command)``
-        """
+        """Send an order until the answer is clear, to one node after the other; how it ended."""
         world, began, pause = self.world, self.world.loop.time(), 0.05
         one.sent = began
         while world.loop.time() < began + span:
@@ -763,10 +647,7 @@
         return "unclear"
 
     async def first(self) -> None:
-        """Have the first configuration taken.
-
-        Example: ``await operator.first()``
-        """
+        """Have the first configuration taken."""
         self.begin()
         one = self.version(self.routes, 0)
         if await self.send(one, self.command(one, None)) != "taken":
@@ -774,10 +655,7 @@
         self.current = one
 
     async def read(self) -> tuple[int, dict[tuple[str, str], str]] | None:
-        """The newest configuration, asked for again and again.
-
-        Example: ``await operator.read()``
-        """
+        """The newest configuration, asked for again and again."""
         began, pause = self.world.loop.time(), 0.05
         while self.world.loop.time() < began + 12:
             try:
@@ -791,10 +669,7 @@
         return None
 
     async def settle(self) -> None:
-        """Learn which version is in force after an unclear end.
-
-        Example: ``await operator.settle()``
-        """
+        """Learn which version is in force after an unclear end."""
         found = await self.read()
         if found is not None:
             known = [one for one in self.versions if one.number == found[0] and one.items == found[1]]
@@ -802,10 +677,7 @@
                 self.current, self.routes = known[0], dict(known[0].routes)
 
     def changed(self) -> dict[str, dict]:
-        """The routes with one change: moved, split, another time-out, one added or removed.
-
-        Example: ``operator.changed()``
-        """
+        """The routes with one change: moved, split, another time-out, one added or removed."""
         routes, chance = dict(self.routes), self.chance
         extra = sorted(name for name in routes if name.startswith("extra"))
         kind = chance.choice(["move", "split", "timeout", "add", "add", "remove"])
@@ -837,10 +709,7 @@
         return routes
 
     async def change(self) -> None:
-        """One change, as a whole or as a patch.
-
-        Example: ``await operator.change()``
-        """
+        """One change, as a whole or as a patch."""
         async with self.busy:
             one = self.version(self.changed(), self.current.number)
             before = self.current.items if self.chance.random() < 0.6 else None
@@ -850,20 +719,14 @@
                 await self.settle()
 
     async def race(self) -> None:
-        """Two changes at once on top of the same version.
-
-        Example: ``await operator.race()``
-        """
+        """Two changes at once on top of the same version."""
         async with self.busy:
             both = [self.version(self.changed(), self.current.number, step=1 + place) for place in range(2)]
             await asyncio.gather(*(self.send(one, self.command(one, self.current.items)) for one in both))
             await self.settle()
 
     async def invalid(self) -> None:
-        """A configuration that cannot be: no such service, two routes at one place, no weight, or too low a number.
-
-        Example: ``await operator.invalid()``
-        """
+        """A configuration that cannot be: no such service, two routes at one place, no weight, or too low a number."""
         async with self.busy:
             kind, routes = (
                 self.chance.choice(["service", "place", "weight", "number", "timeout"]),
@@ -883,10 +746,7 @@
             await self.send(one, self.command(one, self.current.items if self.chance.random() < 0.5 else None), 6.0)
 
     async def run(self, over: collections.abc.Callable[[], bool]) -> None:
-        """Change something again and again.
-
-        Example: ``group.create_task(operator.run(lambda: over))``
-        """
+        """Change something again and again."""
         while not over():
             await asyncio.sleep(0.5 + self.chance.expovariate(0.6))
             if not over():
@@ -894,10 +754,7 @@
 
 
 class Day:
-    """One campaign's course: traffic, an operator and faults, perhaps a closing fault, then the judge.
-
-    Example: ``await Day(world, random.Random(1)).run()``
-    """
+    """One campaign's course: traffic, an operator and faults, perhaps a closing fault, then the judge."""
 
     def __init__(
         self,
@@ -926,10 +783,7 @@
         self.closing: tuple[float, float] | None = None
 
     async def run(self) -> None:
-        """Form, take a configuration, serve beside faults, end, read back.
-
-        Example: ``await day.run()``
-        """
+        """Form, take a configuration, serve beside faults, end, read back."""
         world = self.world
         await world.until(world.formed, 30, "formed")
         await self.operator.first()
@@ -959,10 +813,7 @@
             watching.cancel()
 
     async def probe(self) -> None:
-        """A few requests go to each edge that takes callers, on routes that were added, removed or never there.
-
-        Example: ``group.create_task(day.probe())``
-        """
+        """A few requests go to each edge that takes callers, on routes that were added, removed or never there."""
         while not self.over:
             await asyncio.sleep(0.25)
             number = self.chance.randrange(1, self.operator.added + 2)
@@ -974,10 +825,7 @@
                 task.add_done_callback(self.agents.background.discard)
 
     async def closing_fault(self) -> None:
-        """All machines lose power at once and come back one by one; then programs go on and keys are sent again.
-
-        Example: ``await day.closing_fault()``
-        """
+        """All machines lose power at once and come back one by one; then programs go on and keys are sent again."""
         world, began = self.world, self.world.loop.time()
         self.done.append(f"{began:.1f} closing")
         names = world.names()
@@ -1006,10 +854,7 @@
     # -- faults ----------------------------------------------------------------------------------
 
     async def guarded(self, kind: str) -> None:
-        """Cause a kind of fault, unless it would be more than the fleet has to bear.
-
-        Example: ``await day.guarded("kill")``
-        """
+        """Cause a kind of fault, unless it would be more than the fleet has to bear."""
         world = self.world
         if kind in DISK_FAULTS:
             if "disk" in self.hurt:
@@ -1040,10 +885,7 @@
         await self.other_fault(kind)
 
     async def edge_fault(self, kind: str, victim: str) -> None:
-        """A fault of an edge.
-
-        Example: ``await day.edge_fault("edge kill", "edge-0")``
-        """
+        """A fault of an edge."""
         world, span = self.world, self.chance.choice([0.5, 3.0, 7.0]) * (0.5 + self.chance.random())
         with world.trouble(victim, kind == "edge stop"):
             if kind == "edge cut":
@@ -1070,10 +912,7 @@
             world.start(victim)
 
     async def disk_fault(self, kind: str) -> None:
-        """A fault of a machine with a disk.
-
-        Example: ``await day.disk_fault("power")``
-        """
+        """A fault of a machine with a disk."""
         world, chance, span = self.world, self.chance, 0.5 + 3 * self.chance.random()
         victim = chance.choice([*world.storages, *world.storages, *world.cores])
         if kind == "leader":
@@ -1119,10 +958,7 @@
                 await self.lose(kind, victim, span)
 
     async def acknowledged(self, write: bool) -> str:
-        """Wait until a turn or a write of the operator was acknowledged just now; the machine that led its group.
-
-        Example: ``victim = await day.acknowledged(False)``
-        """
+        """Wait until a turn or a write of the operator was acknowledged just now; the machine that led its group."""
         world, end = self.world, self.world.loop.time() + 5
         turns, taken = len(self.agents.kept), len(self.operator.waits)
         while world.loop.time() < end:
@@ -1138,10 +974,7 @@
         return ""
 
     async def halve(self, span: float) -> None:
-        """The core is cut in two, and all other machines are on one side or the other.
-
-        Example: ``await day.halve(2.0)``
-        """
+        """The core is cut in two, and all other machines are on one side or the other."""
         world, chance = self.world, self.chance
         left = chance.sample(world.cores, len(world.cores) // 2)
         left += [name for name in (*world.storages, *world.edges) if chance.random() < 0.3]
@@ -1153,10 +986,7 @@
             world.wire.heal(ways)
 
     async def retire(self) -> None:
-        """A storage machine is emptied by the operator's order, then taken away with its disk.
-
-        Example: ``await day.retire()``
-        """
+        """A storage machine is emptied by the operator's order, then taken away with its disk."""
         world, victim = self.world, self.chance.choice(self.world.storages)
         self.fresh += 1
         fresh = f"storage-{20 + 3 * self.fresh + int(victim.split('-')[1]) % 3}"
@@ -1183,10 +1013,7 @@
         world.disks[victim].wipe()
 
     async def lose(self, kind: str, victim: str, span: float) -> None:
-        """A machine loses its disk: it comes back empty, or another one at another address takes its place.
-
-        Example: ``await day.lose("wipe", "storage-0", 1.0)``
-        """
+        """A machine loses its disk: it comes back empty, or another one at another address takes its place."""
         world = self.world
         world.power_off(victim)
         world.disks[victim].wipe()
@@ -1207,10 +1034,7 @@
             await asyncio.sleep(span / 2)
 
     async def other_fault(self, kind: str) -> None:
-        """A fault of workers or the list, a burst, or an odd operator.
-
-        Example: ``await day.other_fault("release")``
-        """
+        """A fault of workers or the list, a burst, or an odd operator."""
         world, chance, span = self.world, self.chance, 1 + 3 * self.chance.random()
         hosts = sorted(
             host for host, life in world.at.items() if not life.ended and not life.leaving and host not in self.hurt
@@ -1277,10 +1101,7 @@
     # -- verdict ---------------------------------------------------------------------------------
 
     def history(self) -> rules.History:
-        """All that was seen, for the judge.
-
-        Example: ``rules.faults(day.history())``
-        """
+        """All that was seen, for the judge."""
         world = self.world
         return rules.History(
             self.agents.tries,
@@ -1299,10 +1120,7 @@
 
 
 def play(seed: int, story: collections.abc.Callable, size: simulated_cluster.Size) -> World:
-    """Play a story in a fresh world.
-
-    Example: ``play(7, story, SIZE)``
-    """
+    """Play a story in a fresh world."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-"))
     world = World(seed, size, folder)
 
@@ -1339,10 +1157,7 @@
 
 
 def trace_of(day: Day) -> str:
-    """A digest of all that was seen, the same for the same seed.
-
-    Example: ``trace_of(day)``
-    """
+    """A digest of all that was seen, the same for the same seed."""
     rows = [
         f"{one.call.attempt} {one.edge} {one.began!r} {one.ended!r} {one.outcome} {one.status} {one.seal} "
         f"{len(one.heard)} {one.refusal}"
@@ -1365,10 +1180,7 @@
     rate: float = 1.0,
     size: simulated_cluster.Size = SIZE,
 ) -> Played:
-    """One seeded day and its verdict.
-
-    Example: ``run_day(7).wrong == []``
-    """
+    """One seeded day and its verdict."""
     held: list[Day] = []
 
     async def story(world: World) -> None:
@@ -1404,10 +1216,7 @@
 
 
 def stories_of(day: Day, wrong: list[str]) -> dict[str, list[str]]:
-    """What the edges noted of the attempts that faults name.
-
-    Example: ``stories_of(day, ["TWICE a1 ran ..."])``
-    """
+    """What the edges noted of the attempts that faults name."""
     found = {}
     for word in " ".join(wrong[:SHOWN]).replace(",", " ").replace("(", " ").split():
         for name, forwarding in day.world.forwarders.items():
@@ -1419,10 +1228,7 @@
 
 
 def flat(group: BaseExceptionGroup) -> list[BaseException]:
-    """The exceptions in a group of groups.
-
-    Example: ``flat(ExceptionGroup("", [ValueError()]))``
-    """
+    """The exceptions in a group of groups."""
     found = []
     for error in group.exceptions:
         found.extend(flat(error) if isinstance(error, BaseExceptionGroup) else [error])
--- a/aspencroft/simulation/groups.py
+++ b/aspencroft/simulation/groups.py
@@ -12,16 +12,10 @@
 
 
 class Stage(guarantees.Stage):
-    """A formed fleet with its plan in force.
-
-    Example: ``play(1, acts)`` where ``acts`` takes a stage.
-    """
+    """A formed fleet with its plan in force."""
 
     async def write(self, name: str) -> bool:
-        """Write a service through an edge; whether it was acknowledged.
-
-        Example: ``assert await stage.write("extra")``
-        """
+        """Write a service through an edge; whether it was acknowledged."""
         try:
             response = await self.client.put(f"http://edge-0/plan/services/{name}", json={"kind": "plain"}, timeout=20)
         except httpx.HTTPError:
@@ -29,18 +23,12 @@
         return response.status_code == 200
 
     async def written(self) -> set[str]:
-        """The services of the plan as its primary holds it.
-
-        Example: ``"extra" in await stage.written()``
-        """
+        """The services of the plan as its primary holds it."""
         await self.scene.until(lambda: bool(self.scene.leader(0)), 12, "led")
         return set(self.scene.nodes[self.scene.leader(0)].hosts[0].copy.view.document["services"])
 
     def record(self, pair: int) -> replica_set.ReplicaSet | None:
-        """The newest record of a group that any node knows.
-
-        Example: ``stage.record(0).members()``
-        """
+        """The newest record of a group that any node knows."""
         known = [
             own.ring.holdings[pair]
             for name, own in self.scene.nodes.items()
@@ -49,17 +37,11 @@
         return max(known, key=lambda one: one.epoch, default=None)
 
     def members(self, pair: int) -> list[str]:
-        """The nodes of a group's newest record, the primary first.
-
-        Example: ``stage.members(1)[0] == scene.leader(1)``
-        """
+        """The nodes of a group's newest record, the primary first."""
         return [one.address.split(":")[0] for one in self.record(pair).members()]
 
     def whole(self) -> bool:
-        """Whether every group is served with as many members as it is to have.
-
-        Example: ``await scene.until(stage.whole, 10, "whole")``
-        """
+        """Whether every group is served with as many members as it is to have."""
         leaders = {pair: self.scene.leader(pair) for pair in range(3)}
         return all(
             name and len(self.record(pair).members()) >= self.scene.nodes[name].goal(pair)
@@ -67,10 +49,7 @@
         )
 
     async def ask_node(self, name: str, work: collections.abc.Coroutine):
-        """Do something as a node does it; its result, or the exception that it raised.
-
-        Example: ``await stage.ask_node("core-0", scene.nodes["core-0"].drain_orders.order("storage-1", within))``
-        """
+        """Do something as a node does it; its result, or the exception that it raised."""
         task = self.scene.loop.create_task(work, context=self.scene.loop.context_of(name))
         try:
             return await task
@@ -81,10 +60,7 @@
 def play(
     seed: int, acts, size: simulated_cluster.Size = SIZE, more: dict | None = None
 ) -> simulated_cluster.SimulatedCluster:
-    """Form a fleet whose cores are the witnesses, put its plan in force, wait until it is whole, act.
-
-    Example: ``play(1, acts, more={"losses": 2})``
-    """
+    """Form a fleet whose cores are the witnesses, put its plan in force, wait until it is whole, act."""
 
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
         stage = Stage(one)
--- a/aspencroft/simulation/guarantees.py
+++ b/aspencroft/simulation/guarantees.py
@@ -7,10 +7,7 @@
 
 
 class Stage:
-    """A formed fleet with its plan in force, and callers at hand.
-
-    Example: ``play(1, acts)`` where ``acts`` takes a stage.
-    """
+    """A formed fleet with its plan in force, and callers at hand."""
 
     def __init__(self, one: simulated_cluster.SimulatedCluster):
         self.scene = one
@@ -18,10 +15,7 @@
         self.asking = one.caller(1)
 
     async def set(self) -> None:
-        """Form and put the plan in force.
-
-        Example: ``await stage.set()``
-        """
+        """Form and put the plan in force."""
         await self.scene.until(self.scene.formed, 30, "formed")
         response = await self.client.put("http://core-1/plan", json=self.scene.mix.document)
         assert response.status_code == 200, response.text
@@ -29,10 +23,7 @@
         await self.scene.until(lambda: all(edge.sight.listed for edge in self.scene.edge_paths.values()), 5, "listed")
 
     async def ask(self, edge: str, lane: str, given, **more):
-        """One request to one edge.
-
-        Example: ``noted = await stage.ask("edge-0", "till-lock", {"name": "k"}, operation="k")``
-        """
+        """One request to one edge."""
         asking = self.scene.caller(len(self.asking.noted) + 7)
         asking.addresses = (f"{edge}:80",)
         noted = await asking.ask(lane, given, **more)
@@ -41,10 +32,7 @@
         return noted
 
     def runs(self, name: str) -> int:
-        """How many runs began for an input of that name.
-
-        Example: ``stage.runs("k") <= 1``
-        """
+        """How many runs began for an input of that name."""
         return sum(
             isinstance(body["input"], dict) and body["input"].get("name") == name for body in self.scene.world.seen()
         )
@@ -53,10 +41,7 @@
 def play(
     seed: int, acts, name: str = shape.TILLS, size: simulated_cluster.Size = simulated_cluster.Size()
 ) -> simulated_cluster.SimulatedCluster:
-    """Set a stage and play acts on it.
-
-    Example: ``play(1, acts)``
-    """
+    """Set a stage and play acts on it."""
 
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
         stage = Stage(one)
--- a/aspencroft/simulation/keeping_test.py
+++ b/aspencroft/simulation/keeping_test.py
@@ -8,10 +8,7 @@
 
 
 def on_disks(one: simulated_cluster.SimulatedCluster, text: bytes) -> int:
-    """How often a text is found in the copies of the pairs' members; one that is a member no more keeps its last.
-
-    Example: ``on_disks(scene, b"first turn")``
-    """
+    """How often a text is found in the copies of the pairs' members; one that is a member no more keeps its last."""
     folders = [
         host.copy.folder
         for own in one.nodes.values()
--- a/aspencroft/simulation/loop.py
+++ b/aspencroft/simulation/loop.py
@@ -13,10 +13,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Life:
-    """One run of a node's process; a restart is another life.
-
-    Example: ``Life("core-1", 3)``
-    """
+    """One run of a node's process; a restart is another life."""
 
     node: str
     number: int
@@ -37,10 +34,7 @@
 
 
 class SimLoop(asyncio.BaseEventLoop):
-    """Runs callbacks in simulated time; those of dead lives are dropped, of frozen nodes kept back.
-
-    Example: ``loop = SimLoop(); loop.run_until_complete(scene())``
-    """
+    """Runs callbacks in simulated time; those of dead lives are dropped, of frozen nodes kept back."""
 
     def __init__(self):
         super().__init__()
@@ -58,10 +52,7 @@
 
     @staticmethod
     def make_task(loop: "SimLoop", coroutine, context: contextvars.Context | None = None) -> asyncio.Task:
-        """Create a task that is known by its life.
-
-        Example: ``loop.create_task(work())``
-        """
+        """Create a task that is known by its life."""
         loop.numbers += 1
         task = SimTask(coroutine, loop=loop, context=context, number=loop.numbers)
         life = context.get(LIFE) if context is not None else LIFE.get()
@@ -70,34 +61,22 @@
         return task
 
     def note_exception(self, _: asyncio.AbstractEventLoop, context: dict) -> None:
-        """Keep what went wrong in a task that nobody awaits.
-
-        Example: ``loop.exceptions == []``
-        """
+        """Keep what went wrong in a task that nobody awaits."""
         if context.get("exception") is not None and not self.burying:
             self.exceptions.append(repr(context["exception"]))
 
     def time(self) -> float:
-        """Simulated seconds.
-
-        Example: ``loop.time()``
-        """
+        """Simulated seconds."""
         return self.environment.now
 
     def plan_handle(self, handle: asyncio.Handle, delay: float) -> asyncio.Handle:
-        """Queue a handle in the environment.
-
-        Example: ``loop.plan_handle(handle, 0.5)``
-        """
+        """Queue a handle in the environment."""
         event = simpy.Timeout(self.environment, max(0.0, delay))
         event.callbacks.append(lambda _: self.run_handle(handle))
         return handle
 
     def run_handle(self, handle: asyncio.Handle) -> None:
-        """Run a handle, unless its life is over or its node is frozen.
-
-        Example: ``loop.run_handle(handle)``
-        """
+        """Run a handle, unless its life is over or its node is frozen."""
         if handle.cancelled():
             return
         life = handle._context.get(LIFE)
@@ -111,27 +90,18 @@
         handle._run()
 
     def call_soon(self, callback, *arguments, context=None):
-        """Run a callback at this simulated moment, after those queued before.
-
-        Example: ``loop.call_soon(print, 1)``
-        """
+        """Run a callback at this simulated moment, after those queued before."""
         return self.plan_handle(asyncio.Handle(callback, arguments, self, context), 0.0)
 
     call_soon_threadsafe = call_soon
 
     def call_at(self, when, callback, *arguments, context=None):
-        """Run a callback at a simulated time.
-
-        Example: ``loop.call_at(loop.time() + 1, print, 1)``
-        """
+        """Run a callback at a simulated time."""
         timer = asyncio.TimerHandle(when, callback, arguments, self, context)
         return self.plan_handle(timer, when - self.time())
 
     def call_later(self, delay, callback, *arguments, context=None):
-        """Run a callback after simulated seconds.
-
-        Example: ``loop.call_later(1, print, 1)``
-        """
+        """Run a callback after simulated seconds."""
         return self.call_at(self.time() + delay, callback, *arguments, context=context)
 
     def _timer_handle_cancelled(self, handle):
@@ -141,26 +111,17 @@
         self.environment.step()
 
     def context_of(self, node: str) -> contextvars.Context:
-        """A context in which work counts as a node's present life.
-
-        Example: ``loop.create_task(work(), context=loop.context_of("core-1"))``
-        """
+        """A context in which work counts as a node's present life."""
         context = contextvars.copy_context()
         context.run(LIFE.set, Life(node, self.lives[node]))
         return context
 
     def begin(self, node: str) -> None:
-        """Start a node's next life.
-
-        Example: ``loop.begin("core-1")``
-        """
+        """Start a node's next life."""
         self.lives[node] = abs(self.lives.get(node, 0)) + 1
 
     def end(self, node: str) -> None:
-        """End a node's life: none of its work goes on.
-
-        Example: ``loop.end("core-1")``
-        """
+        """End a node's life: none of its work goes on."""
         ended = Life(node, self.lives[node])
         self.lives[node] = -self.lives[node]
         self.dropped.extend(self.frozen.pop(node, ()))
@@ -169,25 +130,16 @@
             self.graveyard.append(task)
 
     def freeze(self, node: str) -> None:
-        """Keep back all of a node's work.
-
-        Example: ``loop.freeze("core-1")``
-        """
+        """Keep back all of a node's work."""
         self.frozen.setdefault(node, [])
 
     def thaw(self, node: str) -> None:
-        """Let a frozen node go on where it was.
-
-        Example: ``loop.thaw("core-1")``
-        """
+        """Let a frozen node go on where it was."""
         for handle in self.frozen.pop(node, []):
             self.plan_handle(handle, 0.0)
 
     def bury(self) -> None:
-        """Cancel all that is left, ended lives too, and let it unwind, so that nothing is torn down later.
-
-        Example: ``loop.bury()``
-        """
+        """Cancel all that is left, ended lives too, and let it unwind, so that nothing is torn down later."""
         self.burying = True
         left = {task for task in (*asyncio.all_tasks(self), *self.graveyard) if not task.done()}
         for task in sorted(left, key=lambda one: one.number):
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -26,18 +26,12 @@
     variant = PAPER
 
     async def order(self, target, step) -> None:
-        """Orders are not sent at all in the passive variant.
-
-        Example: ``await plainer.order(target, step)``
-        """
+        """Orders are not sent at all in the passive variant."""
         if self.variant != PASSIVE:
             await super().order(target, step)
 
     def decide(self, now):
-        """The recency variant ranks by the last use alone.
-
-        Example: ``plainer.decide(now)``
-        """
+        """The recency variant ranks by the last use alone."""
         if self.variant == RECENCY:
             last = {name: since for name, (_, since) in self.signals.popularity.items()}
             self.signals.reuse = lambda name, services, window, at: (
@@ -47,10 +41,7 @@
         return super().decide(now)
 
     async def hear(self) -> None:
-        """The variant without intent does not hear of headers.
-
-        Example: ``group.create_task(plainer.hear())``
-        """
+        """The variant without intent does not hear of headers."""
         if self.variant == NO_INTENT:
             kept = self.duty.words.put_nowait
             self.duty.words.put_nowait = lambda message: (
@@ -60,10 +51,7 @@
 
 
 def run(seed: int, variant: str, name: str, programs: int) -> dict:
-    """One run without faults; what the workers loaded and how long first pieces took.
-
-    Example: ``run(1, PAPER, "archive", 60)["cold"]``
-    """
+    """One run without faults; what the workers loaded and how long first pieces took."""
     shown: dict = {}
     Plainer.variant = variant
     original, residency.Residency = residency.Residency, Plainer
@@ -155,10 +143,7 @@
     name: str = shape.TILLS,
     more: dict | None = None,
 ) -> None:
-    """Form a fleet, put its plan in force, let five seconds pass, then act.
-
-    Example: ``staged(1, acts)`` where ``acts`` takes the scene and an HTTP client.
-    """
+    """Form a fleet, put its plan in force, let five seconds pass, then act."""
 
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
         await one.until(one.formed, 30, "formed")
@@ -434,10 +419,7 @@
 
 
 def power_run(seed: int, resting: bool, deployment: str) -> dict:
-    """One day's shape: calm, a crowd, calm with bursts; energy and what callers waited.
-
-    Example: ``power_run(1, True, "archive")["joules a turn"]``
-    """
+    """One day's shape: calm, a crowd, calm with bursts; energy and what callers waited."""
     shown: dict = {}
     original = machine_power.Rest.step
 
@@ -515,18 +497,12 @@
     """A lot that is none: the first two in the order of the list, which all edges share."""
 
     def sample(self, row: list, count: int) -> list:
-        """The first one by name.
-
-        Example: ``ByName().sample(row, 2)``
-        """
+        """The first one by name."""
         return sorted(row, key=lambda entry: entry[1].name)[:1]
 
 
 def crowding_run(seed: int, by_lot: bool, crowd: bool) -> dict:
-    """Eight edges in a crowd or in calm: how evenly workers were called, put-backs, cold calls, first pieces.
-
-    Example: ``crowding_run(1, True, True)["put back"]``
-    """
+    """Eight edges in a crowd or in calm: how evenly workers were called, put-backs, cold calls, first pieces."""
     shown: dict = {}
     original = selection.draw
 
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -20,8 +20,6 @@
     """What the witnesses chose; ``unknown`` makes the next ballot end without word of its outcome.
 
     ``refusing`` all of them fail.
-
-    Example: ``register.standing().epoch``
     """
 
     def __init__(self, first: replica_set.ReplicaSet):
@@ -34,17 +32,11 @@
         self.watch: collections.abc.Callable[[replica_set.ReplicaSet], None] = lambda standing: None
 
     def standing(self) -> replica_set.ReplicaSet:
-        """The record that stands.
-
-        Example: ``register.standing().members()``
-        """
+        """The record that stands."""
         return codec.untagged(self.value)
 
     async def change(self, _, asker: str, function: collections.abc.Callable[[bytes], bytes]) -> proposer.Chosen:
-        """As ``electorate.Electorate.change``.
-
-        Example: ``await register.change(1, "a", lambda value: value)``
-        """
+        """As ``electorate.Electorate.change``."""
         await clock.sleep(clock.seconds(0.001))
         if self.refusing:
             raise result.RequestError(result.ResultCode.NO_CLAIM)
@@ -57,10 +49,7 @@
         return proposer.Chosen(self.number, self.value)
 
     async def claim(self, chosen: proposer.Chosen, _, claimant: str, length):
-        """As ``electorate.Electorate.claim``.
-
-        Example: ``end, newest, answered = await register.claim(chosen, 1, "a", length)``
-        """
+        """As ``electorate.Electorate.claim``."""
         started = clock.now()
         self.lengths.append(length)
         if self.deaf:
@@ -76,10 +65,7 @@
 
 
 class Members:
-    """The nodes of a group and what passes between them.
-
-    Example: ``play(tmp_path, 3, acts, copies=3)``
-    """
+    """The nodes of a group and what passes between them."""
 
     def __init__(self, folder: pathlib.Path, count: int, copies: int, goal: int):
         self.folder = folder
@@ -101,10 +87,7 @@
         self.handlers: set[asyncio.Task] = set()
 
     async def begin(self, members: int) -> None:
-        """Open all copies and put the first ones into the first record.
-
-        Example: ``await those.begin(2)``
-        """
+        """Open all copies and put the first ones into the first record."""
         for name in self.names:
             await self.open_host(name)
         first = [self.hosts[name].me() for name in self.names[:members]]
@@ -114,10 +97,7 @@
             one.learn(self.register.standing())
 
     async def open_host(self, name: str) -> None:
-        """Open a node's copy, as at the start of its process.
-
-        Example: ``await those.open_host("n0:1")``
-        """
+        """Open a node's copy, as at the start of its process."""
         place = self.names.index(name)
         self.starts += 1
         held = replica.Replica(
@@ -148,19 +128,13 @@
         self.hosts[name] = host
 
     def stop(self, name: str) -> None:
-        """A node's process ends at once; its disk stays.
-
-        Example: ``those.stop("n1:1")``
-        """
+        """A node's process ends at once; its disk stays."""
         self.silent.add(name)
         self.hosts[name].leading = False
         self.runs.pop(name).cancel()
 
     async def wipe(self, name: str, back_after: float) -> None:
-        """A machine loses its disk and its process, and is back empty at the same address.
-
-        Example: ``await those.wipe("n1:1", 0.3)``
-        """
+        """A machine loses its disk and its process, and is back empty at the same address."""
         self.stop(name)
         self.folders[name] = self.folder / f"{name} {self.starts}"
         await clock.sleep(clock.seconds(back_after))
@@ -170,20 +144,14 @@
         self.run(name)
 
     async def reopened(self, name: str) -> group_replica.GroupReplica:
-        """What a node's process would find on its disk, were it started once more beside the one that runs.
-
-        Example: ``(await those.reopened("n1:1")).copy.identity``
-        """
+        """What a node's process would find on its disk, were it started once more beside the one that runs."""
         running = self.hosts[name]
         await self.open_host(name)
         found, self.hosts[name] = self.hosts[name], running
         return found
 
     async def tell_records(self) -> None:
-        """Tell all nodes of the record that stands, a while after it was chosen, as witnesses do.
-
-        Example: ``those.tasks.append(asyncio.ensure_future(those.tell_records()))``
-        """
+        """Tell all nodes of the record that stands, a while after it was chosen, as witnesses do."""
         while True:
             standing = self.register.standing()
             await clock.sleep(record_recovery.UNHEARD)
@@ -192,26 +160,17 @@
                     host.learn(standing)
 
     def leader(self) -> str:
-        """The node that serves the group, or nothing.
-
-        Example: ``those.leader() == "n0:1"``
-        """
+        """The node that serves the group, or nothing."""
         return next((name for name, one in self.hosts.items() if one.claimed() and one.why == "serving"), "")
 
     def run(self, *names: str) -> None:
-        """Let nodes be what the record says.
-
-        Example: ``those.run("n0:1", "n1:1")``
-        """
+        """Let nodes be what the record says."""
         for name in names:
             self.runs[name] = asyncio.ensure_future(self.hosts[name].run())
             self.tasks.append(self.runs[name])
 
     def candidates(self) -> tuple[replica_placement.Candidate, ...]:
-        """All nodes but those that membership knows to be gone.
-
-        Example: ``those.candidates()``
-        """
+        """All nodes but those that membership knows to be gone."""
         return tuple(
             replica_placement.Candidate(name, AREAS[place % 3])
             for place, name in enumerate(self.names)
@@ -219,10 +178,7 @@
         )
 
     async def ask(self, address: str, message, within):
-        """As ``link.Link.ask``.
-
-        Example: ``await those.ask("n1:1", exchange.Compare(0, 1), within)``
-        """
+        """As ``link.Link.ask``."""
         self.heard.append((address, message))
         self.before_step()
         await clock.sleep(clock.seconds(0.001))
@@ -247,10 +203,7 @@
         return reply
 
     async def deliver(self, one: group_replica.GroupReplica, message):
-        """What the asked node does with a message; cancelled, it is as if the connection broke meanwhile.
-
-        Example: ``await those.deliver(those.hosts["n1:1"], message)``
-        """
+        """What the asked node does with a message; cancelled, it is as if the connection broke meanwhile."""
         match message:
             case messages.Append():
                 return await one.append(message)
@@ -271,10 +224,7 @@
         return await one.appoint(message)
 
     async def until(self, condition: collections.abc.Callable[[], bool], within: float = 10.0) -> float:
-        """Wait until something holds; how long it took.
-
-        Example: ``await those.until(lambda: those.hosts["n0:1"].claimed())``
-        """
+        """Wait until something holds; how long it took."""
         began = clock.now()
         while not condition():
             late = (clock.now() - began).total_seconds() > within
@@ -283,26 +233,17 @@
         return (clock.now() - began).total_seconds()
 
     async def write(self, name: str, to: str = "n0:1", within: float = 5.0):
-        """Write a service through a node.
-
-        Example: ``await those.write("a")``
-        """
+        """Write a service through a node."""
         body = f'{{"services": {{"{name}": {{"kind": "plain"}}}}}}'
         return await self.hosts[to].submit(control_state.WritePlan("merge", "", "", body, None), clock.seconds(within))
 
     def same(self, *names: str) -> bool:
-        """Whether nodes' copies are the same.
-
-        Example: ``those.same("n0:1", "n1:1")``
-        """
+        """Whether nodes' copies are the same."""
         return len({self.hosts[name].copy.last() for name in names}) == 1
 
 
 def play(folder: pathlib.Path, count: int, acts, members: int = 2, copies: int = 2, goal: int = 2) -> None:
-    """Begin a group and act on it, in simulated time.
-
-    Example: ``play(tmp_path, 3, acts, members=3, copies=3, goal=3)``
-    """
+    """Begin a group and act on it, in simulated time."""
 
     async def whole() -> None:
         those = Members(folder, count, copies, goal)
--- a/aspencroft/simulation/model_check.py
+++ b/aspencroft/simulation/model_check.py
@@ -28,18 +28,12 @@
 
 
 def voting(name: str, scenario: consensus_model.Scenario) -> Check:
-    """A check of voters, ballots and leases.
-
-    Example: ``voting("takeover", consensus_model.Scenario()).name``
-    """
+    """A check of voters, ballots and leases."""
     return Check(name, lambda: consensus_model.ConsensusModel(scenario))
 
 
 def copies(name: str, scenario: replica_model.Scenario) -> Check:
-    """A check of a group's copies.
-
-    Example: ``copies("takeover of copies", replica_model.Scenario()).name``
-    """
+    """A check of a group's copies."""
     return Check(name, lambda: replica_model.ReplicaModel(scenario))
 
 
@@ -47,8 +41,6 @@
     """The checks of voters: takeover, two ballots, hand-over, lost disks, restarts, a change of the voter set.
 
     With ``fine`` the clock steps by half a lease.
-
-    Example: ``voting_checks(("a", "b", "c"))``
     """
     step = clock.seconds(0.5) if fine else clock.seconds(1)
     more = 1 if fine else 0
@@ -79,10 +71,7 @@
 
 
 def copies_checks() -> tuple[Check, ...]:
-    """The checks of copies: takeover, a lost value, draining with a lost disk, unknown outcomes, short records.
-
-    Example: ``copies_checks()[0].name``
-    """
+    """The checks of copies: takeover, a lost value, draining with a lost disk, unknown outcomes, short records."""
     return (
         copies("copies: takeover", replica_model.Scenario(3, 3, 2, Copies(restarts=1))),
         copies("copies: lost value", replica_model.Scenario(3, 3, 2, Copies(takeovers=2, lost_values=1, drops=0))),
@@ -104,10 +93,7 @@
 
 
 def run(checks: collections.abc.Iterable[Check], bound: explorer.Bound) -> dict[str, explorer.Exploration]:
-    """Explore each check to the bound.
-
-    Example: ``run(copies_checks(), SMALL)``
-    """
+    """Explore each check to the bound."""
     return {one.name: explorer.explore(one.model(), bound) for one in checks}
 
 
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -22,8 +22,6 @@
 class Mutation:
     """A place in the code, what it is made into, and the tests that should see it; with a second place, in the
     same file or the one named third, where another guard would hold alone.
-
-    Example: ``Break("name", "gateway/selection.py", "old text", "new text", ("simulation/calls_test.py::test_x",))``
     """
 
     name: str
@@ -34,10 +32,7 @@
     besides: tuple[tuple[str, ...], ...] = ()
 
     def places(self) -> tuple[tuple[str, str, str], ...]:
-        """All that is changed: file, old text and new text.
-
-        Example: ``one.places()[0] == (one.file, one.old, one.new)``
-        """
+        """All that is changed: file, old text and new text."""
         return (
             (self.file, self.old, self.new),
             *((more[2] if len(more) > 2 else self.file, *more[:2]) for more in self.besides),
@@ -1179,10 +1174,7 @@
 
 
 def seen(one: Mutation) -> tuple[Mutation, str]:
-    """Apply a break to a copy of the code and run its tests there; what came of it.
-
-    Example: ``seen(BREAKS[0])[1] == "seen"``
-    """
+    """Apply a break to a copy of the code and run its tests there; what came of it."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-break-"))
     try:
         shutil.copytree(ROOT / "aspencroft", folder / "aspencroft", ignore=shutil.ignore_patterns("__pycache__"))
--- a/aspencroft/simulation/oracle.py
+++ b/aspencroft/simulation/oracle.py
@@ -9,10 +9,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class History:
-    """All that was recorded of a run.
-
-    Example: ``faults(History(noted, seen, ran, put_out, document, leaving, stream_faults))``
-    """
+    """All that was recorded of a run."""
 
     noted: tuple[caller.Noted, ...]
     seen: tuple[dict, ...]
@@ -25,10 +22,7 @@
 
 
 def faults(history: History) -> list[str]:
-    """Everything that must never happen and did.
-
-    Example: ``assert faults(history) == []``
-    """
+    """Everything that must never happen and did."""
     return [
         *history.told,
         *run_twice(history),
@@ -43,10 +37,7 @@
 
 
 def run_twice(history: History) -> list[str]:
-    """Requests that ran more than once; goes of one request whose lane may be repeated bear numbers.
-
-    Example: ``run_twice(history) == []``
-    """
+    """Requests that ran more than once; goes of one request whose lane may be repeated bear numbers."""
     lane_of = {one.request: one.lane for one in history.noted}
     found = [f"{go} ran {count} times" for go, count in history.ran.items() if count > 1]
     goes = collections.Counter(go.split(".")[0] for go in history.ran)
@@ -135,10 +126,7 @@
 
 
 def sample(**changes) -> History:
-    """A sound history with some things changed, for the tests.
-
-    Example: ``sample(ran={"r1": 2})``
-    """
+    """A sound history with some things changed, for the tests."""
     noted = caller.Noted("chat", "r1", "p", "", 0, "", "done", 0, "m turn 1 mark 0000", 3, 200)
     body = {
         "request": "r1",
--- a/aspencroft/simulation/recovery_test.py
+++ b/aspencroft/simulation/recovery_test.py
@@ -10,10 +10,7 @@
 
 
 class Blows:
-    """Faults that strike all machines at once, and how they come back.
-
-    Example: ``await Blows(stage, random.Random(1), losses=1).strike()``
-    """
+    """Faults that strike all machines at once, and how they come back."""
 
     def __init__(self, stage: groups.Stage, chance: random.Random, losses: int):
         self.stage = stage
--- a/aspencroft/simulation/register.py
+++ b/aspencroft/simulation/register.py
@@ -52,18 +52,12 @@
 
 
 def text_of(spec) -> str:
-    """A specification as text to compare.
-
-    Example: ``text_of({"a": 1})``
-    """
+    """A specification as text to compare."""
     return json.dumps(spec, sort_keys=True)
 
 
 class Operators:
-    """Several operators at once, each through any node, on the same few resources.
-
-    Example: ``group.create_task(operators.operate("a"))``
-    """
+    """Several operators at once, each through any node, on the same few resources."""
 
     def __init__(self, one: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient, chance: random.Random):
         self.scene = one
@@ -81,10 +75,7 @@
         self.counts: collections.Counter = collections.Counter()
 
     def fresh(self, resource: str) -> dict:
-        """A specification for a resource that nobody wrote before.
-
-        Example: ``operators.fresh("services/extra-1")["size"]``
-        """
+        """A specification for a resource that nobody wrote before."""
         self.count += 1
         kind = resource.partition("/")[0]
         if kind == "services":
@@ -108,27 +99,18 @@
         return {"leaving": False} if self.count % 2 else {"leaving": True}
 
     def resource(self) -> str:
-        """One of the resources that operators race on; marks are of workers that are not there.
-
-        Example: ``operators.resource()``
-        """
+        """One of the resources that operators race on; marks are of workers that are not there."""
         kind = self.chance.choice(["services", "services", "lanes", "routes", "workers", "swing"])
         return SWING if kind == "swing" else f"{kind}/extra-{self.chance.randrange(3)}"
 
     async def operate(self) -> None:
-        """Write and read, one after the other, until the day is over.
-
-        Example: ``group.create_task(operators.operate())``
-        """
+        """Write and read, one after the other, until the day is over."""
         while not self.over:
             await (self.write() if self.chance.random() < 0.6 else self.read())
             await asyncio.sleep(0.1 + 0.6 * self.chance.random())
 
     async def write(self) -> None:
-        """One write in a way by chance; what was answered is noted down.
-
-        Example: ``await operators.write()``
-        """
+        """One write in a way by chance; what was answered is noted down."""
         chance = self.chance
         node = chance.choice(self.scene.names())
         way = chance.choice(["put", "put", "put", "delete", "merge", "whole"])
@@ -178,10 +160,7 @@
         self.writes.append(Write(began, ended, values, expected, outcome, revision))
 
     async def read(self) -> None:
-        """Look at the plan through a node; what it shows is noted down.
-
-        Example: ``await operators.read()``
-        """
+        """Look at the plan through a node; what it shows is noted down."""
         node, began = self.chance.choice(self.scene.names()), self.scene.loop.time()
         response = await self.ask("GET", f"http://{node}/plan")
         if response is not None and response.status_code == 200:
@@ -198,10 +177,7 @@
             )
 
     async def ask(self, method: str, address: str, content=None, headers=None) -> httpx.Response | None:
-        """One request, or none when there was no answer.
-
-        Example: ``response = await operators.ask("GET", "http://core-0/plan")``
-        """
+        """One request, or none when there was no answer."""
         try:
             return await self.client.request(method, address, content=content, headers=headers or {})
         except httpx.HTTPError:
@@ -209,10 +185,7 @@
 
 
 def faults(writes: list[Write], reads: list[Read], initial: dict) -> list[str]:
-    """What the register model cannot explain: each resource is a register, ordered by the revisions answered.
-
-    Example: ``assert faults(operators.writes, operators.reads, document) == []``
-    """
+    """What the register model cannot explain: each resource is a register, ordered by the revisions answered."""
     found = []
     by_path: dict[str, list[Write]] = collections.defaultdict(list)
     for write in writes:
@@ -281,10 +254,7 @@
 
 
 def foreign_runs(writes: list[Write], runs: list[tuple[float, str]], initial: dict) -> list[str]:
-    """Runs of the swing lane, by workers' records alone, of services that no plan in force then allowed.
-
-    Example: ``assert foreign_runs(writes, [(3.0, "locks")], document) == []``
-    """
+    """Runs of the swing lane, by workers' records alone, of services that no plan in force then allowed."""
     mine = [write for write in writes if SWING in write.values and write.outcome != REFUSED]
     acknowledged = [write for write in mine if write.outcome == ACKNOWLEDGED]
     found = []
@@ -308,10 +278,7 @@
 
 
 def swing_runs(one: simulated_cluster.SimulatedCluster) -> list[tuple[float, str]]:
-    """When workers ran which service for the swing lane.
-
-    Example: ``foreign_runs(writes, swing_runs(one), document)``
-    """
+    """When workers ran which service for the swing lane."""
     return [
         (body["at"], body["service"])
         for body in one.world.seen()
--- a/aspencroft/simulation/replica_model.py
+++ b/aspencroft/simulation/replica_model.py
@@ -92,10 +92,7 @@
 
 
 class ReplicaModel:
-    """The copies of one group.
-
-    Example: ``explorer.explore(ReplicaModel(Scenario()), explorer.Bound(20, 10_000))``
-    """
+    """The copies of one group."""
 
     def __init__(self, scenario: Scenario):
         self.scenario = scenario
--- a/aspencroft/simulation/resting.py
+++ b/aspencroft/simulation/resting.py
@@ -6,18 +6,12 @@
 
 
 def asleep(stage: guarantees.Stage) -> list:
-    """The model workers that sleep.
-
-    Example: ``len(asleep(stage))``
-    """
+    """The model workers that sleep."""
     return [one for one in stage.scene.world.models if one.asleep]
 
 
 async def calm(stage: guarantees.Stage, count: int) -> None:
-    """Wait in light traffic until so many machines sleep.
-
-    Example: ``await calm(stage, 3)``
-    """
+    """Wait in light traffic until so many machines sleep."""
     began, number = stage.scene.loop.time(), 0
     while len(asleep(stage)) < count:
         number += 1
@@ -28,10 +22,7 @@
 
 
 async def crowd(stage: guarantees.Stage, name: str, count: int) -> list:
-    """Many programs' first turns at once.
-
-    Example: ``noted = await crowd(stage, "a", 100)``
-    """
+    """Many programs' first turns at once."""
     async with asyncio.TaskGroup() as group:
         tasks = [
             group.create_task(
--- a/aspencroft/simulation/rules.py
+++ b/aspencroft/simulation/rules.py
@@ -50,18 +50,12 @@
 
     @functools.cached_property
     def table(self) -> route_table.RouteTable:
-        """The routes by host and prefix.
-
-        Example: ``version.table.match("h.example", "/chat/x")``
-        """
+        """The routes by host and prefix."""
         found = [http_route.of(name, spec) for name, spec in sorted(self.routes.items())]
         return route_table.EMPTY.changed((), found)
 
     def services(self, host: str, path: str) -> frozenset[str]:
-        """The services to which a request may go under this version; empty when no route begins the path.
-
-        Example: ``version.services("h.example", "/chat/x")``
-        """
+        """The services to which a request may go under this version; empty when no route begins the path."""
         route = self.table.match(host, path)
         return frozenset(route.services()) if route is not None else frozenset()
 
@@ -76,10 +70,7 @@
     ended: float | None = None
 
     def touches(self, began: float, ended: float) -> bool:
-        """Whether the trouble overlaps a time.
-
-        Example: ``trouble.touches(1.0, 2.0)``
-        """
+        """Whether the trouble overlaps a time."""
         return self.began <= ended and (self.ended is None or self.ended >= began)
 
 
@@ -138,8 +129,6 @@
         """Whether a machine was in touch: no trouble of its own, and none of any core or storage machine.
 
         In the time before.
-
-        Example: ``history.in_touch("edge-0", 12.0)``
         """
         began = (at if since is None else since) - self.bounds.contact
         return not any(
@@ -150,10 +139,7 @@
 
 
 def faults(history: History) -> list[str]:
-    """Everything that must never happen and did, each line begins with the name of its rule.
-
-    Example: ``assert rules.faults(history) == []``
-    """
+    """Everything that must never happen and did, each line begins with the name of its rule."""
     found = list(history.told)
     for rule in (
         mixed,
@@ -177,10 +163,7 @@
 
 
 def repeatable(one: agent.Try) -> bool:
-    """Whether the work of a try may be done more than once.
-
-    Example: ``repeatable(found)``
-    """
+    """Whether the work of a try may be done more than once."""
     return one.use.kind == http_route.SAFE or one.use.resumable
 
 
@@ -598,8 +581,6 @@
     """What the day was worth: programs by their ends, refusals while places were free, what the tier added to a turn.
 
     Times are in milliseconds.
-
-    Example: ``figures(history)["programs"]``
     """
     programs = collections.Counter()
     for one in history.programs:
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -31,8 +31,6 @@
     """How many nodes of each role; ``apart`` gives cores disks for the control group and storages those for talk.
 
     Groups.
-
-    Example: ``Size(edges=2, storages=3, cores=3)``
     """
 
     edges: int = 2
@@ -41,20 +39,14 @@
     apart: bool = False
 
     def holds(self) -> dict[str, tuple[str, ...]]:
-        """Which groups the disks of each role hold; none without a disk.
-
-        Example: ``Size().holds()["core"] == ()``
-        """
+        """Which groups the disks of each role hold; none without a disk."""
         if self.apart:
             return {settings.STORAGE: (replica_set.TALK,), settings.CORE: (replica_set.CONTROL,)}
         return {settings.STORAGE: (replica_set.CONTROL, replica_set.TALK)}
 
 
 class SimulatedCluster:
-    """One simulated world.
-
-    Example: ``play(seed, story)`` where ``story`` is a coroutine function of the scene.
-    """
+    """One simulated world."""
 
     def __init__(
         self,
@@ -88,24 +80,15 @@
         self.marked: dict[str, float] = {}
 
     def names(self) -> list[str]:
-        """All nodes.
-
-        Example: ``scene.names()``
-        """
+        """All nodes."""
         return [*self.edges, *self.storages, *self.cores]
 
     def made(self, role: list[str]) -> int:
-        """How many machines a role had at first: later ones are numbered from there on.
-
-        Example: ``scene.made(scene.cores) == 3``
-        """
+        """How many machines a role had at first: later ones are numbered from there on."""
         return self.size.cores if role is self.cores else self.size.storages
 
     def begin_world(self) -> None:
-        """Start the stand-ins outside the fleet.
-
-        Example: ``scene.begin_world()``
-        """
+        """Start the stand-ins outside the fleet."""
         self.loop.begin(OUTSIDE)
         self.loop.begin("platform")
         self.wire.pages["platform:80"] = ("platform", self.world.platform())
@@ -115,10 +98,7 @@
             self.wire.pages[f"{one.name}:80"] = (one.name, self.world.application(one))
 
     def place(self, name: str) -> settings.Settings:
-        """A node's settings.
-
-        Example: ``scene.place("core-0").role``
-        """
+        """A node's settings."""
         role = name.split("-", maxsplit=1)[0]
         holds = self.holds.get(role, ())
         data = self.folder / name if holds else None
@@ -139,10 +119,7 @@
         return dataclasses.replace(place, **{"first_start": name not in self.lost, **self.more})
 
     def start(self, name: str) -> None:
-        """Start a node's process.
-
-        Example: ``scene.start("core-0")``
-        """
+        """Start a node's process."""
         self.loop.begin(name)
         place = self.place(name)
         if name not in self.disks and place.data is not None:
@@ -157,10 +134,7 @@
         self.loop.create_task(self.live(name, place, around), context=self.loop.context_of(name))
 
     async def live(self, name: str, place: settings.Settings, around: environment.Environment) -> None:
-        """A node's process.
-
-        Example: ``loop.create_task(scene.live(name, place, around), context=context)``
-        """
+        """A node's process."""
         own = node.Node(place, around)
         self.nodes[name] = own
         back = adapter.Adapter(around, own.outside)
@@ -188,20 +162,14 @@
             raise
 
     def kill(self, name: str) -> None:
-        """End a node's process without a word from itself; its machine goes on.
-
-        Example: ``scene.kill("core-0")``
-        """
+        """End a node's process without a word from itself; its machine goes on."""
         self.loop.end(name)
         self.nodes.pop(name, None)
         self.wire.drop(name, silent=False)
         self.wire.pages.pop(f"{name}:80", None)
 
     def power_off(self, name: str) -> None:
-        """The machine loses power: unsynced bytes go, nobody is told.
-
-        Example: ``scene.power_off("storage-0")``
-        """
+        """The machine loses power: unsynced bytes go, nobody is told."""
         self.loop.end(name)
         self.nodes.pop(name, None)
         self.wire.drop(name, silent=True)
@@ -210,10 +178,7 @@
             self.disks[name].power_loss()
 
     async def stop(self, name: str) -> None:
-        """Stop a node gracefully, as SIGTERM does.
-
-        Example: ``await scene.stop("edge-0")``
-        """
+        """Stop a node gracefully, as SIGTERM does."""
         own = self.nodes[name]
 
         async def whole() -> None:
@@ -231,10 +196,7 @@
         self.kill(name)
 
     async def until(self, condition: collections.abc.Callable[[], bool], within: float, what: str) -> float:
-        """Wait in simulated time until something holds; fails after so many seconds.
-
-        Example: ``await scene.until(scene.ready, 20, "ready")``
-        """
+        """Wait in simulated time until something holds; fails after so many seconds."""
         began = self.loop.time()
         while not condition():
             if self.loop.time() - began > within:
@@ -243,10 +205,7 @@
         return self.loop.time() - began
 
     def show(self) -> dict:
-        """The state of all nodes, for a failed run.
-
-        Example: ``scene.show()``
-        """
+        """The state of all nodes, for a failed run."""
         return {
             name: {
                 "pairs": {pair: (held.why, str(held.known), held.claimed()) for pair, held in own.hosts.items()},
@@ -259,17 +218,11 @@
         } | {"ended": self.ended}
 
     def alive(self, name: str) -> bool:
-        """Whether a node's process runs.
-
-        Example: ``scene.alive("core-0")``
-        """
+        """Whether a node's process runs."""
         return self.loop.lives.get(name, 0) > 0
 
     def leader(self, pair: int) -> str:
-        """The node that may act as a pair's primary now, or nothing.
-
-        Example: ``scene.leader(0)``
-        """
+        """The node that may act as a pair's primary now, or nothing."""
         for name, own in self.nodes.items():
             if self.alive(name) and name not in self.loop.frozen and pair in own.hosts:
                 if own.hosts[pair].claimed() and own.hosts[pair].why == "serving":
@@ -277,17 +230,11 @@
         return ""
 
     def formed(self) -> bool:
-        """Whether all pairs are served.
-
-        Example: ``await scene.until(scene.formed, 20, "formed")``
-        """
+        """Whether all pairs are served."""
         return all(self.leader(pair) for pair in range(3))
 
     def ready(self) -> bool:
-        """Whether all pairs are served and all living edges hold a current plan.
-
-        Example: ``await scene.until(scene.ready, 20, "ready")``
-        """
+        """Whether all pairs are served and all living edges hold a current plan."""
         return self.formed() and all(
             name in self.nodes and self.nodes[name].relay.current()
             for name in self.edges
@@ -295,10 +242,7 @@
         )
 
     def caller(self, seed: int) -> caller.Caller:
-        """Callers outside the fleet.
-
-        Example: ``asking = scene.caller(1)``
-        """
+        """Callers outside the fleet."""
         return caller.Caller(
             self.mix,
             tuple(f"{name}:80" for name in self.edges),
@@ -315,10 +259,7 @@
     weather: wire.Weather = wire.Weather(),
     more: dict | None = None,
 ) -> SimulatedCluster:
-    """Play a story in a fresh simulated world; ``more`` are settings of all nodes that differ from their defaults.
-
-    Example: ``play(7, story)``
-    """
+    """Play a story in a fresh simulated world; ``more`` are settings of all nodes that differ from their defaults."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-"))
     scene = SimulatedCluster(seed, size, shape.shape_of(name), weather, folder, more)
 
--- a/aspencroft/simulation/surfaces_test.py
+++ b/aspencroft/simulation/surfaces_test.py
@@ -163,20 +163,14 @@
 
 
 def sample_bytes(shape: type, chance: random.Random) -> bytes:
-    """The bytes of a record of a type, filled by chance; it means nothing but can be read.
-
-    Example: ``record.unpack(Beat, sample_bytes(Beat, chance))``
-    """
+    """The bytes of a record of a type, filled by chance; it means nothing but can be read."""
     into = bytearray()
     fill(shape, chance, into, 0)
     return bytes(into)
 
 
 def fill(shape, chance: random.Random, into: bytearray, depth: int) -> None:
-    """Append a value of a shape by chance.
-
-    Example: ``fill(int, chance, into, 0)``
-    """
+    """Append a value of a shape by chance."""
     origin = typing.get_origin(shape)
     if shape is int:
         codec.write(int, chance.choice([-1, 0, 1, 2, 7, 1 << 40, -(1 << 62)]), into)
--- a/aspencroft/simulation/voters.py
+++ b/aspencroft/simulation/voters.py
@@ -15,9 +15,8 @@
 
 
 class VoterNetwork:
-    """Delivers messages to witnesses; ``before`` is called with the number of each, ``lost`` tells which never arrive.
-
-    Example: ``VoterNetwork().ask("a:1", message, within)``
+    """Delivers messages to witnesses; ``before`` is called with the number of each, ``lost`` tells which never
+    arrive.
     """
 
     def __init__(self):
@@ -29,10 +28,7 @@
         self.lost: collections.abc.Callable[[str, object], bool] = lambda address, message: False
 
     async def ask(self, address: str, message, within):
-        """As ``connections.Link.ask``.
-
-        Example: ``await network.ask("a:1", WitnessStateRequest("b:1"), within)``
-        """
+        """As ``connections.Link.ask``."""
         self.steps += 1
         self.before(self.steps)
         await clock.sleep(DELAY)
@@ -44,18 +40,12 @@
         return reply
 
     def tell(self, address: str, message) -> None:
-        """As ``connections.Link.tell``.
-
-        Example: ``network.tell("a:1", VoterSetChosen(voter_set))``
-        """
+        """As ``connections.Link.tell``."""
         if address not in self.down and not self.lost(address, message):
             asyncio.get_running_loop().create_task(self.deliver(self.voters[address], message))
 
     async def deliver(self, voter: witness.Witness, message):
-        """What a node does with the message of a proposer or of another witness.
-
-        Example: ``await network.deliver(voter, message)``
-        """
+        """What a node does with the message of a proposer or of another witness."""
         match message:
             case replica_set.Prepare():
                 return await voter.prepare(message)
@@ -72,10 +62,7 @@
 
 
 class Voters:
-    """A voter set in force, a blank machine that may join it, and proposers on any of their nodes.
-
-    Example: ``play(acts)`` where ``acts`` takes the voters.
-    """
+    """A voter set in force, a blank machine that may join it, and proposers on any of their nodes."""
 
     def __init__(self, present: tuple[str, ...], spare: tuple[str, ...]):
         self.network = VoterNetwork()
@@ -89,10 +76,7 @@
         self.addresses = (*present, *spare)
 
     async def begin(self) -> None:
-        """Start all witnesses; those present vote, the spare ones learn from them once a voter set names them.
-
-        Example: ``await voters.begin()``
-        """
+        """Start all witnesses; those present vote, the spare ones learn from them once a voter set names them."""
         for place, address in enumerate(self.addresses):
             around = environment.Environment(None, None, None, random.Random(place), None)
             voter = witness.Witness(around, None, address, place + 1, replica_set.VoterSet(0, self.present, ()))
@@ -123,10 +107,7 @@
                     continue
 
     async def write(self, address: str, number: int) -> int:
-        """Have a record with this epoch chosen, unless a later one stands; the epoch that stands.
-
-        Example: ``await voters.write("a:1", 2) == 2``
-        """
+        """Have a record with this epoch chosen, unless a later one stands; the epoch that stands."""
         member = replica_set.ReplicaId(address, "disk")
 
         def change(value: bytes) -> bytes:
@@ -139,10 +120,7 @@
         return codec.untagged(chosen.value).epoch
 
     async def written(self, number: int, within: float) -> str:
-        """Write from any node that is up until it is acknowledged; the node, for the record's epoch.
-
-        Example: ``await voters.written(2, 3)``
-        """
+        """Write from any node that is up until it is acknowledged; the node, for the record's epoch."""
         end = clock.now() + clock.seconds(within)
         while clock.now() < end:
             for address in self.present:
@@ -156,30 +134,21 @@
         raise AssertionError(self.state())
 
     def state(self) -> dict:
-        """Each witness's voter set, for the message of a failed check.
-
-        Example: ``voters.state()["a:1"]``
-        """
+        """Each witness's voter set, for the message of a failed check."""
         return {
             address: (voter.voting, voter.voter_set, self.proposers[address].voter_set.number)
             for address, voter in self.network.voters.items()
         }
 
     def settled(self) -> bool:
-        """Whether all witnesses of the wished set that are up vote under one set that is no longer joint.
-
-        Example: ``voters.settled()``
-        """
+        """Whether all witnesses of the wished set that are up vote under one set that is no longer joint."""
         up = [self.network.voters[one] for one in self.wished if one not in self.network.down]
         return all(
             one.voting and not one.voter_set.coming and set(one.voter_set.present) == set(self.wished) for one in up
         )
 
     async def until(self, condition: collections.abc.Callable[[], bool], within: float) -> float:
-        """Wait until something holds; how long it took.
-
-        Example: ``await voters.until(voters.settled, 6)``
-        """
+        """Wait until something holds; how long it took."""
         began = clock.now()
         while not condition():
             assert (clock.now() - began).total_seconds() < within, self.state()
@@ -188,10 +157,7 @@
 
 
 def play(acts, present: int = 5, spare: int = 1) -> None:
-    """Start witnesses and act on them, in simulated time.
-
-    Example: ``play(acts, present=3)``
-    """
+    """Start witnesses and act on them, in simulated time."""
 
     async def whole() -> None:
         names = [f"{chr(ord('a') + place)}:1" for place in range(present + spare)]
--- a/aspencroft/simulation/wire.py
+++ b/aspencroft/simulation/wire.py
@@ -17,10 +17,7 @@
 
 @dataclasses.dataclass
 class Weather:
-    """How bad the network is.
-
-    Example: ``Weather(jitter=0.01, double=0.01, reset=0.001)``
-    """
+    """How bad the network is."""
 
     jitter: float = 0.001
     double: float = 0.0
@@ -41,10 +38,7 @@
         self.held: list[bytes] = []
 
     def send(self, data: bytes) -> None:
-        """Deliver after a delay, in order; held back while the way is cut.
-
-        Example: ``pipe.send(b"x")``
-        """
+        """Deliver after a delay, in order; held back while the way is cut."""
         if self.wire.is_cut(self.source, self.target):
             self.held.append(data)
             return
@@ -55,27 +49,18 @@
             self.wire.outside(self.last - now, self.arrive, data)
 
     def arrive(self, data: bytes) -> None:
-        """Bytes are there.
-
-        Example: ``pipe.arrive(b"x")``
-        """
+        """Bytes are there."""
         if not self.broken:
             self.buffer += data
             self.filled.set()
 
     def break_off(self) -> None:
-        """No more bytes come.
-
-        Example: ``pipe.break_off()``
-        """
+        """No more bytes come."""
         self.broken = True
         self.filled.set()
 
     async def read(self, count: int) -> bytes:
-        """Exactly so many bytes, or EOFError once the stream is broken.
-
-        Example: ``await pipe.read(4)``
-        """
+        """Exactly so many bytes, or EOFError once the stream is broken."""
         while len(self.buffer) < count:
             if self.broken:
                 raise EOFError("the stream is broken")
@@ -86,10 +71,7 @@
         return data
 
     async def read_some(self, limit: int) -> bytes:
-        """What has come, at most so many bytes; empty once the stream is broken.
-
-        Example: ``await pipe.read_some(65536)``
-        """
+        """What has come, at most so many bytes; empty once the stream is broken."""
         while not self.buffer and not self.broken:
             self.filled.clear()
             await self.filled.wait()
@@ -106,37 +88,22 @@
         self.outward = outward
 
     async def read(self, count: int) -> bytes:
-        """Exactly so many bytes.
-
-        Example: ``await channel.read(28)``
-        """
+        """Exactly so many bytes."""
         return await self.inward.read(count)
 
     async def read_some(self, limit: int) -> bytes:
-        """What has come, at most so many bytes; empty at the end.
-
-        Example: ``await channel.read_some(65536)``
-        """
+        """What has come, at most so many bytes; empty at the end."""
         return await self.inward.read_some(limit)
 
     def quiet(self) -> bool:
-        """Whether the stream is open and nothing has come that was not read.
-
-        Example: ``channel.quiet()``
-        """
+        """Whether the stream is open and nothing has come that was not read."""
         return not (self.inward.broken or self.outward.broken or self.inward.buffer)
 
     def watch(self, silence) -> None:
-        """No machine of the simulated world breaks streams by itself.
-
-        Example: ``channel.watch(moment.seconds(4))``
-        """
+        """No machine of the simulated world breaks streams by itself."""
 
     async def write(self, data: bytes) -> None:
-        """Send bytes; ConnectionResetError on a broken stream.
-
-        Example: ``await channel.write(b"x")``
-        """
+        """Send bytes; ConnectionResetError on a broken stream."""
         if self.outward.broken:
             raise ConnectionResetError("the stream is broken")
         if self.outward.wire.chance.random() < self.outward.wire.weather.reset:
@@ -145,10 +112,7 @@
         self.outward.send(data)
 
     def close(self) -> None:
-        """Close both directions; the other end hears of it behind all that was sent, unless the way is cut.
-
-        Example: ``channel.close()``
-        """
+        """Close both directions; the other end hears of it behind all that was sent, unless the way is cut."""
         self.inward.broken = True
         self.inward.filled.set()
         outward, wire = self.outward, self.outward.wire
@@ -158,10 +122,7 @@
             wire.outside(outward.last - now, outward.break_off)
 
     def abort(self) -> None:
-        """Reset the stream; the other end hears of it, perhaps before the last that was sent, unless the way is cut.
-
-        Example: ``channel.abort()``
-        """
+        """Reset the stream; the other end hears of it, perhaps before the last that was sent, unless the way is cut."""
         self.inward.broken = True
         self.inward.filled.set()
         wire = self.outward.wire
@@ -170,10 +131,7 @@
 
 
 class Wire:
-    """All streams and pages of a simulated world.
-
-    Example: ``wire.cut({"core-1"}, {"core-2"})``
-    """
+    """All streams and pages of a simulated world."""
 
     def __init__(self, simulated: loop.SimLoop, chance: random.Random, weather: Weather):
         self.loop = simulated
@@ -187,33 +145,21 @@
         self.trace: list[str] = []
 
     def outside(self, delay: float, function, *arguments) -> None:
-        """Do something that no node does: what the network itself does.
-
-        Example: ``wire.outside(0.1, pipe.arrive, b"x")``
-        """
+        """Do something that no node does: what the network itself does."""
         self.loop.call_later(delay, function, *arguments, context=contextvars.Context())
 
     def delay(self) -> float:
-        """One way's delay.
-
-        Example: ``wire.delay() >= LATENCY``
-        """
+        """One way's delay."""
         return LATENCY + self.chance.random() * self.weather.jitter
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether nothing gets from one node to another.
-
-        Example: ``wire.is_cut("a", "b")``
-        """
+        """Whether nothing gets from one node to another."""
         return (source, target) in self.cuts
 
     def cut(
         self, left: collections.abc.Iterable[str], right: collections.abc.Iterable[str], one_way: bool = False
     ) -> set[tuple[str, str]]:
-        """Cut all ways between two groups, or just those from the left one to the right one; what was cut.
-
-        Example: ``wire.cut(["a"], ["b", "c"])``
-        """
+        """Cut all ways between two groups, or just those from the left one to the right one; what was cut."""
         ways = {(one, other) for one in left for other in right if one != other}
         ways |= set() if one_way else {(other, one) for one, other in ways}
         self.cuts |= ways
@@ -222,9 +168,8 @@
     def refuse(
         self, left: collections.abc.Iterable[str], right: collections.abc.Iterable[str], reset: bool = False
     ) -> None:
-        """Have cut ways between two groups refuse new streams at once until they heal; ``reset`` breaks open ones too.
-
-        Example: ``wire.refuse(["core-1"], ["core-2"], reset=True)``
+        """Have cut ways between two groups refuse new streams at once until they heal; ``reset`` breaks open ones
+        too.
         """
         left, right = set(left), set(right)
         self.refusing |= {way for one in left for other in right for way in ((one, other), (other, one))}
@@ -236,10 +181,7 @@
                 far.close()
 
     def heal(self, ways: set[tuple[str, str]] | None = None) -> None:
-        """Mend all cuts, or some; held streams go on late or break, by chance.
-
-        Example: ``wire.heal()``
-        """
+        """Mend all cuts, or some; held streams go on late or break, by chance."""
         self.cuts -= set(self.cuts) if ways is None else ways
         self.refusing &= self.cuts
         for _, _, near, far in self.channels:
@@ -257,10 +199,7 @@
                     channel.outward.send(data)
 
     def drop(self, node: str, silent: bool) -> None:
-        """A node's process ended: its streams break; silently (no word to the other end) at a power loss.
-
-        Example: ``wire.drop("core-1", silent=False)``
-        """
+        """A node's process ended: its streams break; silently (no word to the other end) at a power loss."""
         for address in [address for address, (owner, _) in self.listeners.items() if owner == node]:
             del self.listeners[address]
         kept = []
@@ -283,19 +222,13 @@
         self.node = node
 
     async def listen(self, address: str) -> asyncio.Queue:
-        """Accept streams.
-
-        Example: ``accepted = await network.listen("core-1:1")``
-        """
+        """Accept streams."""
         accepted: asyncio.Queue = asyncio.Queue(128)
         self.wire.listeners[address] = (self.node, accepted)
         return accepted
 
     async def connect(self, address: str) -> SimChannel:
-        """Open a stream.
-
-        Example: ``channel = await network.connect("core-1:1")``
-        """
+        """Open a stream."""
         target = address.split(":", maxsplit=1)[0]
         await asyncio.sleep(self.wire.delay())
         if self.wire.is_cut(self.node, target):
@@ -336,28 +269,19 @@
             yield data
 
     async def aclose(self) -> None:
-        """The caller goes away.
-
-        Example: ``await body.aclose()``
-        """
+        """The caller goes away."""
         self.hung.set()
 
 
 class SimTransport(httpx.AsyncBaseTransport):
-    """HTTP between simulated nodes: the target's ASGI application runs in the target's own life.
-
-    Example: ``httpx.AsyncClient(transport=SimTransport(wire, "edge-1"))``
-    """
+    """HTTP between simulated nodes: the target's ASGI application runs in the target's own life."""
 
     def __init__(self, wire: Wire, node: str):
         self.wire = wire
         self.node = node
 
     async def receive(self, queue: asyncio.Queue, owner: str, life: int, what: str):
-        """The next part of an answer; ReadError when the target ended or the way stayed cut.
-
-        Example: ``kind, data = await transport.receive(queue, "edge-1", 1, "body")``
-        """
+        """The next part of an answer; ReadError when the target ended or the way stayed cut."""
         waited = 0.0
         while True:
             try:
@@ -371,10 +295,7 @@
                 raise httpx.ReadTimeout(f"no {what}")
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Run one request.
-
-        Example: ``await transport.handle_async_request(request)``
-        """
+        """Run one request."""
         address = f"{request.url.host}:{request.url.port or 80}"
         await asyncio.sleep(self.wire.delay())
         target = request.url.host
@@ -412,10 +333,7 @@
         owner: str,
         hung: asyncio.Event,
     ) -> None:
-        """What the target does with a request.
-
-        Example: ``loop.create_task(transport.answer(...), context=context)``
-        """
+        """What the target does with a request."""
         scope = {
             "type": "http",
             "asgi": {"version": "3.0"},
--- a/aspencroft/storage/store.py
+++ b/aspencroft/storage/store.py
@@ -35,10 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Item:
-    """One stored value under its epoch.
-
-    Example: ``Item(3, b"payload")``
-    """
+    """One stored value under its epoch."""
 
     epoch: int
     payload: bytes
@@ -65,19 +62,13 @@
 
 
 def value(index: int, item: Item, synced: int) -> bytes:
-    """The bytes stored under the key of an index.
-
-    Example: ``value(0, Item(1, b"x"), 0)``
-    """
+    """The bytes stored under the key of an index."""
     header = HEADER.pack(MAGIC, index, len(item.payload), item.epoch, synced)
     return header + CHECK.pack(zlib.crc32(item.payload, zlib.crc32(header))) + item.payload
 
 
 class FileBytes:
-    """A file's bytes, read where they are looked at, so that a large file is never in memory as a whole.
-
-    Example: ``scan(FileBytes(file))``
-    """
+    """A file's bytes, read where they are looked at, so that a large file is never in memory as a whole."""
 
     def __init__(self, file: typing.BinaryIO):
         self.descriptor = file.fileno()
@@ -95,8 +86,6 @@
     """The value at a place, or nothing when it is not whole.
 
     Values of the former format count as written one by one, each after all before it lasted.
-
-    Example: ``value_at(value(0, item, 0), 0).item == item``
     """
     magic = data[place : place + len(MAGIC)]
     layout = {MAGIC: HEADER, FORMER_MAGIC: FORMER_HEADER}.get(magic)
@@ -168,10 +157,7 @@
 
 
 def read_pointer(path: pathlib.Path) -> Pointer | None:
-    """What a pointer file says; none when it says nothing of the kind. Former files name the generation alone.
-
-    Example: ``read_pointer(folder / CURRENT).generation``
-    """
+    """What a pointer file says; none when it says nothing of the kind. Former files name the generation alone."""
     words = path.read_text(errors="replace").split()
     if not words or not all(word.isdigit() for word in words):
         return None
@@ -183,9 +169,6 @@
 
     Either all items of an append last or none: after a failed one (no space, an input or output error) its bytes are
     cut off before anything is written behind them, since a torn value amid sound ones would read as damage.
-
-    Example: ``kept, items, condition = store.load(folder, disk)``, then ``kept.append(items)``
-    inside ``disk.perform``.
     """
 
     def __init__(self, folder: pathlib.Path, disk: environment.Disk, generation: int):
@@ -199,17 +182,11 @@
         self.database = None
 
     def home(self) -> pathlib.Path:
-        """The folder of the generation in force.
-
-        Example: ``store.home() / "journal.dat"``
-        """
+        """The folder of the generation in force."""
         return self.folder / f"generation-{self.generation}"
 
     def open(self, found: Scan) -> None:
-        """Make index and data agree with the scan, then open the files.
-
-        Example: ``store.open(scan(data))``
-        """
+        """Make index and data agree with the scan, then open the files."""
         data_file, index_file = self.home() / "journal.dat", self.home() / "journal.dir"
         if data_file.stat().st_size != found.end:
             os.truncate(data_file, found.end)
@@ -226,10 +203,7 @@
         self.torn = False
 
     def append(self, items: tuple[Item, ...]) -> None:
-        """Add items and make them last, all or none.
-
-        Example: ``await disk.perform(kept.append, (Item(1, b"x"),))``
-        """
+        """Add items and make them last, all or none."""
         self.prepare()
         self.torn = True
         self.add(items)
@@ -238,20 +212,14 @@
         self.torn, self.synced = False, self.count
 
     def prepare(self) -> None:
-        """Finish what an earlier failure left: a pointer that was not made to last, the bytes of a failed append.
-
-        Example: ``kept.prepare()``
-        """
+        """Finish what an earlier failure left: a pointer that was not made to last, the bytes of a failed append."""
         if self.replaced is not None:
             self.finish_point()
         if self.torn:
             self.undo()
 
     def undo(self) -> None:
-        """Cut off all that was added since the last append that succeeded.
-
-        Example: ``kept.undo()``
-        """
+        """Cut off all that was added since the last append that succeeded."""
         with (self.home() / "journal.dat").open("rb") as file:
             places = first_places(FileBytes(file), self.synced)
         if len(places) < self.synced:
@@ -260,10 +228,7 @@
         self.open(Scan((), tuple(places), end, Condition.SOUND))
 
     def add(self, items: collections.abc.Iterable[Item]) -> None:
-        """Write items under new keys; the index that dbm.dumb would rewrite at its end stays unused.
-
-        Example: ``kept.add((Item(1, b"x"),))``
-        """
+        """Write items under new keys; the index that dbm.dumb would rewrite at its end stays unused."""
         try:
             for item in items:
                 self.database[format(self.count, "016x")] = value(self.count, item, self.synced)
@@ -272,9 +237,8 @@
             self.database._modified = False
 
     def replace(self, items: tuple[Item, ...]) -> None:
-        """Write a new generation that holds just these items, then point to it; this one stays in force if that fails.
-
-        Example: ``await disk.perform(kept.replace, (snapshot, *tail))``
+        """Write a new generation that holds just these items, then point to it; this one stays in force if that
+        fails.
         """
         fresh = self.successor(self.generation + 1)
         try:
@@ -288,17 +252,11 @@
         self.count, self.synced, self.torn = fresh.count, fresh.synced, fresh.torn
 
     def successor(self, generation: int) -> "Store":
-        """A store for a later generation of the same folder; it counts only once it is pointed to.
-
-        Example: ``fresh = kept.successor(kept.generation + 1)``, then ``blank``, ``add``, ``append`` and ``point``
-        """
+        """A store for a later generation of the same folder; it counts only once it is pointed to."""
         return Store(self.folder, self.disk, generation)
 
     def blank(self) -> None:
-        """Begin the generation with no items, whatever was left of one with its number.
-
-        Example: ``fresh.blank()``
-        """
+        """Begin the generation with no items, whatever was left of one with its number."""
         remove(self.home())
         self.home().mkdir(parents=True, exist_ok=True)
         (self.home() / "journal.dat").write_bytes(b"")
@@ -309,8 +267,6 @@
 
         An error means that the older one is in force. Where just the last sync fails, either may be after a loss of
         power: they hold the same then, and ``append`` adds nothing before that sync succeeded.
-
-        Example: ``fresh.point(kept.home())``
         """
         self.disk.synchronise(self.home())
         self.disk.synchronise(self.folder)
@@ -323,27 +279,18 @@
             self.finish_point()
 
     def finish_point(self) -> None:
-        """Make the pointer last, then remove the generation that it replaced.
-
-        Example: ``kept.finish_point()``
-        """
+        """Make the pointer last, then remove the generation that it replaced."""
         self.disk.synchronise(self.folder)
         remove(self.replaced)
         self.replaced = None
 
     def discard(self) -> None:
-        """Remove a generation that was never pointed to.
-
-        Example: ``fresh.discard()``
-        """
+        """Remove a generation that was never pointed to."""
         remove(self.home())
 
 
 def remove(home: pathlib.Path) -> None:
-    """Remove a generation's folder and the files in it, by their names alone; what cannot be removed stays.
-
-    Example: ``remove(folder / "generation-3")``
-    """
+    """Remove a generation's folder and the files in it, by their names alone; what cannot be removed stays."""
     try:
         for name in os.listdir(home):
             os.unlink(home / name)
@@ -353,19 +300,13 @@
 
 
 def make_durable_folder(folder: pathlib.Path, disk: environment.Disk) -> None:
-    """Make a folder whose name outlives a loss of power, also where an earlier run made it and did not sync that.
-
-    Example: ``make_durable_folder(data / "witness", disk)``
-    """
+    """Make a folder whose name outlives a loss of power, also where an earlier run made it and did not sync that."""
     folder.mkdir(parents=True, exist_ok=True)
     disk.synchronise(folder.parent)
 
 
 def load(folder: pathlib.Path, disk: environment.Disk) -> tuple[Store, tuple[Item, ...], Condition]:
-    """Open the store in a folder; a damaged one is handed back with no items and starts anew.
-
-    Example: ``kept, items, condition = await disk.perform(store.load, folder, disk)``
-    """
+    """Open the store in a folder; a damaged one is handed back with no items and starts anew."""
     pointer = folder / CURRENT
     generations = [int(path.name.rsplit("-", 1)[1]) for path in folder.glob("generation-*")]
     if not pointer.exists():
@@ -392,8 +333,6 @@
     """Read the generation that is pointed to; none when it is missing or damaged.
 
     What a killed process wrote and did not sync is read like all else, and is acted on: it is synced first.
-
-    Example: ``scan_generation(folder, Pointer(3, 0), disk).items``
     """
     data_file = folder / f"generation-{pointed.generation}" / "journal.dat"
     if not data_file.exists():
@@ -409,7 +348,4 @@
     """A disk that syncs nothing, for tests."""
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """Nothing to do.
-
-        Example: ``Inline().synchronise(path)``
-        """
+        """Nothing to do."""
--- a/aspencroft/storage/store_test.py
+++ b/aspencroft/storage/store_test.py
@@ -104,10 +104,7 @@
 
 
 class CutDisk(disk.SimDisk):
-    """A disk whose machine loses power at the synchronisation that it is told, just before or after it.
-
-    Example: ``CutDisk(tmp_path, random.Random(1), cut_at=5, before=True)``
-    """
+    """A disk whose machine loses power at the synchronisation that it is told, just before or after it."""
 
     def __init__(self, folder: pathlib.Path, chance: random.Random, cut_at: int, before: bool):
         super().__init__(folder, chance)
@@ -115,10 +112,7 @@
         self.before = before
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """As on any disk, until the power is gone.
-
-        Example: ``disk.synchronise(path)``
-        """
+        """As on any disk, until the power is gone."""
         if self.counts["syncs"] + 1 == self.cut_at and self.before:
             raise PowerCutError
         super().synchronise(path)
@@ -127,10 +121,7 @@
 
 
 class Journal:
-    """A store in use, the items that were acknowledged, and those that a cut operation may have left.
-
-    Example: ``Journal(disk).append(3)``
-    """
+    """A store in use, the items that were acknowledged, and those that a cut operation may have left."""
 
     def __init__(self, machine: CutDisk):
         self.disk = machine
@@ -141,18 +132,12 @@
         self.number = 0
 
     def fresh(self, count: int) -> tuple[store.Item, ...]:
-        """Items that were never written before, some longer than a block.
-
-        Example: ``journal.fresh(2)``
-        """
+        """Items that were never written before, some longer than a block."""
         self.number += count
         return tuple(store.Item(1, b"%d" % number * 150) for number in range(self.number - count, self.number))
 
     def settled(self, items: tuple[store.Item, ...]) -> None:
-        """An operation was acknowledged: exactly these items are held from now on.
-
-        Example: ``journal.settled(items)``
-        """
+        """An operation was acknowledged: exactly these items are held from now on."""
         self.acknowledged, self.allowed = items, [items]
 
     def load(self) -> None:
--- a/aspencroft/tracing/trace.py
+++ b/aspencroft/tracing/trace.py
@@ -22,10 +22,7 @@
 @codec.kind(151)
 @dataclasses.dataclass(frozen=True)
 class Trace:
-    """A request's lines.
-
-    Example: ``story.lines[-1].what == "answered"``
-    """
+    """A request's lines."""
 
     request: str
     node: str
@@ -50,10 +47,7 @@
 
 
 def joined(stories: list[Trace]) -> list[Trace]:
-    """One story for each node that told one: the longest.
-
-    Example: ``joined([short, long]) == [long]``
-    """
+    """One story for each node that told one: the longest."""
     best: dict[str, Trace] = {}
     for one in stories:
         if one.node not in best or len(one.lines) > len(best[one.node].lines):
@@ -62,10 +56,7 @@
 
 
 class Traces:
-    """The newest stories of this node, and those that another edge gave it to keep, in memory.
-
-    Example: ``stories.add("id", "chat", span, "drawn", "m1")``
-    """
+    """The newest stories of this node, and those that another edge gave it to keep, in memory."""
 
     def __init__(self, node: str):
         self.node = node
@@ -73,27 +64,18 @@
         self.given: collections.OrderedDict[str, Trace] = collections.OrderedDict()
 
     def keep(self, one: Trace) -> None:
-        """Keep another edge's story, for when that edge is gone.
-
-        Example: ``stories.keep(story)``
-        """
+        """Keep another edge's story, for when that edge is gone."""
         self.given.pop(one.request, None)
         self.given[one.request] = one
         while len(self.given) > MOST:
             self.given.popitem(last=False)
 
     def told(self, request: str) -> tuple[Trace, ...]:
-        """All that is known here of a request.
-
-        Example: ``stories.told("id")``
-        """
+        """All that is known here of a request."""
         return tuple(known[request] for known in (self.held, self.given) if request in known)
 
     def add(self, request: str, lane: str, after: datetime.timedelta, what: str, detail: str = "") -> None:
-        """Add a line to a request's story; the oldest stories go.
-
-        Example: ``stories.add("id", "chat", span, "accepted")``
-        """
+        """Add a line to a request's story; the oldest stories go."""
         known = self.held.pop(request, None) or Trace(request, self.node, lane, ())
         if len(known.lines) < 64:
             known = dataclasses.replace(known, lines=known.lines + (Line(after, what, detail[:2000]),))
@@ -103,10 +85,7 @@
 
 
 def document(story: Trace) -> dict:
-    """A story as JSON.
-
-    Example: ``document(story)["lines"][0]["what"]``
-    """
+    """A story as JSON."""
     return {
         "request": story.request,
         "node": story.node,
--- a/aspencroft/transport/codec.py
+++ b/aspencroft/transport/codec.py
@@ -23,10 +23,7 @@
 
 
 def kind(number: int) -> typing.Callable[[type], type]:
-    """Give a frozen dataclass its kind number on the wire.
-
-    Example: ``@record.kind(7)`` above ``@dataclasses.dataclass(frozen=True)``
-    """
+    """Give a frozen dataclass its kind number on the wire."""
 
     def register(record_type: type) -> type:
         if number in KINDS:
@@ -42,10 +39,7 @@
 
 
 def shapes(record_type: type) -> tuple:
-    """Names and shapes of a dataclass's fields, looked up once.
-
-    Example: ``shapes(Frame)``
-    """
+    """Names and shapes of a dataclass's fields, looked up once."""
     if record_type not in SHAPES:
         hints = typing.get_type_hints(record_type)
         SHAPES[record_type] = tuple((field.name, hints[field.name]) for field in dataclasses.fields(record_type))
@@ -53,10 +47,7 @@
 
 
 class Source:
-    """A function being written for one shape: its lines, the names they use, fixed fields that wait for one struct.
-
-    Example: ``source = Source()``, ``WriterSource(source)``
-    """
+    """A function being written for one shape: its lines, the names they use, fixed fields that wait for one struct."""
 
     def __init__(self):
         self.lines: list[str] = []
@@ -64,27 +55,18 @@
         self.count = 0
 
     def fresh(self, start: str) -> str:
-        """A name that is not used yet.
-
-        Example: ``source.fresh("item")``
-        """
+        """A name that is not used yet."""
         self.count += 1
         return f"{start}{self.count}"
 
     def bind(self, start: str, value) -> str:
-        """A fresh name for a value from outside.
-
-        Example: ``source.bind("pack", LENGTH.pack)``
-        """
+        """A fresh name for a value from outside."""
         name = self.fresh(start)
         self.names[name] = value
         return name
 
     def function(self, signature: str) -> typing.Callable:
-        """The function, compiled.
-
-        Example: ``source.function("write(value, extend)")``
-        """
+        """The function, compiled."""
         text = "\n    ".join([f"def {signature}:", *self.lines])
         exec(compile(text, f"<record {signature}>", "exec"), self.names)
         return self.names[signature.split("(", maxsplit=1)[0]]
@@ -98,18 +80,12 @@
         self.formats, self.values, self.pieces = "", [], []
 
     def fixed(self, one: str, expression: str) -> None:
-        """A field of fixed length; neighbours go into one struct.
-
-        Example: ``writing.fixed("q", "value.number")``
-        """
+        """A field of fixed length; neighbours go into one struct."""
         self.formats += one
         self.values.append(expression)
 
     def piece(self, expression: str) -> None:
-        """Bytes that go out as they are, behind the fixed fields before them.
-
-        Example: ``writing.piece("value.body")``
-        """
+        """Bytes that go out as they are, behind the fixed fields before them."""
         if self.formats:
             pack = self.source.bind("pack", struct.Struct(">" + self.formats).pack)
             self.pieces.append(f"{pack}({', '.join(self.values)})")
@@ -118,20 +94,14 @@
             self.pieces.append(expression)
 
     def flush(self) -> None:
-        """Hand out what waits, in order.
-
-        Example: ``writing.flush()``
-        """
+        """Hand out what waits, in order."""
         self.piece("")
         if self.pieces:
             self.source.lines.append(f"extend(({', '.join(self.pieces)},))")
             self.pieces = []
 
     def value(self, shape, expression: str) -> None:
-        """The steps for one value of a shape.
-
-        Example: ``writing.value(int, "value.number")``
-        """
+        """The steps for one value of a shape."""
         origin, lines = typing.get_origin(shape), self.source.lines
         if shape in FIXED:
             self.fixed(FIXED[shape], expression + (" // MICROSECOND" if shape is datetime.timedelta else ""))
@@ -169,18 +139,12 @@
         self.formats, self.targets, self.after = "", [], []
 
     def fixed(self, one: str, target: str) -> None:
-        """A field of fixed length; neighbours come out of one struct.
-
-        Example: ``reading.fixed("q", "number")``
-        """
+        """A field of fixed length; neighbours come out of one struct."""
         self.formats += one
         self.targets.append(target)
 
     def flush(self) -> None:
-        """Take out the fixed fields that wait.
-
-        Example: ``reading.flush()``
-        """
+        """Take out the fixed fields that wait."""
         if self.formats:
             layout = struct.Struct(">" + self.formats)
             unpack_from = self.source.bind("unpack", layout.unpack_from)
@@ -190,10 +154,7 @@
             self.formats, self.targets, self.after = "", [], []
 
     def value(self, shape) -> str:
-        """The steps for one value of a shape; the name that will hold it.
-
-        Example: ``name = reading.value(int)``
-        """
+        """The steps for one value of a shape; the name that will hold it."""
         origin, lines, name = typing.get_origin(shape), self.source.lines, self.source.fresh("value")
         if shape in FIXED:
             self.fixed(FIXED[shape], name)
@@ -234,8 +195,6 @@
     """Whether making a record is no more than setting its many fields, so that they may be set all at once.
 
     That is faster, but such a record takes 140 bytes more.
-
-    Example: ``plainly_made(Beat)``
     """
     return (
         len(dataclasses.fields(record_type)) > FEW
@@ -250,10 +209,7 @@
 
 
 def writer(shape) -> typing.Callable:
-    """The function ``write(value, extend)`` of a shape, made at first use; a shape that holds itself calls itself.
-
-    Example: ``writer(int)(5, pieces.extend)``
-    """
+    """The function ``write(value, extend)`` of a shape, made at first use; a shape that holds itself calls itself."""
     if shape not in WRITERS:
         WRITERS[shape] = lambda value, extend: WRITERS[shape](value, extend)  # noqa: PLW0108 - looked up when called
         try:
@@ -273,10 +229,7 @@
 
 
 def reader(shape) -> typing.Callable:
-    """The function ``read(data, place, size)`` of a shape, made at first use: the value and the place behind it.
-
-    Example: ``value, place = reader(int)(data, 0, len(data))``
-    """
+    """The function ``read(data, place, size)`` of a shape, made at first use: the value and the place behind it."""
     if shape not in READERS:
         READERS[shape] = lambda data, place, size: READERS[shape](data, place, size)  # noqa: PLW0108 - as above
         try:
@@ -307,46 +260,31 @@
 
 
 def write(shape, value, into: bytearray) -> None:
-    """Append one value of a declared shape.
-
-    Example: ``write(tuple[int, ...], (1, 2), into)``
-    """
+    """Append one value of a declared shape."""
     pieces: list[bytes] = []
     writer(shape)(value, pieces.extend)
     into += b"".join(pieces)
 
 
 def read(shape, data: bytes, place: int):
-    """One value of a declared shape and the place behind it; struct.error or Broken when there is none.
-
-    Example: ``value, place = read(int, data, 0)``
-    """
+    """One value of a declared shape and the place behind it; struct.error or Broken when there is none."""
     return reader(shape)(bytes(data), place, len(data))
 
 
 def pieces(value) -> list[bytes]:
-    """A record's bytes, without its kind, in pieces: the bytes it holds are not copied.
-
-    Example: ``b"".join(pieces(value)) == pack(value)``
-    """
+    """A record's bytes, without its kind, in pieces: the bytes it holds are not copied."""
     found: list[bytes] = []
     writer(type(value))(value, found.extend)
     return found
 
 
 def pack(value) -> bytes:
-    """A record's bytes, without its kind.
-
-    Example: ``unpack(type(value), pack(value)) == value``
-    """
+    """A record's bytes, without its kind."""
     return b"".join(pieces(value))
 
 
 def unpack_from(record_type: type, data: bytes, place: int):
-    """The record that stands at a place and the place behind it; Broken when there is none.
-
-    Example: ``value, place = unpack_from(Beat, body, 0)``
-    """
+    """The record that stands at a place and the place behind it; Broken when there is none."""
     if type(data) is not bytes:
         data = bytes(data)
     try:
@@ -356,10 +294,7 @@
 
 
 def unpack(record_type: type, data: bytes):
-    """The record that the bytes hold; Broken when they hold none or more.
-
-    Example: ``unpack(Beat, body)``
-    """
+    """The record that the bytes hold; Broken when they hold none or more."""
     value, place = unpack_from(record_type, data, 0)
     if place != len(data):
         raise Broken("bytes are left over")
@@ -367,18 +302,12 @@
 
 
 def tagged(value) -> bytes:
-    """A record's bytes behind its kind number.
-
-    Example: ``untagged(tagged(value)) == value``
-    """
+    """A record's bytes behind its kind number."""
     return b"".join([TAG.pack(NUMBERS[type(value)]), *pieces(value)])
 
 
 def untagged(data: bytes):
-    """The record behind a kind number.
-
-    Example: ``untagged(entry.payload)``
-    """
+    """The record behind a kind number."""
     if len(data) < 2:
         raise Broken("no kind")
     record_type = KINDS.get(TAG.unpack_from(data)[0])
--- a/aspencroft/transport/codec_test.py
+++ b/aspencroft/transport/codec_test.py
@@ -62,10 +62,7 @@
 
 
 def plainly_written(shape, value, into: bytearray) -> None:
-    """Append one value, shape by shape: what the compiled codecs have to agree with.
-
-    Example: ``plainly_written(int, 5, into)``
-    """
+    """Append one value, shape by shape: what the compiled codecs have to agree with."""
     origin = typing.get_origin(shape)
     if shape is int:
         into += codec.WHOLE.pack(value)
@@ -94,10 +91,7 @@
 
 
 def by_chance(shape, chance: random.Random, depth: int = 0):
-    """A value of a shape.
-
-    Example: ``by_chance(int, random.Random(1))``
-    """
+    """A value of a shape."""
     origin = typing.get_origin(shape)
     if shape is int:
         return chance.choice([-1, 0, 1, 7, 1 << 40, -(1 << 63), (1 << 63) - 1])
--- a/aspencroft/transport/connections.py
+++ b/aspencroft/transport/connections.py
@@ -49,10 +49,7 @@
         self.waiting_since: datetime.timedelta | None = None
 
     async def run(self) -> None:
-        """Connect, send and receive until idle for long.
-
-        Example: ``group.create_task(fellow.run())``
-        """
+        """Connect, send and receive until idle for long."""
         while True:
             try:
                 async with clock.limit(IDLE):
@@ -84,10 +81,7 @@
             await clock.sleep(REST)
 
     async def send(self, channel: environment.Channel, first: tuple[int, bytes]) -> None:
-        """Write frames as they come.
-
-        Example: ``group.create_task(fellow.send(channel, first))``
-        """
+        """Write frames as they come."""
         way, data = first
         while True:
             await channel.write(data)
@@ -96,10 +90,7 @@
             way, data = await self.outward.get()
 
     async def receive(self, channel: environment.Channel) -> None:
-        """Match answers with whoever awaits them.
-
-        Example: ``group.create_task(fellow.receive(channel))``
-        """
+        """Match answers with whoever awaits them."""
         while True:
             one = await frame.receive(channel)
             self.waiting_since = None
@@ -108,10 +99,7 @@
                 waiting.set_result(one)
 
     async def watch(self) -> None:
-        """Give a silent connection up: its machine may have lost power without a word.
-
-        Example: ``group.create_task(fellow.watch())``
-        """
+        """Give a silent connection up: its machine may have lost power without a word."""
         self.waiting_since = None
         while True:
             await clock.sleep(PING)
@@ -124,10 +112,7 @@
                 self.outward.put_nowait((frame.ASK, frame.encode(frame.Frame(frame.ASK, 0, 0, Ping()))))
 
     def fail(self) -> None:
-        """The connection is gone: nobody who waits gets an answer any more.
-
-        Example: ``fellow.fail()``
-        """
+        """The connection is gone: nobody who waits gets an answer any more."""
         while not self.outward.empty():
             self.outward.get_nowait()
         for waiting in self.awaited.values():
@@ -139,10 +124,7 @@
 
 
 class Link:
-    """All links of one node.
-
-    Example: ``await link.ask("127.0.0.1:7000", message, moment.seconds(1))``
-    """
+    """All links of one node."""
 
     def __init__(self, around: environment.Environment, address: str, server: Server):
         self.environment = around
@@ -154,10 +136,7 @@
         self.group: supervision.Group | None = None
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Listen, and serve every connection in a task of its own.
-
-        Example: ``group.create_task(link.run(ready))``
-        """
+        """Listen, and serve every connection in a task of its own."""
         accepted = await self.environment.network.listen(self.address)
         async with supervision.Group() as group:
             self.group = group
@@ -171,8 +150,6 @@
 
         Who asks numbers the questions upwards: one that comes twice is answered once, lest a conditional
         write meet its own first coming and be refused as not run.
-
-        Example: ``group.create_task(link.serve(channel))``
         """
         places, newest = asyncio.Semaphore(SERVED_AT_ONCE), 0
         answers: asyncio.Queue[bytes] = asyncio.Queue(SERVED_AT_ONCE)
@@ -200,18 +177,12 @@
             channel.close()
 
     async def send_answers(self, channel: environment.Channel, answers: asyncio.Queue) -> None:
-        """Write a connection's answers in the order in which they come to be.
-
-        Example: ``group.create_task(link.send_answers(channel, answers))``
-        """
+        """Write a connection's answers in the order in which they come to be."""
         while True:
             await channel.write(await answers.get())
 
     async def handle(self, one: frame.Frame, answers: asyncio.Queue, places: asyncio.Semaphore) -> None:
-        """Have one message answered.
-
-        Example: ``group.create_task(link.handle(one, answers, places))``
-        """
+        """Have one message answered."""
         try:
             pinged = isinstance(one.message, Ping)
             reply = one.message if pinged else await self.server.answer(one.message)
@@ -230,10 +201,7 @@
             places.release()
 
     def queue(self, address: str, one: frame.Frame) -> Fellow:
-        """Put a frame into a fellow's bounded queue; refused at once when it is full.
-
-        Example: ``link.queue(address, one)``
-        """
+        """Put a frame into a fellow's bounded queue; refused at once when it is full."""
         data = encoded(one)
         peer = self.peers.get(address)
         if peer is None:
@@ -249,20 +217,14 @@
         return peer
 
     def tell(self, address: str, message, epoch: int = 0) -> None:
-        """Send without awaiting an answer; it may be lost.
-
-        Example: ``link.tell(address, Beat(...))``
-        """
+        """Send without awaiting an answer; it may be lost."""
         try:
             self.queue(address, frame.Frame(frame.TELL, 0, epoch, message))
         except result.RequestError:
             self.counts["tells lost"] += 1
 
     async def ask(self, address: str, message, within: datetime.timedelta, epoch: int = 0):
-        """Send and await the answer; a Refusal when there is none in time.
-
-        Example: ``reply = await link.ask(address, Raise(...), moment.seconds(1))``
-        """
+        """Send and await the answer; a Refusal when there is none in time."""
         if address == self.address:
             return await self.server.answer(message)
         number = next(self.numbers)
@@ -284,10 +246,7 @@
 
 
 def encoded(one: frame.Frame) -> bytes:
-    """A frame's bytes; a message that has none is refused here, where it was made, and harms no connection.
-
-    Example: ``link.encoded(frame.Frame(frame.TELL, 0, 0, message))``
-    """
+    """A frame's bytes; a message that has none is refused here, where it was made, and harms no connection."""
     try:
         return frame.encode(one)
     except frame.BrokenFrame as error:
@@ -299,10 +258,7 @@
 
 
 def to_fault(refusal: result.RequestError) -> frame.Fault:
-    """A refusal as a record.
-
-    Example: ``from_fault(to_fault(refusal)).result is refusal.result``
-    """
+    """A refusal as a record."""
     retry = -1 if refusal.retry is None else int(refusal.retry.total_seconds() * 1e6)
     return frame.Fault(
         refusal.result.number, refusal.ran.value, refusal.detail.encode("utf-8", "replace").decode(), retry
@@ -310,10 +266,7 @@
 
 
 def from_fault(fault: frame.Fault) -> result.RequestError:
-    """The refusal that a record holds.
-
-    Example: ``raise from_fault(message)``
-    """
+    """The refusal that a record holds."""
     retry = None if fault.retry < 0 else datetime.timedelta(microseconds=fault.retry)
     known = {ran.value: ran for ran in result.Ran}
     return result.RequestError(
--- a/aspencroft/transport/frame.py
+++ b/aspencroft/transport/frame.py
@@ -20,10 +20,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Frame:
-    """One message on a link.
-
-    Example: ``Frame(ASK, 17, 3, message)``
-    """
+    """One message on a link."""
 
     way: int
     number: int
@@ -32,10 +29,7 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """The frame's bytes.
-
-    Example: ``await channel.write(frame.encode(one))``
-    """
+    """The frame's bytes."""
     body = codec.pack(frame.message)
     if len(body) > LARGEST:
         raise BrokenFrame(f"a body of {len(body)} bytes is over the limit")
@@ -46,18 +40,12 @@
 
 
 def checksum(start: bytes, body: bytes) -> int:
-    """The checksum of a header without its last field, and a body.
-
-    Example: ``checksum(header[:-4], body)``
-    """
+    """The checksum of a header without its last field, and a body."""
     return zlib.crc32(body, zlib.crc32(start))
 
 
 async def receive(channel: environment.Channel) -> Frame:
-    """The next frame of a channel; BrokenFrame when the bytes are none.
-
-    Example: ``one = await frame.receive(channel)``
-    """
+    """The next frame of a channel; BrokenFrame when the bytes are none."""
     header = await channel.read(HEADER.size)
     length, kind, version, way, number, epoch, expected = HEADER.unpack(header)
     if version != VERSION:
@@ -83,10 +71,7 @@
         self.data = data
 
     async def read(self, count: int) -> bytes:
-        """Bytes from the front.
-
-        Example: ``await Buffer(b"abc").read(2) == b"ab"``
-        """
+        """Bytes from the front."""
         piece, self.data = self.data[:count], self.data[count:]
         if len(piece) < count:
             raise EOFError
--- a/aspencroft/workers/adapter.py
+++ b/aspencroft/workers/adapter.py
@@ -49,10 +49,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Work:
-    """What a worker is asked to do.
-
-    Example: ``Work("id", "planner", "program", "", 3, past, "input", 512, deadline)``
-    """
+    """What a worker is asked to do."""
 
     go: str
     service: str
@@ -85,10 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """What a worker is to release, offload, load and restore, under the duty's epoch and an order number.
-
-    Example: ``Order(3, 17, (), ("kv:p1",), ("model:coder",), ())``
-    """
+    """What a worker is to release, offload, load and restore, under the duty's epoch and an order number."""
 
     epoch: int
     number: int
@@ -121,8 +115,6 @@
     """HTTP towards back ends and the platform; all that comes back is checked here.
 
     ``faults`` counts what could not be used, by the page that it came from.
-
-    Example: ``Adapter(around, counts).workers("http://127.0.0.1:9000/api/workers")``
     """
 
     def __init__(self, around: environment.Environment, faults: collections.Counter):
@@ -131,19 +123,13 @@
         self.faults = faults
 
     async def close(self) -> None:
-        """Close all connections.
-
-        Example: ``await adapter.close()``
-        """
+        """Close all connections."""
         await self.client.aclose()
 
     async def ask(
         self, page: str, method: str, url: str, within: datetime.timedelta, body: dict | None = None
     ) -> tuple[int, object]:
-        """Status and JSON of a page, or a Refusal; an answer that is too large or no sound JSON counts as none.
-
-        Example: ``status, shown = await adapter.ask("report", "GET", url, REPORT)``
-        """
+        """Status and JSON of a page, or a Refusal; an answer that is too large or no sound JSON counts as none."""
         try:
             async with clock.limit(within), self.client.stream(method, url, json=body) as response:
                 parts, size = [], 0
@@ -162,10 +148,7 @@
             ) from None
 
     async def workers(self, url: str) -> tuple[worker.Worker, ...]:
-        """The platform's list; a row that cannot be read, or bears a name twice, costs just that row.
-
-        Example: ``await adapter.workers(url)``
-        """
+        """The platform's list; a row that cannot be read, or bears a name twice, costs just that row."""
         _, shown = await self.ask("list", "GET", url, LIST)
         rows = shown.get("workers") if isinstance(shown, dict) else shown
         if not isinstance(rows, list) or len(rows) > MOST_WORKERS:
@@ -183,10 +166,7 @@
         return tuple(found.values())
 
     async def report(self, target: worker.Worker) -> Report:
-        """What a worker says it holds; priced as a probe by whoever calls this.
-
-        Example: ``(await adapter.report(target)).kept``
-        """
+        """What a worker says it holds; priced as a probe by whoever calls this."""
         status, shown = await self.ask("report", "GET", f"{target.url}/api/report", REPORT)
         try:
             full = REPORTED(shown)
@@ -200,10 +180,7 @@
         raise result.RequestError(result.ResultCode.WORKER_BROKE, detail=f"report: {why}"[:500])
 
     async def order(self, target: worker.Worker, order: Order) -> tuple[str, ...]:
-        """Send an order; the names that the worker holds or is loading once it took the order.
-
-        Example: ``await adapter.order(target, Order(1, 1, (), (), ("model:a",), ()))``
-        """
+        """Send an order; the names that the worker holds or is loading once it took the order."""
         status, shown = await self.ask("order", "POST", f"{target.url}/api/orders", REPORT, dataclasses.asdict(order))
         if status == 409:
             raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=str(shown)[:200])
@@ -219,8 +196,6 @@
         """Put a worker's machine to rest, or wake it; how long it will be until it can serve.
 
         Saying it again does no harm, and tells how long it is now.
-
-        Example: ``await adapter.rest(target, False) == moment.ZERO`` once it is awake
         """
         status, shown = await self.ask("rest", "POST", f"{target.url}/api/rest", REPORT, {"asleep": asleep})
         try:
@@ -237,8 +212,6 @@
         """Send work once and hand on what comes back; a Refusal says whether it ran.
 
         Pieces must be numbered in a row and the end must tell their count; anything else is broken.
-
-        Example: ``async for piece in adapter.run(target, work): ...``
         """
         if target.kind == worker.MODEL:
             path = "/api/generate"
@@ -286,10 +259,7 @@
     async def read_answer(
         self, response: httpx.Response, target: worker.Worker, work: Work
     ) -> collections.abc.AsyncIterator[Piece | End]:
-        """Pieces and end of an answer, or a Refusal that says whether the work ran.
-
-        Example: ``async for one in adapter.read_answer(response, target, work): ...``
-        """
+        """Pieces and end of an answer, or a Refusal that says whether the work ran."""
         if response.status_code != 200:
             shown = parsed(await whole(response))
             if shown.get("put_back") is True:
@@ -356,10 +326,7 @@
 
 
 async def whole(response: httpx.Response) -> bytes:
-    """A body of bounded size; a larger one is broken.
-
-    Example: ``parsed(await whole(response))``
-    """
+    """A body of bounded size; a larger one is broken."""
     held = b""
     async for part in response.aiter_bytes():
         held += part
@@ -369,10 +336,7 @@
 
 
 async def lines(response: httpx.Response) -> collections.abc.AsyncIterator[bytes]:
-    """The lines of a stream, each of bounded size; a last one without its end is handed out too.
-
-    Example: ``async for line in lines(response): ...``
-    """
+    """The lines of a stream, each of bounded size; a last one without its end is handed out too."""
     held = b""
     async for part in response.aiter_bytes():
         held += part
--- a/aspencroft/workers/list_reader.py
+++ b/aspencroft/workers/list_reader.py
@@ -44,10 +44,7 @@
 
 
 def told(found: collections.abc.Iterable[instance.Instance]) -> str:
-    """The list as it goes down the relay tree.
-
-    Example: ``heard(told(found)) == found``
-    """
+    """The list as it goes down the relay tree."""
     return json.dumps(
         [
             [
@@ -78,10 +75,7 @@
 
 
 def matter(found: collections.abc.Iterable[instance.Instance]) -> frozenset:
-    """What of a list makes a difference: all but how long exactly a cold worker stays slow.
-
-    Example: ``matter(before) != matter(after)``
-    """
+    """What of a list makes a difference: all but how long exactly a cold worker stays slow."""
     return frozenset(
         (
             one.name,
@@ -98,10 +92,7 @@
 
 
 def rate_spent(refusal: result.RequestError) -> bool:
-    """Whether a read was refused because all nodes together read too often.
-
-    Example: ``rate_spent(result.RequestError(result.ResultCode.OVERLOADED))``
-    """
+    """Whether a read was refused because all nodes together read too often."""
     return refusal.result is result.ResultCode.OVERLOADED
 
 
@@ -112,8 +103,6 @@
     is refused for its rate waits longer each time; one that does not reach the platform looks again soon,
     as workers may
     have begun to leave once it is back.
-
-    Example: ``group.create_task(ListReader(own, platform_list.read, platform_list.cost).run())``
     """
 
     def __init__(
@@ -142,19 +131,13 @@
         self.counts = {"list reads": 0, "list refusals": 0, "list changes": 0}
 
     async def run(self) -> None:
-        """Compete for the duty and do it while it is held.
-
-        Example: ``group.create_task(reader.run())``
-        """
+        """Compete for the duty and do it while it is held."""
         async with supervision.Group() as group:
             group.create_task(supervision.stand("workers duty", self.duty.run, self.node.standing))
             group.create_task(supervision.stand("workers list", self.work, self.node.standing))
 
     async def work(self) -> None:
-        """Read while the duty is held; how long until the next read depends on what was found.
-
-        Example: ``group.create_task(reader.work())``
-        """
+        """Read while the duty is held; how long until the next read depends on what was found."""
         while True:
             began = clock.now()
             if not self.duty.held():
@@ -165,10 +148,7 @@
             await clock.sleep(self.wait() - (clock.now() - began))
 
     def wait(self) -> datetime.timedelta:
-        """The time from one read to the next.
-
-        Example: ``await clock.sleep(reader.wait())``
-        """
+        """The time from one read to the next."""
         if self.refused:
             pause = min(self.most_pause, self.period * 2 ** min(self.refused, 8))
         else:
@@ -176,10 +156,7 @@
         return max(pause, self.cost() / SHARE)
 
     async def step(self, now: datetime.timedelta) -> None:
-        """Read once, and tell what is to be told.
-
-        Example: ``await reader.step(moment.now())``
-        """
+        """Read once, and tell what is to be told."""
         self.counts["list reads"] += 1
         try:
             found = await self.lister()
@@ -202,10 +179,7 @@
             self.beaten = now
 
     async def publish(self, topic: str, body: str) -> control_state.Revision | None:
-        """Give a topic's new state to the root of the relay tree; its revision if the root took it.
-
-        Example: ``await reader.publish("workers", "[]")``
-        """
+        """Give a topic's new state to the root of the relay tree; its revision if the root took it."""
         holders = self.node.ring.holdings.get(0)
         if holders is None or not self.duty.held():
             return None
@@ -224,8 +198,6 @@
     """An edge's way to the list: the relay tree's word, or a read of its own when that stays away too long.
 
     ``cost`` says for how long one read takes up the rate that the platform grants all nodes together.
-
-    Example: ``group.create_task(Watch(own, known, platform_list.read, platform_list.cost).run())``
     """
 
     def __init__(
@@ -246,10 +218,7 @@
         self.counts = {"own list reads": 0}
 
     async def run(self) -> None:
-        """Follow the topic; read the list oneself when it is stale, or did not come with the plan.
-
-        Example: ``group.create_task(watch.run())``
-        """
+        """Follow the topic; read the list oneself when it is stale, or did not come with the plan."""
         await self.begin()
         async with supervision.Group() as group:
             group.create_task(supervision.stand("workers follow", lambda: self.follow(TOPIC), self.node.standing))
@@ -262,8 +231,6 @@
         After a stop of all nodes who reads has to be agreed on first, and an edge cannot serve so long without the
         list. Where the plan itself stays away, the list is read meanwhile, so that both are there together; but not at
         the very first start, when nobody calls yet.
-
-        Example: ``await watch.begin()``
         """
         patience = STALE if self.node.settings.first_start else self.first_pause()
         limit = clock.now() + patience
@@ -274,26 +241,17 @@
             self.next_read += self.first_pause()
 
     def first_pause(self) -> datetime.timedelta:
-        """How long to wait for the list before reading it oneself; not the same on all edges.
-
-        Example: ``FIRST <= watch.first_pause() <= 2 * FIRST``
-        """
+        """How long to wait for the list before reading it oneself; not the same on all edges."""
         return FIRST * (1 + self.node.environment.randomness.random())
 
     async def follow(self, topic: str) -> None:
-        """Take what the relay tree brings of a topic, each time that it changes.
-
-        Example: ``group.create_task(watch.follow("workers"))``
-        """
+        """Take what the relay tree brings of a topic, each time that it changes."""
         while True:
             self.take()
             await self.node.relay.changed(topic)
 
     def take(self) -> None:
-        """Take what the relay tree brought.
-
-        Example: ``watch.take()``
-        """
+        """Take what the relay tree brought."""
         now = clock.now()
         held, beat = self.node.relay.topics.get(TOPIC), self.node.relay.topics.get(READ)
         if held is not None and held is not self.taken:
@@ -305,10 +263,7 @@
                 self.instances.confirm(now)
 
     async def fall_back(self) -> None:
-        """Read the list oneself while no word of it came for too long.
-
-        Example: ``group.create_task(watch.fall_back())``
-        """
+        """Read the list oneself while no word of it came for too long."""
         while True:
             await clock.sleep(PERIOD / 2 if self.instances.listed else FIRST / 2)
             age, now = self.instances.age(), clock.now()
--- a/aspencroft/workers/list_reader_test.py
+++ b/aspencroft/workers/list_reader_test.py
@@ -12,10 +12,7 @@
 
 
 def worker(name: str, draining: bool = False, cold: float = 0.0) -> instance.Instance:
-    """A worker of the list.
-
-    Example: ``worker("i-1", draining=True)``
-    """
+    """A worker of the list."""
     return instance.Instance(name, f"{name}:80", "chat", "north", "v1", 8, draining, clock.seconds(cold))
 
 
@@ -33,10 +30,7 @@
         self.watches: dict[str, list_reader.Watch] = {}
 
     def lister(self, name: str) -> list_reader.Lister:
-        """The list as one node reads it.
-
-        Example: ``await platform.lister("core-0")()``
-        """
+        """The list as one node reads it."""
 
         async def read() -> list[instance.Instance]:
             self.reads.append((self.scene.loop.time(), name))
@@ -48,10 +42,7 @@
         return read
 
     def attach(self, name: str) -> None:
-        """Give a running node its part.
-
-        Example: ``platform.attach("core-0")``
-        """
+        """Give a running node its part."""
         own = self.scene.nodes[name]
         if name.startswith("edge"):
             self.watches[name] = part = list_reader.Watch(
@@ -62,32 +53,20 @@
         self.scene.loop.create_task(part.run(), context=self.scene.loop.context_of(name))
 
     def holder(self) -> str:
-        """The node that does the duty, or nothing.
-
-        Example: ``platform.holder()``
-        """
+        """The node that does the duty, or nothing."""
         return next((name for name, one in self.readers.items() if self.scene.alive(name) and one.duty.held()), "")
 
     def known(self) -> list[frozenset[str]]:
-        """What each edge would send to.
-
-        Example: ``platform.known()[0] == {"a", "b"}``
-        """
+        """What each edge would send to."""
         return [frozenset(one.name for one in watch.instances.of("chat")) for watch in self.watches.values()]
 
     async def everywhere(self, names: str, within: float) -> float:
-        """Wait until every edge knows just these workers; how long that took.
-
-        Example: ``await platform.everywhere("ab", 2)``
-        """
+        """Wait until every edge knows just these workers; how long that took."""
         return await self.scene.until(lambda: all(one == frozenset(names) for one in self.known()), within, names)
 
 
 def play(seed: int, acts: collections.abc.Callable) -> None:
-    """Play acts once the fleet is formed and all parts are attached.
-
-    Example: ``play(1, acts)`` where ``acts(platform)`` is a coroutine function
-    """
+    """Play acts once the fleet is formed and all parts are attached."""
 
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
         await one.until(one.formed, 30, "formed")
--- a/aspencroft/workers/pool.py
+++ b/aspencroft/workers/pool.py
@@ -40,10 +40,7 @@
 
 
 class Lost(result.RequestError):
-    """A connection ended before any byte of an answer; ``reused`` when it had carried another request before.
-
-    Example: ``except pool.Lost as lost: lost.reused``
-    """
+    """A connection ended before any byte of an answer; ``reused`` when it had carried another request before."""
 
     def __init__(self, reused: bool, detail: str):
         super().__init__(result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, detail)
@@ -56,10 +53,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Head:
-    r"""The head of an answer, and how its body is bounded: a length, or none for chunks.
-
-    Example: ``head_of(b"HTTP/1.1 200 OK\\r\\nContent-Length: 0").length == 0``
-    """
+    r"""The head of an answer, and how its body is bounded: a length, or none for chunks."""
 
     status: int
     headers: call.Headers
@@ -69,10 +63,7 @@
 
 
 def head_of(raw: bytes, bodiless: bool = False) -> Head:
-    r"""The head that bytes hold (without the empty line); Ended when they are none or do not bound a body.
-
-    Example: ``head_of(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2").status == 200``
-    """
+    r"""The head that bytes hold (without the empty line); Ended when they are none or do not bound a body."""
     lines = raw.split(b"\r\n")
     status = STATUS.fullmatch(lines[0])
     if status is None or raw.count(b"\n") != len(lines) - 1 or raw.count(b"\r") != len(lines) - 1:
@@ -113,10 +104,7 @@
 
 
 def request_head(method: str, target: str, headers: call.Headers, size: int) -> bytes:
-    """The bytes of a request's head; MALFORMED when it could be read as anything else than what was given.
-
-    Example: ``request_head("GET", "/a", ((b"Host", b"h"),), 0)``
-    """
+    """The bytes of a request's head; MALFORMED when it could be read as anything else than what was given."""
     if METHOD.fullmatch(method) is None or TARGET.fullmatch(target) is None:
         raise result.RequestError(result.ResultCode.MALFORMED, detail="no method or target")
     lines = [f"{method} {target} HTTP/1.1".encode("latin-1")]
@@ -146,10 +134,7 @@
         self.writing: asyncio.Task | None = None
 
     async def fill(self) -> None:
-        """Wait for more bytes; Ended when none will come.
-
-        Example: ``await connection.fill()``
-        """
+        """Wait for more bytes; Ended when none will come."""
         try:
             data = await self.channel.read_some(READ)
         except (OSError, EOFError) as error:
@@ -159,10 +144,7 @@
         self.buffer += data
 
     async def line(self) -> bytes:
-        """The next line, without its end.
-
-        Example: ``size = await connection.line()``
-        """
+        """The next line, without its end."""
         while (end := self.buffer.find(b"\r\n")) < 0:
             if len(self.buffer) > LARGEST_LINE:
                 raise Ended("a line without end")
@@ -172,18 +154,12 @@
         return raw
 
     def expire(self) -> None:
-        """The time of the request under way is over.
-
-        Example: ``loop.call_at(end, connection.expire)``
-        """
+        """The time of the request under way is over."""
         self.expired = True
         self.channel.abort()
 
     def idle(self, now: datetime.timedelta) -> bool:
-        """Whether the connection may carry another request at this moment.
-
-        Example: ``connection.idle(moment.now())``
-        """
+        """Whether the connection may carry another request at this moment."""
         return now < self.retire and not self.buffer and self.channel.quiet()
 
 
@@ -192,8 +168,6 @@
 
     ``status`` and ``headers`` are the worker's own; ``reused`` says that the connection carried another request
     before.
-
-    Example: ``try: body = await response.read() finally: await response.close(True)``
     """
 
     def __init__(self, pool: "Pool", connection: Connection, head: Head):
@@ -207,10 +181,7 @@
         self.closed = False
 
     async def parts(self) -> collections.abc.AsyncIterator[bytes]:
-        """The body's bytes as they come; a Refusal when it is cut short or the time is over.
-
-        Example: ``async for part in response.parts(): ...``
-        """
+        """The body's bytes as they come; a Refusal when it is cut short or the time is over."""
         connection, left = self.connection, self.head.length
         buffer = connection.buffer
         try:
@@ -243,20 +214,14 @@
         self.whole = True
 
     async def chunk_size(self) -> int:
-        """The size of the next chunk; 0 is the last one's.
-
-        Example: ``size = await response.chunk_size()``
-        """
+        """The size of the next chunk; 0 is the last one's."""
         size = SIZE.fullmatch(await self.connection.line())
         if size is None:
             raise Ended("what came is no chunk")
         return int(size[1], 16)
 
     async def read(self) -> bytes:
-        """The whole body, at most 64 MiB; a Refusal when it is cut short, too large or the time is over.
-
-        Example: ``body = await response.read()``
-        """
+        """The whole body, at most 64 MiB; a Refusal when it is cut short, too large or the time is over."""
         length, buffer = self.head.length, self.connection.buffer
         if length is not None and length <= len(buffer):
             body = bytes(buffer[:length])
@@ -274,26 +239,17 @@
         return b"".join(found)
 
     def broken(self, why: str) -> result.RequestError:
-        """Close the connection; the refusal for an answer that cannot be used.
-
-        Example: ``raise response.broken("answer cut off")``
-        """
+        """Close the connection; the refusal for an answer that cannot be used."""
         refusal = self.pool.broken(self.connection, why)
         self.finish(False)
         return refusal
 
     async def close(self, reuse: bool) -> None:
-        """Give the connection back if that is safe and wanted, or close it; saying it again does nothing.
-
-        Example: ``await response.close(True)``
-        """
+        """Give the connection back if that is safe and wanted, or close it; saying it again does nothing."""
         self.finish(reuse)
 
     def finish(self, reuse: bool) -> None:
-        """What ``close`` does, at once.
-
-        Example: ``response.finish(False)``
-        """
+        """What ``close`` does, at once."""
         if self.closed:
             return
         self.closed = True
@@ -306,8 +262,6 @@
     A connection is used again only after a whole answer with nothing behind it, before the worker would
     close it by itself; where idle connections were found dead, sooner. ``most_open``
     bounds the connections to all addresses together.
-
-    Example: ``pool = Pool(around, counts); group.create_task(pool.run())``
     """
 
     def __init__(self, around: environment.Environment, counts: collections.Counter, most_open: int = MOST_OPEN):
@@ -320,19 +274,13 @@
         self.total = 0
 
     async def run(self) -> None:
-        """Close idle connections before workers do.
-
-        Example: ``group.create_task(pool.run())``
-        """
+        """Close idle connections before workers do."""
         while True:
             await clock.sleep(SWEEP)
             self.sweep()
 
     def sweep(self) -> None:
-        """Close the idle connections whose time is over, or on which something came.
-
-        Example: ``pool.sweep()``
-        """
+        """Close the idle connections whose time is over, or on which something came."""
         now = clock.now()
         self.short = {address: known for address, known in self.short.items() if known[1] > now}
         for address, resting in list(self.resting.items()):
@@ -348,10 +296,7 @@
                 del self.resting[address]
 
     async def close(self) -> None:
-        """Close all idle connections.
-
-        Example: ``await pool.close()``
-        """
+        """Close all idle connections."""
         for resting in self.resting.values():
             for one in resting:
                 self.drop(one, "worker connections retired")
@@ -374,8 +319,6 @@
         connection is closed. Refusals: UNREACHABLE, OVERLOADED (no connection is free), MALFORMED and
         DEADLINE that were not run say that no byte of the request left; WORKER_LOST, WORKER_BROKE and
         DEADLINE of unknown outcome that some may have.
-
-        Example: ``await pool.request("10.0.0.9:80", "GET", "/a", headers, b"", call.end(), 240)``
         """
         raw = request_head(method, target, headers, len(body)) + body
         connection = await self.obtain(address, end, most_connections)
@@ -392,10 +335,7 @@
             raise
 
     async def obtain(self, address: str, end: datetime.timedelta, most_connections: int) -> Connection:
-        """An idle connection, the one used last first, or a new one.
-
-        Example: ``connection = await pool.obtain("10.0.0.9:80", end, 240)``
-        """
+        """An idle connection, the one used last first, or a new one."""
         now = clock.now()
         resting = self.resting.get(address)
         while resting:
@@ -433,10 +373,7 @@
         return Connection(address, channel)
 
     async def send(self, connection: Connection, raw: bytes) -> None:
-        """Write a request; a large one beside reading, as a worker may answer before it read all.
-
-        Example: ``await pool.send(connection, raw)``
-        """
+        """Write a request; a large one beside reading, as a worker may answer before it read all."""
         if len(raw) > AT_ONCE:
             connection.writing = asyncio.ensure_future(connection.channel.write(raw))
             connection.writing.add_done_callback(lambda task: task.cancelled() or task.exception())
@@ -447,10 +384,7 @@
             raise self.lost(connection, f"{error!r}") from None
 
     async def receive(self, connection: Connection, bodiless: bool) -> Head:
-        """The head of the answer, after any interim ones.
-
-        Example: ``head = await pool.receive(connection, False)``
-        """
+        """The head of the answer, after any interim ones."""
         buffer, interim = connection.buffer, 0
         while True:
             while (end := buffer.find(b"\r\n\r\n")) < 0:
@@ -476,10 +410,7 @@
                 raise self.broken(connection, f"interim answer {head.status}")
 
     def lost(self, connection: Connection, why: str) -> result.RequestError:
-        """The refusal for a request whose connection ended before any byte of an answer.
-
-        Example: ``raise pool.lost(connection, "reset")``
-        """
+        """The refusal for a request whose connection ended before any byte of an answer."""
         if connection.expired:
             return result.RequestError(result.ResultCode.DEADLINE, result.Ran.UNKNOWN)
         self.counts["worker connections lost"] += 1
@@ -489,20 +420,14 @@
         return Lost(connection.uses > 0, f"{connection.address}, use {connection.uses + 1}: {why}"[:300])
 
     def retire(self, connection: Connection, now: datetime.timedelta) -> None:
-        """Close an idle connection; if the worker closed it first, the next ones are to be quicker.
-
-        Example: ``pool.retire(connection, moment.now())``
-        """
+        """Close an idle connection; if the worker closed it first, the next ones are to be quicker."""
         if now < connection.retire:
             self.counts["worker connections closed while idle"] += 1
             self.distrust(connection.address, (now - connection.since) * EARLIER)
         self.drop(connection, "worker connections retired")
 
     def distrust(self, address: str, span: datetime.timedelta) -> None:
-        """Idle connections to an address die early: for a while keep them idle for no longer than this.
-
-        Example: ``pool.distrust("10.0.0.9:80", moment.seconds(0.5))``
-        """
+        """Idle connections to an address die early: for a while keep them idle for no longer than this."""
         now = clock.now()
         before, _ = self.short.get(address, (IDLE, now))
         span = max(SHORTEST, min(before, span))
@@ -511,10 +436,7 @@
             one.retire = min(one.retire, one.since + span)
 
     def broken(self, connection: Connection, why: str) -> result.RequestError:
-        """The refusal for an answer that cannot be used.
-
-        Example: ``raise pool.broken(connection, "head cut off")``
-        """
+        """The refusal for an answer that cannot be used."""
         if connection.expired:
             return result.RequestError(result.ResultCode.DEADLINE, result.Ran.UNKNOWN)
         self.counts["worker answers broken"] += 1
@@ -525,10 +447,7 @@
         )
 
     def end(self, connection: Connection, reuse: bool, idle: datetime.timedelta) -> None:
-        """A request is over: keep its connection for the next, or close it.
-
-        Example: ``pool.end(connection, True, pool.IDLE)``
-        """
+        """A request is over: keep its connection for the next, or close it."""
         if connection.timer is not None:
             connection.timer.cancel()
             connection.timer = None
@@ -553,29 +472,20 @@
         self.drop(connection, "worker connections closed")
 
     def drop(self, connection: Connection, why: str) -> None:
-        """Close a connection.
-
-        Example: ``pool.drop(connection, "worker connections closed")``
-        """
+        """Close a connection."""
         self.counts[why] += 1
         connection.channel.abort()
         self.forget(connection.address)
 
     def forget(self, address: str) -> None:
-        """One connection fewer.
-
-        Example: ``pool.forget("10.0.0.9:80")``
-        """
+        """One connection fewer."""
         self.total -= 1
         self.open[address] -= 1
         if not self.open[address]:
             del self.open[address]
 
     def make_room(self) -> bool:
-        """Close the idle connection that would be retired first; whether there was one.
-
-        Example: ``pool.make_room()``
-        """
+        """Close the idle connection that would be retired first; whether there was one."""
         found = min(
             (resting[0] for resting in self.resting.values() if resting),
             key=lambda one: one.retire,
--- a/aspencroft/workers/pool_test.py
+++ b/aspencroft/workers/pool_test.py
@@ -19,10 +19,7 @@
 
 
 async def taken(channel) -> bytes:
-    """One request as it came, or nothing when the caller closed.
-
-    Example: ``raw = await taken(channel)``
-    """
+    """One request as it came, or nothing when the caller closed."""
     raw = b""
     while b"\r\n\r\n" not in raw:
         data = await channel.read_some(1 << 16)
@@ -53,10 +50,7 @@
         self.pool = pools.Pool(around, self.counts)
 
     async def serve(self) -> None:
-        """Be the worker.
-
-        Example: ``group.create_task(stage.serve())``
-        """
+        """Be the worker."""
         accepted = await wire.SimNetwork(self.wire, "worker").listen(WORKER)
         while True:
             channel = await accepted.get()
@@ -76,10 +70,7 @@
                     await channel.write(part)
 
     async def ask(self, method: str = "GET", body: bytes = b"", within: float = 2.0, most: int = 8, accepts=None):
-        """One request, its answer read whole, and the connection given back.
-
-        Example: ``status, body = await stage.ask()``
-        """
+        """One request, its answer read whole, and the connection given back."""
         response = await self.pool.request(
             WORKER, method, "/a?b=1", HEADERS, body, clock.now() + clock.seconds(within), most, accepts
         )
@@ -89,10 +80,7 @@
             await response.close(True)
 
     async def refused(self, **named) -> tuple[result.ResultCode, result.Ran]:
-        """The refusal that a request ends in.
-
-        Example: ``await stage.refused() == (result.Result.WORKER_LOST, result.Ran.UNKNOWN)``
-        """
+        """The refusal that a request ends in."""
         try:
             answer = await self.ask(**named)
         except result.RequestError as refusal:
@@ -101,10 +89,7 @@
 
 
 def play(script: collections.abc.Callable, acts: collections.abc.Callable) -> Stage:
-    """Play a scene with a scripted worker.
-
-    Example: ``play(lambda connection, number: [OK], acts)``
-    """
+    """Play a scene with a scripted worker."""
     stage = Stage(script)
 
     async def scene():
@@ -642,10 +627,7 @@
 
 
 def on_loopback(handler: collections.abc.Callable, acts: collections.abc.Callable) -> collections.Counter:
-    """A scene with a worker on a real socket: ``handler(reader, writer)`` and ``acts(pool, address)``.
-
-    Example: ``on_loopback(handler, acts)``
-    """
+    """A scene with a worker on a real socket: ``handler(reader, writer)`` and ``acts(pool, address)``."""
     counts = collections.Counter()
 
     async def scene():
@@ -661,10 +643,7 @@
 
 
 async def ask(pool: pools.Pool, address: str, body: bytes = b"") -> bytes:
-    """One request over loopback, its body read.
-
-    Example: ``await ask(pool, address) == b"ok"``
-    """
+    """One request over loopback, its body read."""
     response = await pool.request(address, "POST", "/", HEADERS, body, clock.now() + clock.seconds(20), 8)
     try:
         return await response.read()
@@ -673,10 +652,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection instead of closing it.
-
-    Example: ``reset(writer)``
-    """
+    """Reset a connection instead of closing it."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
--- a/aspencroft/workers/worker.py
+++ b/aspencroft/workers/worker.py
@@ -11,10 +11,7 @@
 
 
 def usable(url: str) -> str:
-    """The URL, if the HTTP client can use it.
-
-    Example: ``usable("http://127.0.0.1:9001")``
-    """
+    """The URL, if the HTTP client can use it."""
     try:
         parsed = httpx.URL(url)
     except httpx.InvalidURL as error:
@@ -40,10 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Worker:
-    """One model worker or plain worker.
-
-    Example: ``Worker("m1", "http://127.0.0.1:9001", "model", ("planner",), False, 72_000_000_000, 8)``
-    """
+    """One model worker or plain worker."""
 
     name: str
     url: str
@@ -55,10 +49,7 @@
 
 
 def of(raw) -> Worker | None:
-    """The worker that one row of the list shows; a row that cannot be read is none.
-
-    Example: ``of({"name": "m1", "url": "http://127.0.0.1:9001", "kind": "model", "services": ["a"]})``
-    """
+    """The worker that one row of the list shows; a row that cannot be read is none."""
     try:
         full = SCHEMA(raw)
     except voluptuous.Invalid:
--- a/conftest.py
+++ b/conftest.py
@@ -10,9 +10,8 @@
 
 
 def known_failures(text: str) -> dict[str, str]:
-    """Test and reason of each line ``test | cause | issue``; blank lines and those that begin with # are passed over.
-
-    Example: ``known_failures("a_test.py::test_b | cause | issue 1") == {"a_test.py::test_b": "cause; issue 1"}``
+    """Test and reason of each line ``test | cause | issue``; blank lines and those that begin with # are
+    passed over.
     """
     found = {}
     for line in text.splitlines():
@@ -25,10 +24,7 @@
 
 
 def listed() -> dict[str, str]:
-    """The known failures of this checkout.
-
-    Example: ``listed() == {}`` where there is no list.
-    """
+    """The known failures of this checkout."""
     return known_failures(LIST.read_text()) if LIST.exists() else {}
 
 
