--- a/aspencroft/alerts/alerts.py
+++ b/aspencroft/alerts/alerts.py
@@ -8,12 +8,12 @@
 
 from aspencroft.alerts import sample
 from aspencroft.configuration import alert_expression, alert_rule
-from aspencroft.leadership import duty
+from aspencroft.leadership import singleton_role
 from aspencroft.node import node
 from aspencroft.residency import residency
 from aspencroft.runtime import clock, supervision
 
-LOG = logbook.Logger("alerts")
+LOG = logbook.Logger("alerts.alerts")
 TOPIC = "alerts"
 STEP = clock.seconds(1)
 STALE = clock.seconds(8)
@@ -50,8 +50,10 @@
 
     def __init__(self, own: node.Node):
         self.node = own
-        self.duty = duty.Duty("alerts", own.address, own.incarnation, lambda: own.ring.peers, own.submit)
-        own.duties["alerts"] = self.duty
+        self.duty = singleton_role.SingletonRole(
+            "alerts", own.address, own.incarnation, lambda: own.failure_detector.peers, own.submit
+        )
+        own.singleton_roles["alerts"] = self.duty
         self.heard: dict[str, tuple[datetime.timedelta, tuple[sample.Sample, ...]]] = {}
         self.states: dict[str, State] = {}
         self.held = False
@@ -83,7 +85,7 @@
                 self.take_over(now)
             self.heard = {name: one for name, one in self.heard.items() if now - one[0] < STALE}
             samples = tuple(one for _, each in self.heard.values() for one in each)
-            rules = self.node.relay.plan.rules
+            rules = self.node.relay.configuration.rules
             fresh = State(INACTIVE, now, now)
             self.states = {
                 name: step(
--- a/aspencroft/benchmarks/catchup.py
+++ b/aspencroft/benchmarks/catchup.py
@@ -80,11 +80,11 @@
     """Let one member take commands while another is away, then bring that one up; a line of the table."""
     those = members.Members(folder, 2, 2, 2)
     await those.begin(2)
-    for one in those.hosts.values():
+    for one in those.group_replicas.values():
         one.copy.make_view = make_view
         one.copy.refold()
-    own, peer = those.hosts["n0:1"], those.hosts["n1:1"]
-    own.claimed = lambda: True
+    own, peer = those.group_replicas["n0:1"], those.group_replicas["n1:1"]
+    own.has_lease = lambda: True
     first = await take(own.copy, commands[0])
     await peer.copy.append(first)
     most = 0
@@ -123,13 +123,13 @@
         self.parent: relay.Relay | None = None
         self.sizes: list[int] = []
 
-    def tell(self, address: str, message, epoch: int = 0) -> None:
+    def notify(self, address: str, message, epoch: int = 0) -> None:
         """Nobody listens."""
 
-    async def ask(self, address: str, message, within, epoch: int = 0):
+    async def request(self, address: str, message, within, epoch: int = 0):
         """The parent's answer."""
         await clock.sleep(clock.seconds(0.002))
-        fetched = isinstance(message, updates.FetchPlan)
+        fetched = isinstance(message, updates.FetchConfiguration)
         reply = self.parent.answer_fetch(message) if fetched else self.parent.answer_pull(message, True)
         self.sizes.append(len(codec.pack(reply)))
         return reply
@@ -140,8 +140,8 @@
     link, view = RelayLink(), control_state.ControlState()
 
     def relay_of(address: str) -> relay.Relay:
-        ring = types.SimpleNamespace(me=types.SimpleNamespace(address=address), holdings={}, peers={})
-        return relay.Relay(link, ring, clock.seconds(4))
+        detector = types.SimpleNamespace(me=types.SimpleNamespace(address=address), records={}, peers={})
+        return relay.Relay(link, detector, clock.seconds(4))
 
     link.parent, child = relay_of("a:1"), relay_of("b:1")
     for number in range(1, changes + 2):
--- a/aspencroft/benchmarks/configuration_changes.py
+++ b/aspencroft/benchmarks/configuration_changes.py
@@ -76,7 +76,7 @@
         (f"h{number % hosts}.example:80", f"/p{number}/x/y/z" if chance.random() < 0.9 else f"/none/{number}")
         for number in (chance.randrange(count) for _ in range(LOOKS))
     ]
-    table = held.plan.route_table
+    table = held.configuration.route_table
     found["match us"] = timed(lambda: [table.match(*one) for one in asked])[0] / LOOKS * 1e6
     decided = read = learned = 0.0
     for number in range(CHANGES):
@@ -88,7 +88,7 @@
         span, shown = timed(lambda: view.read_plan(held.revision))
         read += span
         learned += timed(lambda: held.take_committed(shown))[0]
-        assert held.plan.version == number + 2 and held.plan.http_routes[one.name].rank == number + 1
+        assert held.configuration.version == number + 2 and held.configuration.http_routes[one.name].rank == number + 1
     found.update(
         {
             "one route: decided ms": decided / CHANGES * 1e3,
--- a/aspencroft/benchmarks/hollow.py
+++ b/aspencroft/benchmarks/hollow.py
@@ -22,7 +22,7 @@
 from aspencroft.benchmarks import virtual, wire
 from aspencroft.configuration import control_state
 from aspencroft.errors import result
-from aspencroft.leadership import duty
+from aspencroft.leadership import singleton_role
 from aspencroft.membership import cluster_member
 from aspencroft.node import node, settings
 from aspencroft.runtime import environment
@@ -143,8 +143,10 @@
             if own.settings.role != settings.EDGE:
                 await own.started.wait()
                 for name in DUTIES:
-                    one = duty.Duty(name, own.address, own.incarnation, lambda: own.ring.peers, own.submit)
-                    own.duties[name] = one
+                    one = singleton_role.SingletonRole(
+                        name, own.address, own.incarnation, lambda: own.failure_detector.peers, own.submit
+                    )
+                    own.singleton_roles[name] = one
                     group.create_task(one.run())
 
     def warm_up(self) -> None:
@@ -152,14 +154,19 @@
 
         So that each holds its own.
         """
-        entries = tuple(own.ring.me for own in self.nodes.values())
+        entries = tuple(own.failure_detector.me for own in self.nodes.values())
         for name, own in self.nodes.items():
-            virtual.context_of(name).run(own.ring.take, self.copied(own, entries))
-            own.ring.peers.taken()
+            virtual.context_of(name).run(own.failure_detector.take, self.copied(own, entries))
+            own.failure_detector.peers.taken()
 
-    def copied(self, own: node.Node, entries: tuple[cluster_member.ClusterMember, ...]) -> cluster_member.Table:
+    def copied(
+        self, own: node.Node, entries: tuple[cluster_member.ClusterMember, ...]
+    ) -> cluster_member.MembershipTable:
         """A table of entries that went through the form of the wire."""
-        return codec.unpack(cluster_member.Table, codec.pack(cluster_member.Table(entries, (), own.proposer.voter_set)))
+        return codec.unpack(
+            cluster_member.MembershipTable,
+            codec.pack(cluster_member.MembershipTable(entries, (), own.proposer.voter_set)),
+        )
 
     def kill(self, name: str, silent: bool) -> None:
         """End a node: its streams break, or, when its machine is lost, fall silent."""
@@ -172,14 +179,18 @@
     def leader(self) -> node.Node | None:
         """The control group's primary, if there is one under a claim."""
         for own in self.nodes.values():
-            if 0 in own.hosts and own.hosts[0].claimed() and own.hosts[0].why == "serving":
+            if (
+                0 in own.group_replicas
+                and own.group_replicas[0].has_lease()
+                and own.group_replicas[0].status_reason == "serving"
+            ):
                 return own
         return None
 
     def knows_all(self) -> bool:
         """Whether every node thinks that just the running ones live."""
         running = set(self.nodes)
-        return all(set(own.ring.live()) == running for own in self.nodes.values())
+        return all(set(own.failure_detector.live()) == running for own in self.nodes.values())
 
     def current(self) -> bool:
         """Whether every node may act on the newest configuration."""
@@ -318,7 +329,7 @@
 
     looking = fleet.loop.create_task(look())
     try:
-        await own.write_plan(control_state.WritePlan("merge", "", "", body, None))
+        await own.write_resources(control_state.WriteResources("merge", "", "", body, None))
         acknowledged = fleet.loop.time() - began
     except result.RequestError as refusal:
         acknowledged = -1.0
@@ -339,7 +350,7 @@
     while open_pairs and fleet.loop.time() - began < within:
         for pair in list(open_pairs):
             own = fleet.nodes.get(pair[0])
-            if own is None or own.ring.state(pair[1]) == cluster_member.DOWN:
+            if own is None or own.failure_detector.state(pair[1]) == cluster_member.DOWN:
                 seen[pair] = fleet.loop.time() - began
                 open_pairs.discard(pair)
         await asyncio.sleep(LOOK)
@@ -494,8 +505,8 @@
         say(f"cut: {told['cut']}")
     told["processor seconds of the whole run"] = round(time.process_time() - began, 1)
     told["counts"] = {
-        name: sum(own.ring.counts[name] for own in fleet.nodes.values())
-        for name in next(iter(fleet.nodes.values())).ring.counts
+        name: sum(own.failure_detector.counts[name] for own in fleet.nodes.values())
+        for name in next(iter(fleet.nodes.values())).failure_detector.counts
     }
     told["relay counts"] = {
         name: sum(own.relay.counts[name] for own in fleet.nodes.values())
@@ -526,7 +537,7 @@
     """Planned restarts, one after another: each leaves, ends, and starts again after a second."""
     rows, before = [], Books.of(fleet)
     for name in names:
-        virtual.context_of(name).run(fleet.nodes[name].ring.leave)
+        virtual.context_of(name).run(fleet.nodes[name].failure_detector.leave)
         await asyncio.sleep(1)
         fleet.kill(name, False)
         await asyncio.sleep(1)
@@ -580,7 +591,7 @@
         await asyncio.sleep(LOOK * 4)
     during = Books.of(fleet)
     wrongly = sum(
-        own.ring.state(name) == cluster_member.DOWN
+        own.failure_detector.state(name) == cluster_member.DOWN
         for own in fleet.nodes.values()
         if own.address not in inside
         for name in fleet.nodes
@@ -608,8 +619,8 @@
     own = next(one for name, one in fleet.nodes.items() if name not in inside and fleet.roles[name] == settings.EDGE)
     began = fleet.loop.time()
     try:
-        await own.write_plan(
-            control_state.WritePlan("merge", "", "", json.dumps({"services": {"cut": {"kind": "plain"}}}), None)
+        await own.write_resources(
+            control_state.WriteResources("merge", "", "", json.dumps({"services": {"cut": {"kind": "plain"}}}), None)
         )
     except result.RequestError as refusal:
         print(f"a change during the cut: {refusal}", file=sys.stderr)
--- a/aspencroft/benchmarks/repair.py
+++ b/aspencroft/benchmarks/repair.py
@@ -52,7 +52,7 @@
     """Begin and end so many turns, each of a program of its own, from an edge."""
     own = fleet.nodes["edge-0:1"]
     numbers = iter(range(turns))
-    life = own.life()
+    life = own.incarnation_id()
 
     async def work() -> None:
         for number in numbers:
@@ -94,8 +94,8 @@
 def served(fleet: hollow.Fleet, without: str) -> bool:
     """Whether the group is served with all its copies, none of them on a node."""
     for own in fleet.nodes.values():
-        held = own.hosts.get(GROUP)
-        if held is not None and held.claimed() and held.why == "serving":
+        held = own.group_replicas.get(GROUP)
+        if held is not None and held.has_lease() and held.status_reason == "serving":
             names = [one.address for one in held.known.members()]
             return len(names) > 1 and without not in names and all(name in fleet.nodes for name in names)
     return False
@@ -109,7 +109,7 @@
         fleet.start(name)
     if await fleet.until(lambda: served(fleet, ""), 60) < 0:
         raise RuntimeError("the group did not form")
-    holders = [one.address for one in fleet.nodes["edge-0:1"].ring.holdings[GROUP].members()]
+    holders = [one.address for one in fleet.nodes["edge-0:1"].failure_detector.records[GROUP].members()]
     before = hollow.Books.of(fleet)
     await fill(fleet, turns, size, random.Random(seed))
     after = hollow.Books.of(fleet)
@@ -120,7 +120,7 @@
         )
     await asyncio.sleep(3)
     for name, place in (("backup lost", 1), ("primary lost", 0)):
-        victim = fleet.nodes["edge-0:1"].ring.holdings[GROUP].members()[place].address
+        victim = fleet.nodes["edge-0:1"].failure_detector.records[GROUP].members()[place].address
         loop.longest.clear()
         before = hollow.Books.of(fleet)
         fleet.kill(victim, True)
--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -145,10 +145,10 @@
             body = json.dumps(document)
             events, _ = timer(
                 "control: decide the whole, ms",
-                lambda: view.decide(control_state.WritePlan("whole", "", "", body, None), clock.ZERO, 1),
+                lambda: view.decide(control_state.WriteResources("whole", "", "", body, None), clock.ZERO, 1),
             )
             timer("control: fold the whole, ms", lambda: [view.fold(event) for event in events])
-            small = control_state.WritePlan("merge", "", "", json.dumps(patch), None)
+            small = control_state.WriteResources("merge", "", "", json.dumps(patch), None)
             events, _ = timer("control: decide one route, ms", lambda: view.decide(small, clock.ZERO, 1))
             timer("control: fold one route, ms", lambda: [view.fold(event) for event in events])
             timer("control: picture, ms", view.snapshot)
@@ -165,14 +165,14 @@
     """A residency duty that believes so many workers full of parked KV, and has heard so many programs."""
     services = {f"model-{number}": {"kind": "model", "size": 15_000_000_000} for number in range(SERVICES)}
     typed = resources.of({"services": services, "lanes": {"chat": {"kind": "turns", "services": sorted(services)}}})
-    relays = types.SimpleNamespace(plan=typed, topics={})
+    relays = types.SimpleNamespace(configuration=typed, topics={})
     own = types.SimpleNamespace(
         address="core-0:1",
         incarnation=1,
-        duties={},
+        singleton_roles={},
         relay=relays,
         submit=None,
-        ring=types.SimpleNamespace(peers={}),
+        detector=types.SimpleNamespace(peers={}),
         control=lambda name, otherwise: otherwise,
     )
     duty = residency.Residency(own, None)
@@ -227,7 +227,7 @@
             for turn in range(1 if size * pair[0] > 2_000_000 else repeats):
                 duty = believed(*pair, random.Random(seed + turn))
                 timer("one solution, ms", lambda: duty.decide(clock.seconds(100)))
-                names = tuple(sorted(duty.node.relay.plan.services))
+                names = tuple(sorted(duty.node.relay.configuration.services))
                 timer(
                     "reuse of one service, ms",
                     lambda: duty.signals.reuse(names[0], names, residency.WINDOW, clock.seconds(100)),
--- a/aspencroft/cli/acctl.py
+++ b/aspencroft/cli/acctl.py
@@ -124,8 +124,8 @@
     for area, row in sorted(by_area.items()):
         lines.append(f"  {area}: " + "; ".join(sorted(row)))
     lines.append("")
-    for pair, held in shown["holders"].items():
-        name = "control" if pair == "0" else f"talk {pair}"
+    for group_id, held in shown["holders"].items():
+        name = "control" if group_id == "0" else f"talk {group_id}"
         lines.append(
             f"  {name}: epoch {held['epoch']}, primary {held['primary']}, backup {held['backup'] or 'NONE: no writes'}"
         )
--- a/aspencroft/cli/daemon.py
+++ b/aspencroft/cli/daemon.py
@@ -23,7 +23,7 @@
 ENDING = clock.seconds(3)
 STUCK = 70
 WAKE_BYTES = 4096
-LOG = logbook.Logger("daemon")
+LOG = logbook.Logger("cli.daemon")
 
 
 class Server(uvicorn.Server):
@@ -135,7 +135,7 @@
 async def hand_over_work(own: node.Node, drain: collections.abc.Callable) -> None:
     """Tell the others that this node leaves, let what is under way end and others take its groups."""
     own.stopping.set()
-    own.ring.leave()
+    own.failure_detector.leave()
     async with supervision.Group() as ending:
         ending.create_task(drain())
         ending.create_task(transfer_leadership(own))
@@ -168,7 +168,7 @@
     """Wait until this node leads no pair, or the time for it is over."""
     end = clock.now() + HAND_OVER
     while clock.now() < end and any(
-        held.known is not None and held.known.primary == held.me() for held in own.hosts.values()
+        held.known is not None and held.known.primary == held.me() for held in own.group_replicas.values()
     ):
         await clock.sleep(LAST_WORDS / 4)
 
--- a/aspencroft/cli/dplane.py
+++ b/aspencroft/cli/dplane.py
@@ -12,7 +12,7 @@
     """Handlers, works and drain of a data-plane node."""
     back = adapter.Adapter(own.environment, own.outside)
     edge = path.Path(own, back)
-    own.stories = edge.stories
+    own.traces = edge.traces
     return callers.handlers(edge), [edge.run], edge.drain
 
 
--- a/aspencroft/cli/fleet.py
+++ b/aspencroft/cli/fleet.py
@@ -266,7 +266,7 @@
         return False
 
     async def empty(self, number: int) -> None:
-        """An operator has a machine emptied; once it holds nothing it is swapped for one at a new address."""
+        """An operator has a machine drained; once it holds nothing it is swapped for one at a new address."""
         place, address, began = self.yard, self.yard.link(number), self.loop.time()
         if not await self.write(f"machines/{address}", {"emptied": True}):
             return
@@ -406,7 +406,7 @@
 
 
 def place_of(folder: str, offset: int, keep: bool) -> local_cluster.LocalCluster:
-    """A yard in a folder, emptied unless it is to be kept."""
+    """A yard in a folder, drained unless it is to be kept."""
     logging.disable(logging.CRITICAL)
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     path = pathlib.Path(folder)
--- a/aspencroft/cli/local_cluster.py
+++ b/aspencroft/cli/local_cluster.py
@@ -168,13 +168,13 @@
         return False
     newest: dict[str, dict] = {}
     for one in shown.values():
-        for pair, held in one["holders"].items():
-            if pair not in newest or held["epoch"] > newest[pair]["epoch"]:
-                newest[pair] = held
+        for group_id, held in one["holders"].items():
+            if group_id not in newest or held["epoch"] > newest[group_id]["epoch"]:
+                newest[group_id] = held
     serving = {
-        pair
+        group_id
         for one in shown.values()
-        for pair, own in one["pairs"].items()
+        for group_id, own in one["pairs"].items()
         if own["claimed"] and own["why"] == "serving"
     }
     return bool(newest) and all(held["backups"] for held in newest.values()) and set(newest) <= serving
--- a/aspencroft/cli/settings_reload.py
+++ b/aspencroft/cli/settings_reload.py
@@ -9,7 +9,7 @@
 from aspencroft.node import node, settings
 from aspencroft.runtime import clock
 
-LOG = logbook.Logger("settings")
+LOG = logbook.Logger("cli.settings_reload")
 LOOK = clock.seconds(2)
 
 
@@ -54,7 +54,7 @@
         if merged != self.node.settings:
             LOG.info("settings taken while running: {}", merged)
         self.node.settings = merged
-        self.node.ring.seeds = merged.seeds
+        self.node.failure_detector.seeds = merged.seeds
 
     async def watch(self) -> None:
         """Read the settings again whenever their file changed, also without a signal."""
--- a/aspencroft/cli/settings_reload_test.py
+++ b/aspencroft/cli/settings_reload_test.py
@@ -33,14 +33,14 @@
         scene.start("edge-7")
         await clock.sleep(clock.seconds(5))
         own = scene.nodes["edge-7"]
-        assert own.ring.live() == (own.address,)
+        assert own.failure_detector.live() == (own.address,)
         source = Source(dataclasses.replace(own.settings, seeds=("core-1:1", *GONE[1:])))
         reload = settings_reload.SettingsReload(own, settings_reload.SettingsSource("", source.read))
         reload.reload()
         source.given = None
         reload.reload()
         assert reload.counts == {"reloads": 1, "refused reloads": 1}
-        await scene.until(lambda: own.ring.state("core-1:1") == cluster_member.LIVE, 3, "joined")
+        await scene.until(lambda: own.failure_detector.state("core-1:1") == cluster_member.LIVE, 3, "joined")
 
     simulated_cluster.play(5, story)
 
--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -12,7 +12,7 @@
 from aspencroft.runtime import clock
 from aspencroft.transport import codec
 
-DUTY_LEASE = clock.seconds(2)
+ROLE_LEASE = clock.seconds(2)
 SLICE = 64
 STEPS = 64
 
@@ -66,7 +66,7 @@
 
 @codec.kind(72)
 @dataclasses.dataclass(frozen=True)
-class PlanChanged:
+class ResourcesChanged:
     """Event: resources changed together under a new revision."""
 
     revision: Revision
@@ -75,7 +75,7 @@
 
 @codec.kind(73)
 @dataclasses.dataclass(frozen=True)
-class WritePlan:
+class WriteResources:
     """Command: whole plan, merge patch, or one resource; with a condition when one is given."""
 
     way: str
@@ -87,7 +87,7 @@
 
 @codec.kind(74)
 @dataclasses.dataclass(frozen=True)
-class ReadPlan:
+class ReadResources:
     """Command: the plan, when it is newer than a revision."""
 
     after: Revision
@@ -95,7 +95,7 @@
 
 @codec.kind(89)
 @dataclasses.dataclass(frozen=True)
-class PlanStep:
+class ResourcePatch:
     """What leads from one revision of the plan to the next: a merge patch upon document, revisions and version."""
 
     base: Revision
@@ -105,17 +105,17 @@
 
 @codec.kind(75)
 @dataclasses.dataclass(frozen=True)
-class PlanRead:
+class ResourcesRead:
     """The plan's revision; when newer than asked for, the steps that lead there, or else the whole document."""
 
     revision: Revision
     document: str
-    steps: tuple[PlanStep, ...]
+    steps: tuple[ResourcePatch, ...]
 
 
 @codec.kind(76)
 @dataclasses.dataclass(frozen=True)
-class PlanWritten:
+class ResourcesWritten:
     """A write's revision and how many resources it changed."""
 
     revision: Revision
@@ -124,7 +124,7 @@
 
 @codec.kind(77)
 @dataclasses.dataclass(frozen=True)
-class TakeDuty:
+class AcquireRole:
     """Command: hold or go on holding a duty."""
 
     duty: str
@@ -134,7 +134,7 @@
 
 @codec.kind(78)
 @dataclasses.dataclass(frozen=True)
-class DutyTaken:
+class RoleAcquired:
     """Event and reply: who holds a duty under which epoch."""
 
     duty: str
@@ -148,7 +148,7 @@
 class ConfigurationTaken:
     """Event: an operator's configuration was taken, with the changes that it means for the plan."""
 
-    changed: PlanChanged
+    changed: ResourcesChanged
     taken: taken_orders.Taken
     kept: tuple[operator_configuration.Kept, ...]
     orders: tuple[operator_configuration.Order, ...]
@@ -164,36 +164,36 @@
         self.configuration = operator_configuration.Configuration()
         self.index = http_route.Index()
         self.steps: dict[Revision, tuple[Revision, dict]] = {}
-        self.duties: dict[str, DutyTaken] = {}
+        self.duties: dict[str, RoleAcquired] = {}
         self.claims: dict[str, datetime.timedelta] = {}
 
     def decide(self, command, now: datetime.timedelta, epoch: int) -> tuple[tuple, object]:
         """Events and reply for a command, or a Refusal; nothing changes here but duty claims."""
-        if isinstance(command, ReadPlan):
+        if isinstance(command, ReadResources):
             return (), self.read_plan(command.after)
         if isinstance(command, operator_configuration.ApplyConfiguration):
             return self.decide_configuration(command, epoch)
         if isinstance(command, operator_configuration.ReadConfiguration):
             return (), self.configuration.read()
-        if isinstance(command, WritePlan):
+        if isinstance(command, WriteResources):
             return self.decide_write(command, epoch)
-        if isinstance(command, TakeDuty):
-            return self.decide_duty(command, now)
+        if isinstance(command, AcquireRole):
+            return self.decide_role(command, now)
         raise result.RequestError(result.ResultCode.MALFORMED, detail=type(command).__name__)
 
-    def read_plan(self, after: Revision) -> PlanRead:
+    def read_plan(self, after: Revision) -> ResourcesRead:
         """What is new since a revision: steps where they are still held, else the whole document."""
         if not after < self.revision:
-            return PlanRead(self.revision, "", ())
+            return ResourcesRead(self.revision, "", ())
         row, place = [], after
         while place != self.revision and place in self.steps:
             revision, patch = self.steps[place]
-            row.append(PlanStep(place, revision, json.dumps(patch)))
+            row.append(ResourcePatch(place, revision, json.dumps(patch)))
             place = revision
         if place == self.revision:
-            return PlanRead(self.revision, "", tuple(row))
+            return ResourcesRead(self.revision, "", tuple(row))
         shown = {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}
-        return PlanRead(self.revision, json.dumps(shown), ())
+        return ResourcesRead(self.revision, json.dumps(shown), ())
 
     def decide_configuration(
         self, command: operator_configuration.ApplyConfiguration, epoch: int
@@ -204,12 +204,12 @@
             return (), operator_configuration.Applied(known.revision, 0, True)
         decided = self.configuration.decide(command, self.document, self.index)
         revision = Revision(epoch, self.revision.number + 1)
-        changed = PlanChanged(revision, tuple(Change(*one) for one in decided.changes))
+        changed = ResourcesChanged(revision, tuple(Change(*one) for one in decided.changes))
         taken = taken_orders.Taken(command.version, command.digest, revision.text())
         event = ConfigurationTaken(changed, taken, decided.kept, decided.orders)
         return (event,), operator_configuration.Applied(revision.text(), len(decided.changes), False)
 
-    def decide_write(self, command: WritePlan, epoch: int) -> tuple[tuple, object]:
+    def decide_write(self, command: WriteResources, epoch: int) -> tuple[tuple, object]:
         """A plan write, checked whole before anything is stored."""
         single = command.way in ("put", "delete")
         if command.condition is not None:
@@ -225,12 +225,12 @@
                 result.ResultCode.PLAN_INVALID, detail=json.dumps([dataclasses.asdict(one) for one in faults])
             )
         if not changes:
-            return (), PlanWritten(self.revision, 0)
+            return (), ResourcesWritten(self.revision, 0)
         revision = Revision(epoch, self.revision.number + 1)
-        event = PlanChanged(revision, tuple(Change(*one) for one in changes))
-        return (event,), PlanWritten(revision, len(changes))
+        event = ResourcesChanged(revision, tuple(Change(*one) for one in changes))
+        return (event,), ResourcesWritten(revision, len(changes))
 
-    async def look_ahead(self, command: WritePlan) -> None:
+    async def look_ahead(self, command: WriteResources) -> None:
         """Check what a write would change in slices, so that deciding it holds the loop for a moment only."""
         try:
             fresh = self.after(command)
@@ -243,7 +243,7 @@
             if place % SLICE == SLICE - 1:
                 await clock.sleep(clock.ZERO)
 
-    def changes_of(self, command: WritePlan, fresh: dict) -> tuple[tuple[str, str, str], ...]:
+    def changes_of(self, command: WriteResources, fresh: dict) -> tuple[tuple[str, str, str], ...]:
         """The resources that a write would change; one resource's write looks at no other."""
         if command.way not in ("put", "delete"):
             return resources.differences(self.document, fresh)
@@ -253,7 +253,7 @@
             {command.kind: {name: spec for name, spec in wanted.items() if name == command.name}},
         )
 
-    def after(self, command: WritePlan) -> dict:
+    def after(self, command: WriteResources) -> dict:
         """The whole plan as it would be after a write."""
         body = json.loads(command.body) if command.body else None
         if command.way == "whole":
@@ -269,25 +269,25 @@
             raise result.RequestError(result.ResultCode.UNKNOWN_RESOURCE, detail=f"{command.kind}/{command.name}")
         return {**self.document, command.kind: group}
 
-    def decide_duty(self, command: TakeDuty, now: datetime.timedelta) -> tuple[tuple, object]:
+    def decide_role(self, command: AcquireRole, now: datetime.timedelta) -> tuple[tuple, object]:
         """A duty is handed to another only once its holder's claim ran out; each time under a new epoch."""
         held = self.duties.get(command.duty)
         if held is not None and (held.holder, held.incarnation) == (command.holder, command.incarnation):
-            self.claims[command.duty] = now + DUTY_LEASE
+            self.claims[command.duty] = now + ROLE_LEASE
             return (), held
-        if held is not None and now < self.claims.setdefault(command.duty, now + DUTY_LEASE):
+        if held is not None and now < self.claims.setdefault(command.duty, now + ROLE_LEASE):
             raise result.RequestError(
                 result.ResultCode.NO_CLAIM,
                 detail=f"{held.holder} holds {command.duty}",
                 retry=self.claims[command.duty] - now,
             )
-        taken = DutyTaken(command.duty, held.epoch + 1 if held else 1, command.holder, command.incarnation)
-        self.claims[command.duty] = now + DUTY_LEASE
+        taken = RoleAcquired(command.duty, held.epoch + 1 if held else 1, command.holder, command.incarnation)
+        self.claims[command.duty] = now + ROLE_LEASE
         return (taken,), taken
 
     def fold(self, event) -> None:
         """Take an event in."""
-        if isinstance(event, DutyTaken):
+        if isinstance(event, RoleAcquired):
             self.duties[event.duty] = event
         elif isinstance(event, ConfigurationTaken):
             self.configuration.fold(event.taken, event.kept, event.orders)
@@ -295,7 +295,7 @@
         else:
             self.fold_changes(event)
 
-    def fold_changes(self, event: PlanChanged) -> None:
+    def fold_changes(self, event: ResourcesChanged) -> None:
         """Take changed resources in, and remember the step that leads there."""
         text = event.revision.text()
         patch: dict = {"plan": {}, "revisions": {}, "version": self.configuration.version}
@@ -343,11 +343,11 @@
         ).encode()
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The picture, in one part: a plan is bounded."""
+        """The snapshot, in one part: a plan is bounded."""
         return iter([self.snapshot()])
 
     def size(self) -> int:
-        """How much a picture holds."""
+        """How much a snapshot holds."""
         return 0
 
     def payload_bytes(self) -> int:
@@ -361,11 +361,11 @@
         """Nothing to bound: the control group holds nothing of what callers send."""
 
     def restore(self, body: bytes) -> None:
-        """Become what a picture shows."""
+        """Become what a snapshot shows."""
         shown = json.loads(body)
         self.revision = revision_of(shown["revision"])
         self.document, self.revisions = shown["document"], shown["revisions"]
-        self.duties = {one["duty"]: DutyTaken(**one) for one in shown["duties"]}
+        self.duties = {one["duty"]: RoleAcquired(**one) for one in shown["duties"]}
         self.configuration.restore(shown["configuration"])
         self.steps, self.index = {}, http_route.Index()
         for name, spec in self.document.get(resources.HTTP_ROUTES, {}).items():
--- a/aspencroft/configuration/control_state_test.py
+++ b/aspencroft/configuration/control_state_test.py
@@ -11,13 +11,13 @@
     control = control_module.ControlState()
     now = clock.seconds(1)
     body = json.dumps({"services": {"a": {"kind": "plain"}}})
-    events, reply = control.decide(control_module.WritePlan("merge", "", "", body, control_module.NEVER), now, 2)
+    events, reply = control.decide(control_module.WriteResources("merge", "", "", body, control_module.NEVER), now, 2)
     for event in events:
         control.fold(event)
     assert reply.revision == control_module.Revision(2, 1)
     try:
         control.decide(
-            control_module.WritePlan("put", "services", "a", '{"kind": "model"}', control_module.NEVER),
+            control_module.WriteResources("put", "services", "a", '{"kind": "model"}', control_module.NEVER),
             now,
             2,
         )
--- a/aspencroft/configuration/operator_configuration_test.py
+++ b/aspencroft/configuration/operator_configuration_test.py
@@ -61,7 +61,7 @@
         return reply
 
     def restart(self) -> None:
-        """Both copies anew from a picture."""
+        """Both copies anew from a snapshot."""
         shown = self.view.snapshot()
         for name in ("view", "follower"):
             fresh = control_state.ControlState()
@@ -210,22 +210,28 @@
     store = Store()
     store.apply(order(4, 0, [service("s"), route("a", "/", "s")]))
     body = json.dumps({"machines": {"m": {"emptied": True}}, "services": {"other": {"kind": "plain"}}})
-    assert store.apply(control_state.WritePlan("merge", "", "", body, None)).changed == 2
+    assert store.apply(control_state.WriteResources("merge", "", "", body, None)).changed == 2
     assert store.view.configuration.version == 4
     assert store.apply(order(6, 4, [service("s")])).changed == 1
     assert store.view.document["machines"] == {"m": {"emptied": True}} and "other" in store.view.document["services"]
-    assert store.apply(control_state.WritePlan("delete", "services", "s", "", None)).changed == 1
+    assert store.apply(control_state.WriteResources("delete", "services", "s", "", None)).changed == 1
     assert store.apply(order(7, 6, [service("s")])).changed == 1, "what is stated comes back"
 
 
 def test_other_writers_are_held_to_the_routes_that_stand():
     store = Store()
     store.apply(order(4, 0, [service("s"), route("a", "/", "s")]))
-    assert store.apply(control_state.WritePlan("delete", "services", "s", "", None)) is result.ResultCode.PLAN_INVALID
+    assert (
+        store.apply(control_state.WriteResources("delete", "services", "s", "", None)) is result.ResultCode.PLAN_INVALID
+    )
     spec = json.dumps({"host": "H", "prefix": "/", "targets": [{"service": "s"}]})
-    assert store.apply(control_state.WritePlan("put", "http_routes", "b", spec, None)) is result.ResultCode.PLAN_INVALID
     assert (
-        store.apply(control_state.WritePlan("put", "http_routes", "b", spec.replace('"/"', '"/b/"'), None)).changed == 1
+        store.apply(control_state.WriteResources("put", "http_routes", "b", spec, None))
+        is result.ResultCode.PLAN_INVALID
+    )
+    assert (
+        store.apply(control_state.WriteResources("put", "http_routes", "b", spec.replace('"/"', '"/b/"'), None)).changed
+        == 1
     )
     assert store.apply(order(5, 4, [route("c", "/b/", "s")], [])) is result.ResultCode.PLAN_INVALID
 
@@ -354,6 +360,6 @@
     store = Store()
     store.apply(order(1, 0, [service("s"), service("t")]))
     lane = '{"kind": "signal", "services": ["t"]}'
-    assert store.apply(control_state.WritePlan("put", "lanes", "l", lane, None)).changed == 1
+    assert store.apply(control_state.WriteResources("put", "lanes", "l", lane, None)).changed == 1
     assert store.apply(order(2, 1, [service("s")])) is result.ResultCode.PLAN_INVALID
     assert store.apply(order(2, 1, [], [operator_configuration.Label("services here", "s")])).changed == 1
--- a/aspencroft/configuration/orders_stateful_test.py
+++ b/aspencroft/configuration/orders_stateful_test.py
@@ -104,7 +104,7 @@
     @hypothesis.stateful.rule(name=NUMBERS(0, 2))
     def another_writer(self, name):
         body = json.dumps({"machines": {f"m{name}:1": {"emptied": True}}})
-        events, _ = self.state.decide(control_state.WritePlan("merge", "", "", body, None), None, self.epoch)
+        events, _ = self.state.decide(control_state.WriteResources("merge", "", "", body, None), None, self.epoch)
         for event in events:
             self.log.append(codec.tagged(event))
             self.state.fold(event)
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -42,14 +42,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
+class Configuration:
     """The plan as nodes use it."""
 
     services: dict[str, service.Service]
     lanes: dict[str, lane.Lane]
     lane_routes: dict[tuple[str, str], lane_route.LaneRoute]
     leaving: frozenset[str]
-    emptied: frozenset[str]
+    drained: frozenset[str]
     seeds: tuple[str, ...]
     rules: dict[str, alert_rule.Rule]
     http_routes: dict[str, http_route.HttpRoute]
@@ -157,7 +157,7 @@
     return [Fault(f"{HTTP_ROUTES}/{path}", meaning) for path, meaning in found]
 
 
-def of(document: dict, version: int = 0) -> Plan:
+def of(document: dict, version: int = 0) -> Configuration:
     """The typed plan of a checked document; the version is the operator's own, 0 when there is none.
 
     Example: ``of({}).lanes == {}``
@@ -165,7 +165,7 @@
     return after(EMPTY, document, dict.fromkeys(document), version)
 
 
-def after(before: Plan, document: dict, patch: dict, version: int) -> Plan:
+def after(before: Configuration, document: dict, patch: dict, version: int) -> Configuration:
     """The typed plan of a document that differs from another by a merge patch; its cost follows what the
     patch names.
     """
@@ -186,7 +186,7 @@
     if "workers" in patch:
         fresh["leaving"] = marked("workers", "leaving")
     if "machines" in patch:
-        fresh["emptied"] = marked("machines", "emptied")
+        fresh["drained"] = marked("machines", "emptied")
     if "seeds" in patch:
         fresh["seeds"] = tuple(document.get("seeds", {}).get("control", {}).get("addresses", []))
     if "rules" in patch:
@@ -203,7 +203,7 @@
     return dataclasses.replace(before, **fresh)
 
 
-EMPTY = Plan({}, {}, {}, frozenset(), frozenset(), (), {}, {}, route_table.EMPTY, limits.of({}))
+EMPTY = Configuration({}, {}, {}, frozenset(), frozenset(), (), {}, {}, route_table.EMPTY, limits.of({}))
 
 
 def patch_between(old, new) -> dict:
--- a/aspencroft/consensus/proposer.py
+++ b/aspencroft/consensus/proposer.py
@@ -36,7 +36,7 @@
             self.learn(one.voter_set)
         for address, one in answers.items():
             if one.voter_set.number < self.voter_set.number:
-                self.link.tell(address, replica_set.VoterSetChosen(self.voter_set))
+                self.link.notify(address, replica_set.VoterSetChosen(self.voter_set))
 
     def learn(self, voter_set: replica_set.VoterSet) -> None:
         """Take a newer voter set."""
@@ -51,7 +51,7 @@
 
         async def ask(address: str, message) -> None:
             with contextlib.suppress(result.RequestError):
-                answers[address] = await self.link.ask(address, message, ASK)
+                answers[address] = await self.link.request(address, message, ASK)
 
         waiting = [asyncio.ensure_future(ask(address, message)) for address, message in messages.items()]
         try:
@@ -97,12 +97,14 @@
             )
         return ballots.Chosen(ballot, value)
 
-    async def claim(
-        self, chosen: Chosen, register: int, claimant: str, length: datetime.timedelta
+    async def request_lease(
+        self, chosen: Chosen, register: int, lease_holder: str, length: datetime.timedelta
     ) -> tuple[datetime.timedelta | None, bytes, bool]:
         """Renew a lease: its end, counted from before it was asked for, or none; the newest value; if most answered."""
         voter_set, started = self.voter_set, clock.now()
-        message = replica_set.LeaseRequest(register, chosen.ballot, chosen.value, claimant, length, voter_set.number)
+        message = replica_set.LeaseRequest(
+            register, chosen.ballot, chosen.value, lease_holder, length, voter_set.number
+        )
         answers = await self.ask_voters(voter_set, dict.fromkeys(voter_set.everyone(), message))
         outcome = ballots.lease_outcome(voter_set, answers, chosen, started, length)
         return outcome.end, outcome.newest, outcome.answered
--- a/aspencroft/consensus/record_recovery.py
+++ b/aspencroft/consensus/record_recovery.py
@@ -9,7 +9,7 @@
 from aspencroft.errors import result
 from aspencroft.runtime import clock
 
-LOG = logbook.Logger("records")
+LOG = logbook.Logger("consensus.record_recovery")
 STEP = clock.seconds(0.25)
 UNHEARD = clock.seconds(0.6)
 TURN = clock.seconds(0.2)
--- a/aspencroft/consensus/replica_placement.py
+++ b/aspencroft/consensus/replica_placement.py
@@ -100,7 +100,7 @@
         for target in free:
             more_areas = len(rest | {target.area}) - areas_now
             evened = held[leaving.address] - held[target.address]
-            gain = (more_areas, evened, leaving != standing.primary, stable_order(standing.pair, target.address))
+            gain = (more_areas, evened, leaving != standing.primary, stable_order(standing.group_id, target.address))
             better = more_areas > 0 or (more_areas == 0 and evened >= LEAST_GAIN)
             if better and gain > best_gain:
                 best, best_gain = Move(leaving, target), gain
--- a/aspencroft/consensus/replica_placement_test.py
+++ b/aspencroft/consensus/replica_placement_test.py
@@ -22,7 +22,7 @@
 def moved(standing: replica_set.ReplicaSet, move: replica_placement.Move) -> replica_set.ReplicaSet:
     """The record once a move was made; a primary's place goes to a backup first."""
     addresses = [one.address for one in standing.members() if one != move.leaving]
-    return record(standing.pair, *addresses, move.target.address)
+    return record(standing.group_id, *addresses, move.target.address)
 
 
 def spread(records: list[replica_set.ReplicaSet], able: list[replica_placement.Candidate]) -> int:
--- a/aspencroft/consensus/replica_set.py
+++ b/aspencroft/consensus/replica_set.py
@@ -11,12 +11,12 @@
 CONTROL, TALK = "control", "talk"
 
 
-def sort_of(pair: int) -> str:
+def sort_of(group_id: int) -> str:
     """The sort of a group by its number: which disks may hold it.
 
     Example: ``sort_of(0) == CONTROL``
     """
-    return TALK if pair else CONTROL
+    return TALK if group_id else CONTROL
 
 
 @codec.kind(20)
@@ -33,7 +33,7 @@
 class ReplicaSet:
     """Primary and backups of a group under an epoch: each of them holds all that was answered."""
 
-    pair: int
+    group_id: int
     epoch: int
     primary: ReplicaId
     backups: tuple[ReplicaId, ...]
@@ -48,7 +48,7 @@
 class VoterSet:
     """The witnesses: the set in force and, while it changes, the set to come.
 
-    Number zero is what settings name before any roster is in force,
+    Number zero is what settings name before any voter set is in force,
     number one what they name to witnesses that vote from their
     first start on; later numbers are never used twice.
     """
@@ -107,7 +107,7 @@
 @codec.kind(25)
 @dataclasses.dataclass(frozen=True)
 class BallotReply:
-    """Answer to a raise or a record; refused ones tell the ballot or roster that stands in the way."""
+    """Answer to a raise or a record; refused ones tell the ballot or voter set that stands in the way."""
 
     granted: bool
     incarnation: int
@@ -136,7 +136,7 @@
     register: int
     ballot: int
     value: bytes
-    claimant: str
+    lease_holder: str
     length: datetime.timedelta
     voter_set: int
 
@@ -184,7 +184,7 @@
 @codec.kind(35)
 @dataclasses.dataclass(frozen=True)
 class VoterSetChosen:
-    """A roster that the witnesses chose, for those that had no part in the ballot."""
+    """A voter set that the witnesses chose, for those that had no part in the ballot."""
 
     voter_set: VoterSet
 
@@ -192,7 +192,7 @@
 @codec.kind(36)
 @dataclasses.dataclass(frozen=True)
 class RememberedCluster:
-    """What a node's disk remembers of the fleet: the roster in force and the nodes with disks."""
+    """What a node's disk remembers of the fleet: the voter set in force and the nodes with disks."""
 
     voter_set: VoterSet
     disks: tuple[str, ...]
@@ -201,11 +201,11 @@
 @codec.kind(33)
 @dataclasses.dataclass(frozen=True)
 class ReplicaReport:
-    """One copy on a disk: identity, the newest record of holders known, and the last sequence."""
+    """One copy on a disk: identity, the newest replica set known, and the last sequence."""
 
-    pair: int
+    group_id: int
     identity: str
-    holding: ReplicaSet | None
+    record: ReplicaSet | None
     sequence: int
 
 
--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -11,7 +11,7 @@
 from aspencroft.storage import store
 from aspencroft.transport import codec
 
-LOG = logbook.Logger("witness")
+LOG = logbook.Logger("consensus.witness")
 LEASE = witness_state.LEASE
 LEASE_MARGIN = witness_state.LEASE_MARGIN
 COMPACT = 2000
@@ -107,7 +107,7 @@
         """Second phase of a ballot."""
         return await self.settle(self.state.accept(message))
 
-    async def claim(self, message: replica_set.LeaseRequest) -> replica_set.BallotReply:
+    async def renew_lease(self, message: replica_set.LeaseRequest) -> replica_set.BallotReply:
         """Renew a primary's lease; a chosen value that was missed is learnt first."""
         await self.settle(self.state.learn_chosen(message))
         return await self.settle(self.state.renew(message, clock.now()))
--- a/aspencroft/consensus/witness_bootstrap_test.py
+++ b/aspencroft/consensus/witness_bootstrap_test.py
@@ -32,7 +32,7 @@
         for name in ("storage-1", "storage-2"):
             one.power_off(name)
         await asyncio.sleep(8)
-        assert not any(own.ring.holdings for own in one.nodes.values())
+        assert not any(own.failure_detector.records for own in one.nodes.values())
         one.start("storage-1")
         await one.until(one.formed, 8, "formed")
 
@@ -44,7 +44,7 @@
 
         async def story(one: simulated_cluster.SimulatedCluster) -> None:
             await asyncio.sleep(15)
-            assert not any(own.ring.holdings or own.witness.voting for own in one.nodes.values())
+            assert not any(own.failure_detector.records or own.witness.voting for own in one.nodes.values())
 
         simulated_cluster.play(
             3, story, groups.SIZE, shape.TILLS, wire.Weather(jitter=0.002), {"first_start": False, **more}
@@ -105,7 +105,7 @@
     reports = {
         f"s:{number}": replica_set.ReplicaReports(
             "abc"[number % 3],
-            tuple(replica_set.ReplicaReport(pair, f"{number}-{pair}", None, 0) for pair in range(5)),
+            tuple(replica_set.ReplicaReport(group_id, f"{number}-{group_id}", None, 0) for group_id in range(5)),
             NOTHING,
         )
         for number in range(4)
@@ -124,7 +124,7 @@
         "s:1": replica_set.ReplicaReports("b", (replica_set.ReplicaReport(0, "kept", standing, 9),), NOTHING),
     }
     assert witness_bootstrap.present_members(standing, reports) == list(standing.backups)
-    assert witness_bootstrap.newest_holdings(reports, ()) == {0: standing}
+    assert witness_bootstrap.newest_records(reports, ()) == {0: standing}
 
 
 def copies_by_machine(machines_in_area: dict[str, int], groups: int, copies: int) -> dict[str, list[str]]:
--- a/aspencroft/consensus/witness_changes.py
+++ b/aspencroft/consensus/witness_changes.py
@@ -1,4 +1,4 @@
-"""Changing the witnesses while the fleet runs: through a joint roster, recorded with both majorities."""
+"""Changing the witnesses while the fleet runs: through a joint voter set, recorded with both majorities."""
 
 import collections.abc
 import contextlib
@@ -11,7 +11,7 @@
 from aspencroft.runtime import clock, supervision
 from aspencroft.transport import codec, connections
 
-LOG = logbook.Logger("reseat")
+LOG = logbook.Logger("consensus.witness_changes")
 STEP = clock.seconds(0.5)
 JOINT_STEP = clock.seconds(0.2)
 ASK = clock.seconds(0.4)
@@ -43,7 +43,7 @@
 
 
 class WitnessChanges:
-    """The control primary's work on the roster; any later primary goes on where this one stopped."""
+    """The control primary's work on the voter set; any later primary goes on where this one stopped."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self.counts = {"rosters": 0}
 
     async def run(self) -> None:
-        """One step at a time while this node leads the control pair."""
+        """One step at a time while this node leads the control group."""
         while True:
             await clock.sleep(JOINT_STEP if self.proposer.voter_set.coming else STEP)
             if self.leads() and self.proposer.voter_set.number > 0:
@@ -102,7 +102,7 @@
 
         async def ask(address: str) -> None:
             with contextlib.suppress(result.RequestError):
-                reply = await self.link.ask(address, replica_set.WitnessStateRequest(self.address), ASK)
+                reply = await self.link.request(address, replica_set.WitnessStateRequest(self.address), ASK)
                 if reply.voting and reply.voter_set.number == voter_set.number:
                     ready.append(address)
 
@@ -112,7 +112,7 @@
         return ready
 
     async def record(self, voter_set: replica_set.VoterSet, present: tuple[str, ...], coming: tuple[str, ...]) -> None:
-        """Have the next roster chosen by those who vote under this one, and tell everybody concerned."""
+        """Have the next voter set chosen by those who vote under this one, and tell everybody concerned."""
         counter = voter_set.number // witness_bootstrap.COUNTER_UNIT + 1
         fresh = replica_set.VoterSet(
             witness_bootstrap.numbered(counter, self.proposer.environment.randomness), present, coming
@@ -137,7 +137,7 @@
 
         async def one(address: str) -> None:
             with contextlib.suppress(result.RequestError):
-                await self.link.ask(address, replica_set.VoterSetChosen(voter_set), ASK)
+                await self.link.request(address, replica_set.VoterSetChosen(voter_set), ASK)
 
         async with supervision.Group() as group:
             for address in dict.fromkeys((*voter_set.everyone(), *others)):
--- a/aspencroft/consensus/witness_placement.py
+++ b/aspencroft/consensus/witness_placement.py
@@ -1,4 +1,4 @@
-"""Which nodes should be witnesses where the core keeps the record of holders: a pure choice with little movement."""
+"""Which nodes should be witnesses where the core keeps the replica set: a pure choice with little movement."""
 
 MOST = 9
 
--- a/aspencroft/consensus/witness_state.py
+++ b/aspencroft/consensus/witness_state.py
@@ -18,7 +18,7 @@
 class LeaseGrant:
     """A lease that a witness granted: until when it may be in force, by the witness's own clock with a margin."""
 
-    claimant: str
+    lease_holder: str
     end: datetime.timedelta
 
 
@@ -66,7 +66,7 @@
         if register == replica_set.VOTER_SET:
             return clock.ZERO
         grant = self.grants.get(register)
-        if grant is not None and grant.claimant == asker:
+        if grant is not None and grant.lease_holder == asker:
             return clock.ZERO
         current = self.ballot(register)
         if grant is None and current.value and str(codec.untagged(current.value).primary) == asker:
@@ -127,7 +127,7 @@
             return step
         value = codec.untagged(message.value)
         grant = self.grants.get(message.register)
-        if grant is None or grant.claimant == str(value.primary):
+        if grant is None or grant.lease_holder == str(value.primary):
             return step
         grants = {register: one for register, one in self.grants.items() if register != message.register}
         return dataclasses.replace(step, state=dataclasses.replace(step.state, grants=grants))
@@ -166,14 +166,14 @@
             standing is None
             or current.accepted != message.ballot
             or current.raised != message.ballot
-            or str(standing.primary) != message.claimant
-            or self.lease_wait(message.register, message.claimant, now) > clock.ZERO
+            or str(standing.primary) != message.lease_holder
+            or self.lease_wait(message.register, message.lease_holder, now) > clock.ZERO
         ):
             return self.refused(message.register)
         end, before = now + message.length + LEASE_MARGIN, self.grants.get(message.register)
-        if before is not None and before.claimant == message.claimant:
+        if before is not None and before.lease_holder == message.lease_holder:
             end = max(end, before.end)
-        grants = {**self.grants, message.register: LeaseGrant(message.claimant, end)}
+        grants = {**self.grants, message.register: LeaseGrant(message.lease_holder, end)}
         return Step(dataclasses.replace(self, grants=grants), self.answer(True, message.register))
 
     def survey(self) -> replica_set.WitnessState:
--- a/aspencroft/consensus/witness_test.py
+++ b/aspencroft/consensus/witness_test.py
@@ -24,19 +24,21 @@
         await one.learn(replica_set.VoterSet(1, ("w:1",), ()), (replica_set.Ballot(0, 5, 5, value),))
         timer[0] += 10
         claim = replica_set.LeaseRequest(0, 5, value, str(member), witness.LEASE, 1)
-        assert (await one.claim(claim)).granted
+        assert (await one.renew_lease(claim)).granted
         timer[0] += 1
         assert not (await one.prepare(replica_set.Prepare(0, 9, "b:1", 1))).granted
         timer[0] += 10
         assert (await one.prepare(replica_set.Prepare(0, 9, "b:1", 1))).granted
-        assert not (await one.claim(claim)).granted
+        assert not (await one.renew_lease(claim)).granted
         timer[0] += 10
         fresh = codec.tagged(replica_set.ReplicaSet(0, 2, replica_set.ReplicaId("b:1", "y"), ()))
         assert (await one.accept(replica_set.Accept(0, 9, fresh, 5, 1))).granted
-        assert not (await one.claim(claim)).granted
-        assert (await one.claim(dataclasses.replace(claim, ballot=9, value=fresh, claimant="b:1"))).granted is False
-        newer = dataclasses.replace(claim, ballot=9, value=fresh, claimant=str(replica_set.ReplicaId("b:1", "y")))
-        assert (await one.claim(newer)).granted
+        assert not (await one.renew_lease(claim)).granted
+        assert (
+            await one.renew_lease(dataclasses.replace(claim, ballot=9, value=fresh, lease_holder="b:1"))
+        ).granted is False
+        newer = dataclasses.replace(claim, ballot=9, value=fresh, lease_holder=str(replica_set.ReplicaId("b:1", "y")))
+        assert (await one.renew_lease(newer)).granted
 
     with asyncio.Runner(loop_factory=Clock) as runner:
         runner.run(scene())
--- a/aspencroft/distribution/plan_transfer.py
+++ b/aspencroft/distribution/configuration_transfer.py
@@ -24,7 +24,7 @@
     used: datetime.timedelta
 
 
-class WholePlans:
+class CompleteConfigurations:
     """The parent's side: encoded plans, each kept for as long as somebody fetches it."""
 
     def __init__(self):
@@ -43,28 +43,30 @@
         self.plans[fresh.digest] = fresh
         return fresh
 
-    def part(self, message: updates.FetchPlan, revision: control_state.Revision, shown: dict) -> updates.PlanPart:
+    def part(
+        self, message: updates.FetchConfiguration, revision: control_state.Revision, shown: dict
+    ) -> updates.ConfigurationChunk:
         """The next part of the plan that a child fetches; of the newest from its start where that one is not kept."""
         whole, offset = self.plans.get(message.digest), message.offset
         if whole is None or offset > len(whole.body):
             whole, offset = self.newest(revision, shown), 0
         whole.used = clock.now()
         body = whole.body[offset : offset + PART_BYTES]
-        return updates.PlanPart(whole.revision, whole.digest, offset, len(whole.body), body)
+        return updates.ConfigurationChunk(whole.revision, whole.digest, offset, len(whole.body), body)
 
 
-class PartialPlan:
+class PartialConfiguration:
     """The child's side: what came of a plan so far; kept when the parent fails, for the next try."""
 
     def __init__(self):
         self.digest = NO_DIGEST
         self.body = bytearray()
 
-    def next_part(self) -> updates.FetchPlan:
+    def next_part(self) -> updates.FetchConfiguration:
         """What to ask for."""
-        return updates.FetchPlan(self.digest, len(self.body))
+        return updates.FetchConfiguration(self.digest, len(self.body))
 
-    def take(self, part: updates.PlanPart) -> updates.News | None:
+    def take(self, part: updates.ConfigurationChunk) -> updates.Update | None:
         """Add a part; the plan once it is whole, none before."""
         if part.digest != self.digest:
             self.digest, self.body = part.digest, bytearray()
@@ -76,4 +78,4 @@
         self.digest, self.body = NO_DIGEST, bytearray()
         if hashlib.blake2b(body, digest_size=16).digest() != digest:
             return None
-        return updates.News(updates.PLAN, part.revision, None, body.decode())
+        return updates.Update(updates.PLAN, part.revision, None, body.decode())
--- a/aspencroft/distribution/plan_transfer_test.py
+++ b/aspencroft/distribution/configuration_transfer_test.py
@@ -6,7 +6,7 @@
 import pytest
 
 from aspencroft.configuration import control_state
-from aspencroft.distribution import plan_transfer, relay, updates
+from aspencroft.distribution import configuration_transfer, relay, updates
 from aspencroft.errors import result
 from aspencroft.runtime import clock
 from aspencroft.simulation import loop
@@ -25,13 +25,13 @@
         self.broken_at = -1
         self.between = lambda: None
 
-    def tell(self, address, message, epoch=0):
+    def notify(self, address, message, epoch=0):
         pass
 
-    async def ask(self, address, message, within, epoch=0):
+    async def request(self, address, message, within, epoch=0):
         await clock.sleep(clock.seconds(0.01))
         parent = self.relays[address]
-        if isinstance(message, updates.FetchPlan):
+        if isinstance(message, updates.FetchConfiguration):
             self.parts += 1
             if self.parts == self.broken_at:
                 raise result.RequestError(result.ResultCode.UNREACHABLE)
@@ -44,7 +44,7 @@
 
 
 def relay_of(link: Link, address: str) -> relay.Relay:
-    members = types.SimpleNamespace(me=types.SimpleNamespace(address=address), holdings={}, peers={})
+    members = types.SimpleNamespace(me=types.SimpleNamespace(address=address), records={}, peers={})
     link.relays[address] = relay.Relay(link, members, clock.seconds(4))
     return link.relays[address]
 
@@ -53,16 +53,16 @@
     return {"services": {f"service-{number}{mark}": {"kind": "plain"} for number in range(count)}}
 
 
-def whole(number: int, plan: dict) -> updates.News:
+def whole(number: int, plan: dict) -> updates.Update:
     body = json.dumps({"plan": plan, "revisions": {}, "version": number})
-    return updates.News(updates.PLAN, control_state.Revision(1, number), None, body)
+    return updates.Update(updates.PLAN, control_state.Revision(1, number), None, body)
 
 
 def change(one: relay.Relay, size: int = 1) -> None:
     """The next change at a relay, which adds a number of services."""
     number = one.revision.number + 1
     patch = json.dumps({"plan": plan_of(size, f"-{number}"), "revisions": {}, "version": number})
-    one.learn(updates.News(updates.PLAN, control_state.Revision(1, number), one.revision, patch))
+    one.learn(updates.Update(updates.PLAN, control_state.Revision(1, number), one.revision, patch))
 
 
 def run(scene) -> None:
@@ -121,7 +121,7 @@
         link.between = lambda: change(parent)
         await child.pull("a:1")
         assert child.revision == control_state.Revision(1, 1)
-        assert link.parts == -(-size // plan_transfer.PART_BYTES) > 4
+        assert link.parts == -(-size // configuration_transfer.PART_BYTES) > 4
         link.between = lambda: None
         await caught_up(child, "a:1")
         assert child.counts["whole plans"] == 1
@@ -142,7 +142,7 @@
         assert child.revision == control_state.NEVER and "a:1" in child.shunned
         await child.pull("c:1")
         assert child.revision == first.revision and child.document == first.document
-        assert link.parts == -(-size // plan_transfer.PART_BYTES) + 1
+        assert link.parts == -(-size // configuration_transfer.PART_BYTES) + 1
 
     run(scene)
 
@@ -177,7 +177,7 @@
         change(source)
         parent.learn(source.deltas[parent.revision])
         assert parent.revision == source.revision
-        news = parent.plan_news(child.revision)
+        news = parent.pending_updates(child.revision)
         assert [one.base for one in news] == [None]
         await caught_up(child, "a:1")
         assert child.document == source.document and not child.learn(latest)
--- a/aspencroft/distribution/parent_test.py
+++ b/aspencroft/distribution/parent_test.py
@@ -24,7 +24,7 @@
         self.ages = ages
         self.asked: list[str] = []
 
-    async def ask(self, address, message, within):
+    async def request(self, address, message, within):
         self.asked.append(address)
         if address not in self.ages:
             await clock.sleep(within)
@@ -32,7 +32,7 @@
         age = clock.seconds(self.ages[address])
         return updates.Pulled((), control_state.NEVER, clock.ZERO, (), True, False, age)
 
-    def tell(self, address, message):
+    def notify(self, address, message):
         pass
 
 
@@ -40,7 +40,7 @@
     record = types.SimpleNamespace(primary=replica_set.ReplicaId(root, "1"), epoch=1)
     members = types.SimpleNamespace(
         me=types.SimpleNamespace(address=address),
-        holdings={0: record},
+        records={0: record},
         peers=types.SimpleNamespace(tree_order=lambda: ORDER),
     )
     return relay.Relay(answers, members, CURRENCY)
@@ -74,7 +74,7 @@
         for address in ORDER:
             one.leave_out(address)
             one.parent()
-        one.ring.holdings[0].primary = replica_set.ReplicaId(ORDER[1], "1")
+        one.failure_detector.records[0].primary = replica_set.ReplicaId(ORDER[1], "1")
         usual = one.parent()
         assert not one.shunned and usual == relay.parent_of("edge-19:1", ORDER[1], ORDER)
 
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -9,13 +9,13 @@
 import logbook
 
 from aspencroft.configuration import control_state, resources
-from aspencroft.distribution import plan_transfer, updates
+from aspencroft.distribution import configuration_transfer, updates
 from aspencroft.errors import result
 from aspencroft.membership import failure_detector
 from aspencroft.runtime import clock
 from aspencroft.transport import connections
 
-LOG = logbook.Logger("relay")
+LOG = logbook.Logger("distribution.relay")
 BRANCHES = 4
 PULL = clock.seconds(0.4)
 ASK = clock.seconds(0.8)
@@ -95,15 +95,15 @@
     ):
         self.link = links
         self.currency = currency
-        self.ring = members
+        self.failure_detector = members
         self.address = members.me.address
-        self.topics: dict[str, updates.News] = {}
-        self.deltas: dict[control_state.Revision, updates.News] = {}
-        self.wholes = plan_transfer.WholePlans()
-        self.partial = plan_transfer.PartialPlan()
+        self.topics: dict[str, updates.Update] = {}
+        self.deltas: dict[control_state.Revision, updates.Update] = {}
+        self.wholes = configuration_transfer.CompleteConfigurations()
+        self.partial = configuration_transfer.PartialConfiguration()
         self.document: dict = {}
         self.revisions: dict[str, str] = {}
-        self.plan = resources.of({})
+        self.configuration = resources.of({})
         self.revision = control_state.NEVER
         self.currency_end = clock.ZERO
         self.counted: frozenset[str] = frozenset()
@@ -142,10 +142,10 @@
         While the parent in the tree is left out, the root itself is asked, and while that is left out too, another
         core: a node that reaches the root is never more than one failed parent away from it.
         """
-        held = self.ring.holdings.get(0)
+        held = self.failure_detector.records.get(0)
         if held is None or held.primary.address == self.address:
             return None
-        root, order = held.primary.address, self.ring.peers.tree_order()
+        root, order = held.primary.address, self.failure_detector.peers.tree_order()
         if root != self.followed_root:
             self.followed_root = root
             self.shunned.clear()
@@ -156,7 +156,7 @@
         self.parent_depth = depth_of(parent, root, order)
         return parent
 
-    def learn(self, one: updates.News) -> bool:
+    def learn(self, one: updates.Update) -> bool:
         """Take a topic's newer state; a patch upon another base than ours is not taken."""
         held = self.topics.get(one.topic)
         known = self.revision if one.topic == updates.PLAN else held.revision if held else control_state.NEVER
@@ -169,14 +169,14 @@
             if one.base is not None:
                 patch = shown.get("plan", {})
                 shown = resources.merge(
-                    {"plan": self.document, "revisions": self.revisions, "version": self.plan.version}, shown
+                    {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}, shown
                 )
-                fresh = resources.after(self.plan, shown["plan"], patch, shown["version"])
+                fresh = resources.after(self.configuration, shown["plan"], patch, shown["version"])
                 self.deltas[one.base] = one
             else:
                 fresh = resources.of(shown["plan"], shown["version"])
                 self.counts["whole plans"] += 1
-            self.document, self.revisions, self.plan = shown["plan"], shown["revisions"], fresh
+            self.document, self.revisions, self.configuration = shown["plan"], shown["revisions"], fresh
             self.revision = one.revision
             while len(self.deltas) > DELTAS:
                 del self.deltas[next(iter(self.deltas))]
@@ -202,9 +202,9 @@
                 self.counted_below.pop(address, None)
             else:
                 self.counts["pushes"] += 1
-                self.link.tell(address, updates.Push())
+                self.link.notify(address, updates.Push())
 
-    def plan_news(self, known: control_state.Revision) -> tuple[updates.News, ...]:
+    def pending_updates(self, known: control_state.Revision) -> tuple[updates.Update, ...]:
         """What brings a node from the revision it knows to ours: patches in a row, or the whole.
 
         The row is as long as one message may be. A whole plan that is too large for one message is only named, and
@@ -218,8 +218,8 @@
             place = self.deltas[place].revision
         if place != self.revision:
             whole = self.wholes.newest(self.revision, self.shown())
-            body = whole.body.decode() if len(whole.body) <= plan_transfer.PART_BYTES else ""
-            return (updates.News(updates.PLAN, self.revision, None, body),)
+            body = whole.body.decode() if len(whole.body) <= configuration_transfer.PART_BYTES else ""
+            return (updates.Update(updates.PLAN, self.revision, None, body),)
         for count, one in enumerate(row):
             size += len(one.body)
             if count and size > STEP_BYTES:
@@ -228,18 +228,18 @@
 
     def shown(self) -> dict:
         """The whole plan as it is told to others."""
-        return {"plan": self.document, "revisions": self.revisions, "version": self.plan.version}
+        return {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}
 
-    def answer_fetch(self, message: updates.FetchPlan) -> updates.PlanPart:
+    def answer_fetch(self, message: updates.FetchConfiguration) -> updates.ConfigurationChunk:
         """Give a child the next part of a whole plan."""
         if self.revision == control_state.NEVER:
             raise result.RequestError(result.ResultCode.NO_CLAIM, detail="no plan is held here yet")
         return self.wholes.part(message, self.revision, self.shown())
 
-    async def fetch_plan(self, parent: str) -> None:
+    async def fetch_configuration(self, parent: str) -> None:
         """Fetch a whole plan from a parent, part by part; what came before it failed is kept."""
         while True:
-            part = await self.link.ask(parent, self.partial.next_part(), ASK)
+            part = await self.link.request(parent, self.partial.next_part(), ASK)
             whole = self.partial.take(part)
             if whole is not None:
                 self.learn(whole)
@@ -301,7 +301,7 @@
                 self.hurry.set()
         have = {one.topic: one.revision for one in message.have}
         fresh = [one for one in self.topics.values() if have.get(one.topic, control_state.NEVER) < one.revision]
-        fresh.extend(self.plan_news(have.get(updates.PLAN, control_state.NEVER)))
+        fresh.extend(self.pending_updates(have.get(updates.PLAN, control_state.NEVER)))
         if rooted:
             self.root_heard = now
             currency = self.currency
@@ -350,7 +350,7 @@
             self.hurry.set()
         self.shunned[parent] = now + SHUN
 
-    def pull_of(self, parent: str, have: tuple[updates.Have, ...], own: Subtree) -> updates.Pull:
+    def pull_of(self, parent: str, have: tuple[updates.HeldRevision, ...], own: Subtree) -> updates.Pull:
         """A pull that names the subtree: what differs from the one that this parent took last, else the whole."""
         taker, held = self.taken_by
         nodes, base, gone = own.nodes, b"", ()
@@ -368,16 +368,16 @@
     async def pull(self, parent: str) -> None:
         """One pull; a parent that fails, or that heard nothing of the root for long, is left out for a while."""
         asked = clock.now()
-        have = tuple(updates.Have(one.topic, one.revision) for one in self.topics.values())
-        have += (updates.Have(updates.PLAN, self.revision),)
+        have = tuple(updates.HeldRevision(one.topic, one.revision) for one in self.topics.values())
+        have += (updates.HeldRevision(updates.PLAN, self.revision),)
         self.counts["pulls"] += 1
         before, own = self.revision, self.subtree()
         message = self.pull_of(parent, have, own)
         self.taken_by = ("", own)
         try:
-            reply = await self.link.ask(parent, message, ASK)
+            reply = await self.link.request(parent, message, ASK)
             if any(one.topic == updates.PLAN and not one.body for one in reply.news):
-                await self.fetch_plan(parent)
+                await self.fetch_configuration(parent)
         except result.RequestError as refusal:
             if refusal.result is result.ResultCode.UNREACHABLE:
                 self.leave_out(parent)
@@ -416,10 +416,10 @@
         self.grants = {}
         self.stranger_end = clock.now() + self.currency
 
-    def take_committed(self, read: control_state.PlanRead) -> None:
+    def take_committed(self, read: control_state.ResourcesRead) -> None:
         """As root: take the plan that the copies hold, keeping the steps for those that are behind."""
         for step in read.steps:
-            self.learn(updates.News(updates.PLAN, step.revision, step.base, step.patch))
+            self.learn(updates.Update(updates.PLAN, step.revision, step.base, step.patch))
         if not read.document:
             return
         shown = json.loads(read.document)
@@ -429,9 +429,9 @@
                 "revisions": resources.patch_between(self.revisions, shown["revisions"]),
                 "version": shown["version"],
             }
-            self.learn(updates.News(updates.PLAN, read.revision, self.revision, json.dumps(patch)))
+            self.learn(updates.Update(updates.PLAN, read.revision, self.revision, json.dumps(patch)))
         else:
-            self.learn(updates.News(updates.PLAN, read.revision, None, read.document))
+            self.learn(updates.Update(updates.PLAN, read.revision, None, read.document))
 
     async def everywhere(self, revision: control_state.Revision) -> None:
         """As root: wait until all who may act on a plan confirmed this one or may not act any more."""
--- a/aspencroft/distribution/relay_test.py
+++ b/aspencroft/distribution/relay_test.py
@@ -17,25 +17,25 @@
 
     def __init__(self, parent: relay.Relay | None = None):
         self.parent = parent
-        self.rooted = True
+        self.is_root = True
         self.losing = ""
         self.asked: list[updates.Pull] = []
         self.answered: list[updates.Pulled] = []
 
-    def tell(self, address, message, epoch=0):
+    def notify(self, address, message, epoch=0):
         pass
 
-    async def ask(self, address, message, within, epoch=0):
+    async def request(self, address, message, within, epoch=0):
         self.asked.append(message)
         if self.losing != "question":
-            self.answered.append(self.parent.answer_pull(message, self.rooted))
+            self.answered.append(self.parent.answer_pull(message, self.is_root))
         if self.losing:
             raise result.RequestError(result.ResultCode.OVERLOADED)
         return self.answered[-1]
 
 
 def relay_of(address: str, link: Link) -> relay.Relay:
-    members = types.SimpleNamespace(me=types.SimpleNamespace(address=address), holdings={}, peers={})
+    members = types.SimpleNamespace(me=types.SimpleNamespace(address=address), records={}, peers={})
     one = relay.Relay(link, members, CURRENCY)
     one.revision = control_state.Revision(1, 1)
     return one
@@ -69,7 +69,7 @@
                 if nodes and chance.random() < 0.3:
                     nodes.pop(chance.choice(sorted(nodes)))
                 set_below(child, nodes)
-                link.rooted = chance.random() < 0.7
+                link.is_root = chance.random() < 0.7
                 if chance.random() < 0.3:
                     parent.counted = frozenset(one for one in ("b:1", "n:1", "n:2", "n:3") if chance.random() < 0.5)
                     parent.counted_digest = relay.names_digest(tuple(sorted(parent.counted)))
@@ -84,7 +84,7 @@
                 wanted = {**nodes, "b:1": child.revision}
                 assert parent.below["b:1"].nodes == wanted
                 assert parent.below["b:1"].digest == relay.subtree_of(wanted).digest
-                assert child.counted == frozenset(one for one in wanted if link.rooted or one in parent.counted)
+                assert child.counted == frozenset(one for one in wanted if link.is_root or one in parent.counted)
 
     run(scene)
 
--- a/aspencroft/distribution/stale_parent_test.py
+++ b/aspencroft/distribution/stale_parent_test.py
@@ -24,7 +24,7 @@
             )
 
             def everywhere() -> bool:
-                return all("extra" in one.nodes[name].relay.plan.services for name in one.edges)
+                return all("extra" in one.nodes[name].relay.configuration.services for name in one.edges)
 
             await one.until(everywhere, 2.5, "in force on all edges")
             assert (await writing).status_code == 200
--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -11,7 +11,7 @@
 
 @codec.kind(130)
 @dataclasses.dataclass(frozen=True)
-class News:
+class Update:
     """A topic's state under a revision; with a base it is a merge patch upon that revision.
 
     A plan with neither base nor body is too large for one message: it is to be fetched in parts.
@@ -25,7 +25,7 @@
 
 @codec.kind(131)
 @dataclasses.dataclass(frozen=True)
-class Have:
+class HeldRevision:
     """A revision of a topic that a node holds."""
 
     topic: str
@@ -52,7 +52,7 @@
     """
 
     address: str
-    have: tuple[Have, ...]
+    have: tuple[HeldRevision, ...]
     subtree: tuple[Confirmation, ...]
     base: bytes
     gone: tuple[str, ...]
@@ -70,7 +70,7 @@
     all relays up to it; zero from the root itself.
     """
 
-    news: tuple[News, ...]
+    news: tuple[Update, ...]
     revision: control_state.Revision
     currency: datetime.timedelta
     counted: tuple[str, ...]
@@ -81,7 +81,7 @@
 
 @codec.kind(185)
 @dataclasses.dataclass(frozen=True)
-class FetchPlan:
+class FetchConfiguration:
     """A child asks for a plan that is too large for one message, from an offset on; no digest asks for the newest."""
 
     digest: bytes
@@ -90,7 +90,7 @@
 
 @codec.kind(186)
 @dataclasses.dataclass(frozen=True)
-class PlanPart:
+class ConfigurationChunk:
     """Bytes of a whole plan; all parts of one plan bear its digest."""
 
     revision: control_state.Revision
@@ -111,7 +111,7 @@
 class Publish:
     """A duty's holder gives the root a topic's new state."""
 
-    news: News
+    news: Update
 
 
 @codec.kind(137)
@@ -119,7 +119,7 @@
 class WriteEverywhere:
     """An operator's write; answered once it is in force on every node that may act on a plan."""
 
-    write: control_state.WritePlan
+    write: control_state.WriteResources
     within: datetime.timedelta
 
 
--- a/aspencroft/gateway/callers.py
+++ b/aspencroft/gateway/callers.py
@@ -116,9 +116,9 @@
         try:
             body = operator.json_body(await request.body())
             edge.check_open()
-            one = edge.take_in(request_of(body, edge.node.relay.plan.lanes, identity))
+            one = edge.take_in(request_of(body, edge.node.relay.configuration.lanes, identity))
         except result.RequestError as refusal:
-            edge.stories.add(identity, "", clock.ZERO, "refused at the door", str(refusal))
+            edge.traces.add(identity, "", clock.ZERO, "refused at the door", str(refusal))
             response = operator.refusal_response(refusal)
             response.headers.update(headers)
             return response
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -21,7 +21,7 @@
 from aspencroft.tracing import trace
 from aspencroft.workers import adapter
 
-LOG = logbook.Logger("path")
+LOG = logbook.Logger("gateway.path")
 BOUND = 64
 ACCEPTORS, LEAST_ACCEPTORS = 192, 4
 SENDERS = {True: 160, False: 64}
@@ -38,7 +38,7 @@
 
 
 def pair_of(key: str, talk_pairs: int) -> int:
-    """The talk pair of a program or an operation key.
+    """The session group of a program or an operation key.
 
     Example: ``1 <= pair_of("program", 4) <= 4``
     """
@@ -48,17 +48,19 @@
 class Path:
     """All stages of one data-plane node.
 
-    Accepting waits for talk pairs, so each pair has its own queues and tasks; there and among the senders
-    signals have places of their own. Thus a pair without a primary, or a flood of long streams, holds up
+    Accepting waits for session groups, so each pair has its own queues and tasks; there and among the senders
+    signals have places of their own. Thus a group without a primary, or a flood of long streams, holds up
     nothing but itself.
     """
 
     def __init__(self, own: node.Node, back: adapter.Adapter):
         self.node = own
         self.adapter = back
-        self.stories = trace.Traces(own.address)
-        pairs = range(1, own.settings.pairs)
-        self.accepting = {(pair, turns): priority_queue.Lineup(BOUND) for pair in pairs for turns in (True, False)}
+        self.traces = trace.Traces(own.address)
+        group_ids = range(1, own.settings.group_count)
+        self.accepting = {
+            (group_id, turns): priority_queue.Lineup(BOUND) for group_id in group_ids for turns in (True, False)
+        }
         self.accept_mean = {key: clock.seconds(0.02) for key in self.accepting}
         self.acceptors = max(LEAST_ACCEPTORS, ACCEPTORS // len(self.accepting))
         self.drawing = priority_queue.Lineup(BOUND * 8)
@@ -85,7 +87,7 @@
         """Check a request and queue it, or refuse it at once, not run."""
         self.counts["asked"] += 1
         self.check_open()
-        known = self.node.relay.plan.lanes.get(request.lane)
+        known = self.node.relay.configuration.lanes.get(request.lane)
         if known is None:
             raise result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=request.lane)
         if known.kind == lane.TURNS and not request.program:
@@ -104,14 +106,14 @@
     def pass_on(self, one: call.Call) -> result.RequestError | None:
         """Queue a call for its next stage: its key's pair, its program's pair, or the drawing."""
         if one.request.operation and not one.claimed:
-            pair = pair_of(one.request.operation, self.node.settings.talk_pairs)
+            group_id = pair_of(one.request.operation, self.node.settings.talk_pairs)
         elif one.turns() and one.granted is None:
-            pair = pair_of(one.request.program, self.node.settings.talk_pairs)
+            group_id = pair_of(one.request.program, self.node.settings.talk_pairs)
         else:
             if self.drawing.offer(one.lane.urgency, one):
                 return None
             return result.RequestError(result.ResultCode.OVERLOADED, retry=SOON)
-        key = (pair, one.turns())
+        key = (group_id, one.turns())
         expected = self.accept_mean[key] * self.accepting[key].ahead(one.lane.urgency) / self.acceptors
         if clock.now() + expected > one.end:
             return result.RequestError(
@@ -123,7 +125,7 @@
 
     def tell(self, one: call.Call, what: str, detail: str = "") -> None:
         """Add a line to the request's story."""
-        self.stories.add(one.request.identity, one.lane.name, clock.now() - one.began, what, detail)
+        self.traces.add(one.request.identity, one.lane.name, clock.now() - one.began, what, detail)
 
     # -- stages ----------------------------------------------------------------------------------
 
@@ -187,9 +189,9 @@
         """Claim the key, or else open the turn; False when the key's record was handed out instead."""
         asked = one.request
         if asked.operation and not one.claimed:
-            pair = pair_of(asked.operation, self.node.settings.talk_pairs)
+            group_id = pair_of(asked.operation, self.node.settings.talk_pairs)
             state = await self.node.submit(
-                pair,
+                group_id,
                 sessions_messages.ClaimOperation(
                     asked.operation,
                     asked.lane,
@@ -204,11 +206,11 @@
                 self.answer_known(one, state)
                 return False
             one.claimed = True
-            self.tell(one, "key claimed", f"pair {pair}")
+            self.tell(one, "key claimed", f"pair {group_id}")
             return True
-        pair = pair_of(asked.program, self.node.settings.talk_pairs)
+        group_id = pair_of(asked.program, self.node.settings.talk_pairs)
         one.granted = await self.node.submit(
-            pair,
+            group_id,
             sessions_messages.OpenTurn(
                 asked.program,
                 asked.helper,
@@ -219,11 +221,11 @@
                 asked.budget,
                 one.lane.keep,
                 one.lane.deadline,
-                self.node.life(),
+                self.node.incarnation_id(),
             ),
             self.within(one),
         )
-        self.tell(one, "turn opened", f"turn {one.granted.number}, pair {pair}")
+        self.tell(one, "turn opened", f"turn {one.granted.number}, pair {group_id}")
         return True
 
     def answer_known(self, one: call.Call, state: sessions_messages.Operation) -> None:
@@ -262,7 +264,7 @@
         if self.over(one):
             self.finish(one, result.RequestError(result.ResultCode.DEADLINE))
             return True
-        current = self.node.relay.plan
+        current = self.node.relay.configuration
         if one.lane.name not in current.lanes:
             self.finish(one, result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=one.lane.name))
             return True
@@ -289,7 +291,7 @@
 
     def park(self, one: call.Call, front: bool) -> None:
         """Let a call wait for a place, or give it up at once when its turn cannot come in time."""
-        current = self.node.relay.plan
+        current = self.node.relay.configuration
         services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
         guess = self.mean[one.turns()] / max(1, self.sight.places(services))
         retry = self.parked.offer((one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), guess, front)
@@ -372,9 +374,9 @@
         current = self.node.relay
         if not current.current():
             return "no current plan"
-        if one.lane.name not in current.plan.lanes:
+        if one.lane.name not in current.configuration.lanes:
             return "the lane is gone"
-        if one.service not in current.plan.allowed(one.lane.name, one.request.tool):
+        if one.service not in current.configuration.allowed(one.lane.name, one.request.tool):
             return "the service is not allowed any more"
         return "the worker is leaving" if self.sight.barred(one.worker.name) else ""
 
@@ -489,7 +491,7 @@
         """Tell the holder of a duty, as far as its news say who that is."""
         holder = self.sight.topic(topic).get("holder")
         if holder:
-            self.node.link.tell(holder, message)
+            self.node.link.notify(holder, message)
 
     async def complete(self, one: call.Call, end: adapter.End, text: str) -> None:
         """Keep the turn and the key's answer, then tell the caller the end; the worker's place is free before."""
@@ -524,15 +526,15 @@
 
     async def close_turn(self, one: call.Call, outcome: str, text: str, used: int) -> None:
         """Write how the turn ended."""
-        pair = pair_of(one.request.program, self.node.settings.talk_pairs)
-        await self.node.submit(pair, self.closed_turn(one, outcome, text, used), CLOSE)
+        group_id = pair_of(one.request.program, self.node.settings.talk_pairs)
+        await self.node.submit(group_id, self.closed_turn(one, outcome, text, used), CLOSE)
 
     async def close_operation(self, one: call.Call, answer: bytes) -> None:
         """Write that the work under the key was done, and its answer."""
         asked = one.request
-        pair = pair_of(asked.operation, self.node.settings.talk_pairs)
+        group_id = pair_of(asked.operation, self.node.settings.talk_pairs)
         await self.node.submit(
-            pair,
+            group_id,
             sessions_messages.CloseOperation(asked.operation, asked.identity, sessions_messages.DONE, answer),
             CLOSE,
         )
@@ -552,14 +554,14 @@
         edges = sorted(
             (
                 each.address
-                for each in self.node.ring.peers.values()
+                for each in self.node.failure_detector.peers.values()
                 if each.role == "edge" and each.state == cluster_member.LIVE
             ),
             key=cluster_member.position,
         )
         if self.node.address in edges and len(edges) > 1:
             mate = edges[(edges.index(self.node.address) + 1) % len(edges)]
-            self.node.link.tell(mate, self.stories.held[one.request.identity])
+            self.node.link.notify(mate, self.traces.held[one.request.identity])
 
     def finish(self, one: call.Call, refusal: result.RequestError) -> None:
         """Give a call up: the caller hears it at once; key and turn are released or charged behind it."""
@@ -626,8 +628,8 @@
             "active": len(self.active),
             "parked": self.parked.total(),
             "accepting": {
-                f"pair {pair} {'turns' if turns else 'signals'}": row.ahead(9)
-                for (pair, turns), row in self.accepting.items()
+                f"pair {group_id} {'turns' if turns else 'signals'}": row.ahead(9)
+                for (group_id, turns), row in self.accepting.items()
             },
             "closings": dict(self.closings.counts),
             "workers": [one.name for one in self.sight.workers],
--- a/aspencroft/gateway/worker_view.py
+++ b/aspencroft/gateway/worker_view.py
@@ -67,7 +67,7 @@
                 del self.tokened[name, service]
         return selection.View(
             self.workers,
-            self.node.relay.plan.leaving,
+            self.node.relay.configuration.leaving,
             self.demand,
             frozenset(name for name, end in self.troubled.items() if end > now),
             frozenset(name for name, (end, _) in self.crowded.items() if end > now),
@@ -79,7 +79,7 @@
     def barred(self, name: str) -> bool:
         """Whether a worker must get nothing new at this very moment: not listed any more, or leaving."""
         listed = [one for one in self.workers if one.name == name]
-        return not listed or listed[0].leaving or name in self.node.relay.plan.leaving
+        return not listed or listed[0].leaving or name in self.node.relay.configuration.leaving
 
     def places(self, services: tuple[str, ...]) -> int:
         """The places of workers that offer one of some services."""
--- a/aspencroft/leadership/duty.py
+++ b/aspencroft/leadership/singleton_role.py
@@ -10,7 +10,7 @@
 from aspencroft.membership import cluster_member
 from aspencroft.runtime import clock
 
-LOG = logbook.Logger("duty")
+LOG = logbook.Logger("leadership.singleton_role")
 RENEW = clock.seconds(0.5)
 WITHIN = clock.seconds(1)
 WORDS = 4096
@@ -26,7 +26,7 @@
     return min(able, key=lambda address: cluster_member.position(name + address), default="")
 
 
-class Duty:
+class SingletonRole:
     """A node's claim on a duty."""
 
     def __init__(
@@ -59,11 +59,11 @@
                 asked = clock.now()
                 try:
                     taken = await self.submit(
-                        0, control_state.TakeDuty(self.name, self.address, self.incarnation), WITHIN
+                        0, control_state.AcquireRole(self.name, self.address, self.incarnation), WITHIN
                     )
                     if self.epoch != taken.epoch:
                         LOG.info("does {} under epoch {}", self.name, taken.epoch)
-                    self.epoch, self.end = taken.epoch, asked + control_state.DUTY_LEASE
+                    self.epoch, self.end = taken.epoch, asked + control_state.ROLE_LEASE
                 except result.RequestError as refusal:
                     LOG.info("duty {}: {}", self.name, refusal)
             await clock.sleep(RENEW)
--- a/aspencroft/leadership/duty_test.py
+++ b/aspencroft/leadership/singleton_role_test.py
@@ -1,8 +1,8 @@
-"""Tests of ``aspencroft.leadership.duty``."""
+"""Tests of ``aspencroft.leadership.singleton_role``."""
 
 import dataclasses
 
-from aspencroft.leadership import duty
+from aspencroft.leadership import singleton_role
 from aspencroft.membership import cluster_member
 
 
@@ -13,8 +13,8 @@
         )
         for number in range(9)
     }
-    first = duty.first_of("residency", peers)
+    first = singleton_role.first_of("residency", peers)
     turned = dict(reversed(peers.items()))
-    assert duty.first_of("residency", turned) == first
+    assert singleton_role.first_of("residency", turned) == first
     peers[first] = dataclasses.replace(peers[first], state=cluster_member.DOWN)
-    assert duty.first_of("residency", peers) not in ("", first)
+    assert singleton_role.first_of("residency", peers) not in ("", first)
--- a/aspencroft/membership/cluster_member.py
+++ b/aspencroft/membership/cluster_member.py
@@ -50,17 +50,17 @@
 
 @codec.kind(61)
 @dataclasses.dataclass(frozen=True)
-class Table:
-    """Entries of nodes, holders of pairs and the witnesses' roster, as one node knows them."""
+class MembershipTable:
+    """Entries of nodes, holders of pairs and the witnesses' voter set, as one node knows them."""
 
     peers: tuple[ClusterMember, ...]
-    holdings: tuple[replica_set.ReplicaSet, ...]
+    records: tuple[replica_set.ReplicaSet, ...]
     voter_set: replica_set.VoterSet
 
 
 @codec.kind(62)
 @dataclasses.dataclass(frozen=True)
-class Beat:
+class Heartbeat:
     """A sign of life to a watcher, with the digest of the sender's table."""
 
     peer: ClusterMember
@@ -72,13 +72,13 @@
 class Join:
     """Ask for the table, giving one's own."""
 
-    table: Table
+    table: MembershipTable
 
 
 @codec.kind(64)
 @dataclasses.dataclass(frozen=True)
-class Confirm:
-    """Ask a second watcher whether it misses a fellow too."""
+class ConfirmSuspicion:
+    """Ask a second watcher whether it misses a peer too."""
 
     address: str
     incarnation: int
@@ -86,7 +86,7 @@
 
 @codec.kind(65)
 @dataclasses.dataclass(frozen=True)
-class Confirmed:
+class SuspicionReply:
     """Whether the second watcher misses it."""
 
     missing: bool
--- a/aspencroft/membership/failure_detector.py
+++ b/aspencroft/membership/failure_detector.py
@@ -13,7 +13,7 @@
 from aspencroft.runtime import clock, environment, supervision
 from aspencroft.transport import codec, connections
 
-LOG = logbook.Logger("ring")
+LOG = logbook.Logger("membership.failure_detector")
 WATCHERS = 3
 BEAT = clock.seconds(0.5)
 SILENCE = clock.seconds(2)
@@ -24,7 +24,7 @@
 
 
 class FailureDetector:
-    """The table of fellows and the work that keeps it true."""
+    """The table of peers and the work that keeps it true."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.proposer = voters
         self.peers = member_table.MemberTable()
         self.peers[me.address] = me
-        self.holdings: dict[int, replica_set.ReplicaSet] = member_table.Counted()
+        self.records: dict[int, replica_set.ReplicaSet] = member_table.Counted()
         self.digested: tuple[tuple, bytes] = ((), b"")
         self.heard: dict[str, datetime.timedelta] = {}
         self.down_since: dict[str, datetime.timedelta] = {}
@@ -58,11 +58,11 @@
         """A node's state; an unknown node counts as down."""
         return self.peers[address].state if address in self.peers else cluster_member.DOWN
 
-    def table(self) -> cluster_member.Table:
+    def table(self) -> cluster_member.MembershipTable:
         """All that this node knows, in a fixed order."""
-        return cluster_member.Table(
+        return cluster_member.MembershipTable(
             tuple(self.peers[address] for address in sorted(self.peers)),
-            tuple(self.holdings[pair] for pair in sorted(self.holdings)),
+            tuple(self.records[group_id] for group_id in sorted(self.records)),
             self.proposer.voter_set,
         )
 
@@ -73,8 +73,8 @@
             parts = [
                 codec.LENGTH.pack(len(self.peers)),
                 *(self.peers.packed(address) for address in sorted(self.peers)),
-                codec.LENGTH.pack(len(self.holdings)),
-                *(codec.pack(self.holdings[pair]) for pair in sorted(self.holdings)),
+                codec.LENGTH.pack(len(self.records)),
+                *(codec.pack(self.records[group_id]) for group_id in sorted(self.records)),
                 codec.pack(self.proposer.voter_set),
             ]
             self.digested = changes, hashlib.blake2b(b"".join(parts), digest_size=8).digest()
@@ -82,13 +82,13 @@
 
     def changes(self) -> tuple:
         """What differs once the table differs."""
-        return self.peers.changes, self.holdings.changes, self.proposer.voter_set
+        return self.peers.changes, self.records.changes, self.proposer.voter_set
 
-    def hold(self, fresh: replica_set.ReplicaSet) -> None:
-        """Take a newer record of a pair's holders, and pass it on."""
-        known = self.holdings.get(fresh.pair)
+    def learn_record(self, fresh: replica_set.ReplicaSet) -> None:
+        """Take a newer record of a group's holders, and pass it on."""
+        known = self.records.get(fresh.group_id)
         if known is None or fresh.epoch > known.epoch:
-            self.holdings[fresh.pair] = fresh
+            self.records[fresh.group_id] = fresh
             self.tell_change()
 
     def tell_change(self) -> None:
@@ -96,17 +96,17 @@
         self.changed.set()
         self.fresh.set()
 
-    def take(self, table: cluster_member.Table) -> None:
+    def take(self, table: cluster_member.MembershipTable) -> None:
         """Merge another node's table; whoever says that this node is down is denied."""
         before = self.changes()
         for one in table.peers:
             self.take_fellow(one)
-        for one in table.holdings:
-            known = self.holdings.get(one.pair)
-            if one.pair < 0 or not 0 < one.epoch < cluster_member.LARGEST:
+        for one in table.records:
+            known = self.records.get(one.group_id)
+            if one.group_id < 0 or not 0 < one.epoch < cluster_member.LARGEST:
                 self.counts["odd entries"] += 1
             elif known is None or one.epoch > known.epoch:
-                self.holdings[one.pair] = one
+                self.records[one.group_id] = one
         self.proposer.learn(table.voter_set)
         if self.changes() != before:
             self.tell_change()
@@ -135,7 +135,9 @@
                 if known is None or known.state == cluster_member.DOWN:
                     self.heard[one.address] = clock.now()
 
-    async def beat(self, message: cluster_member.Beat) -> cluster_member.Table | replica_set.Acknowledged:
+    async def beat(
+        self, message: cluster_member.Heartbeat
+    ) -> cluster_member.MembershipTable | replica_set.Acknowledged:
         """Hear a sign of life; answer with the table when the sender's differs."""
         self.heard[message.peer.address] = clock.now()
         known = self.peers.get(message.peer.address)
@@ -144,22 +146,22 @@
             self.tell_change()
         return self.table() if message.digest != self.digest() else replica_set.Acknowledged()
 
-    def join(self, message: cluster_member.Join) -> cluster_member.Table:
+    def join(self, message: cluster_member.Join) -> cluster_member.MembershipTable:
         """Take a table and give one's own."""
         self.take(message.table)
         return self.table()
 
-    async def confirm(self, message: cluster_member.Confirm) -> cluster_member.Confirmed:
-        """Say as second watcher whether a fellow is missed here too."""
+    async def confirm(self, message: cluster_member.ConfirmSuspicion) -> cluster_member.SuspicionReply:
+        """Say as second watcher whether a peer is missed here too."""
         last = self.heard.get(message.address)
         if last is not None and clock.now() - last < SECOND_SILENCE:
-            return cluster_member.Confirmed(False)
-        return cluster_member.Confirmed(not await self.reaches(message.address))
+            return cluster_member.SuspicionReply(False)
+        return cluster_member.SuspicionReply(not await self.reaches(message.address))
 
     async def reaches(self, address: str) -> bool:
         """Whether a node answers at once."""
         try:
-            reply = await self.link.ask(address, cluster_member.Join(self.table()), ASK)
+            reply = await self.link.request(address, cluster_member.Join(self.table()), ASK)
             self.take(reply)
             self.heard[address] = clock.now()
             return True
@@ -167,7 +169,7 @@
             return False
 
     async def run(self) -> None:
-        """Join, beat, watch, pass on news and look for lost fellows."""
+        """Join, beat, watch, pass on news and look for lost peers."""
         async with supervision.Group() as group:
             group.create_task(self.send_beats())
             group.create_task(self.watch())
@@ -186,21 +188,21 @@
     async def beat_one(self, address: str) -> None:
         """One heartbeat to one watcher."""
         try:
-            reply = await self.link.ask(address, cluster_member.Beat(self.me, self.digest()), BEAT)
+            reply = await self.link.request(address, cluster_member.Heartbeat(self.me, self.digest()), BEAT)
         except result.RequestError:
             return
-        if isinstance(reply, cluster_member.Table):
+        if isinstance(reply, cluster_member.MembershipTable):
             self.take(reply)
             if self.table() != reply:
                 self.counts["tables sent"] += 1
-                self.link.tell(address, cluster_member.Join(self.table()))
+                self.link.notify(address, cluster_member.Join(self.table()))
 
     def watched(self) -> tuple[str, ...]:
         """The nodes that name this one as a watcher."""
         return self.peers.watched(self.me.address, WATCHERS)
 
     async def watch(self) -> None:
-        """Suspect silent fellows; a suspicion is news only once a second watcher confirms it."""
+        """Suspect silent peers; a suspicion is news only once a second watcher confirms it."""
         previous = clock.now()
         while True:
             await clock.sleep(BEAT / 2)
@@ -218,7 +220,7 @@
                 self.peers.pop(address, None)
 
     async def suspect(self, address: str) -> None:
-        """Ask a second watcher; mark the fellow down when it is missed there too."""
+        """Ask a second watcher; mark the peer down when it is missed there too."""
         suspected = self.peers[address]
         self.counts["suspicions"] += 1
         if await self.reaches(address):
@@ -227,7 +229,9 @@
             if second == self.me.address:
                 continue
             try:
-                reply = await self.link.ask(second, cluster_member.Confirm(address, suspected.incarnation), 2 * ASK)
+                reply = await self.link.request(
+                    second, cluster_member.ConfirmSuspicion(address, suspected.incarnation), 2 * ASK
+                )
             except result.RequestError:
                 continue
             if not reply.missing:
@@ -250,11 +254,11 @@
             self.fresh.clear()
             neighbours = {*self.peers.watchers(self.me.address, WATCHERS), *self.watched()}
             told = cluster_member.Join(
-                cluster_member.Table(self.peers.taken(), self.holdings.taken(), self.proposer.voter_set)
+                cluster_member.MembershipTable(self.peers.taken(), self.records.taken(), self.proposer.voter_set)
             )
             for address in sorted(neighbours):
                 self.counts["tables sent"] += 1
-                self.link.tell(address, told)
+                self.link.notify(address, told)
             await clock.sleep(BEAT / 10)
 
     async def rejoin(self) -> None:
--- a/aspencroft/membership/failure_detector_test.py
+++ b/aspencroft/membership/failure_detector_test.py
@@ -16,12 +16,12 @@
     def __init__(self):
         self.told: list[tuple[str, object]] = []
 
-    def tell(self, address, message, epoch=0):
+    def notify(self, address, message, epoch=0):
         self.told.append((address, message))
 
 
 class Voters:
-    """An electorate that only keeps its roster."""
+    """An electorate that only keeps its voter set."""
 
     voter_set = replica_set.VoterSet(0, ("n:0", "n:1", "n:2"), ())
 
@@ -77,7 +77,7 @@
         assert one.digest() == fresh()
         one.take_fellow(dataclasses.replace(entry(3), serial=2))
         assert one.digest() == fresh()
-        one.hold(replica_set.ReplicaSet(0, 3, replica_set.ReplicaId("n:1", "a"), ()))
+        one.learn_record(replica_set.ReplicaSet(0, 3, replica_set.ReplicaId("n:1", "a"), ()))
         assert one.digest() == fresh()
         one.proposer.learn(replica_set.VoterSet(4, ("n:1", "n:2", "n:3"), ()))
         assert one.digest() == fresh()
@@ -96,7 +96,7 @@
         one.digest()
         packed = []
         monkeypatch.setattr(member_table.codec, "pack", lambda value: packed.append(value) or b"")
-        beat = cluster_member.Beat(entry(3), one.digest())
+        beat = cluster_member.Heartbeat(entry(3), one.digest())
         assert await one.beat(beat) == replica_set.Acknowledged() and one.watched() is one.watched()
         assert packed == []
 
@@ -110,7 +110,7 @@
         told = await spread_once(one)
         assert len(told[0][1].table.peers) == 12
         one.take(
-            cluster_member.Table(
+            cluster_member.MembershipTable(
                 (dataclasses.replace(entry(5), state=cluster_member.DOWN), entry(6)),
                 (),
                 one.proposer.voter_set,
@@ -122,10 +122,10 @@
             *one.watched(),
         }
         for _, message in told:
-            assert message.table.peers == (one.peers["n:5"],) and message.table.holdings == ()
-        one.hold(replica_set.ReplicaSet(2, 7, replica_set.ReplicaId("n:1", "a"), ()))
+            assert message.table.peers == (one.peers["n:5"],) and message.table.records == ()
+        one.learn_record(replica_set.ReplicaSet(2, 7, replica_set.ReplicaId("n:1", "a"), ()))
         for _, message in await spread_once(one):
-            assert message.table.peers == () and message.table.holdings == (one.holdings[2],)
+            assert message.table.peers == () and message.table.records == (one.records[2],)
 
     with asyncio.Runner(loop_factory=Instant) as runner:
         runner.run(scene())
@@ -135,8 +135,8 @@
     async def scene():
         one, other = ring_of(6), ring_of(6)
         one.take_fellow(dataclasses.replace(entry(4), state=cluster_member.DOWN))
-        reply = await one.beat(cluster_member.Beat(other.me, other.digest()))
-        assert isinstance(reply, cluster_member.Table)
+        reply = await one.beat(cluster_member.Heartbeat(other.me, other.digest()))
+        assert isinstance(reply, cluster_member.MembershipTable)
         other.take(reply)
         assert other.digest() == one.digest() and other.state("n:4") == cluster_member.DOWN
 
--- a/aspencroft/membership/member_table.py
+++ b/aspencroft/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The table of fellows with what is worked out from it (orders, watchers, packed entries).
+"""The table of peers with what is worked out from it (orders, watchers, packed entries).
 
 Each kept until it changes.
 """
@@ -44,7 +44,7 @@
 
 
 class MemberTable(Counted):
-    """Fellows by address; ``layout`` counts the changes that move anybody's place on the ring or in the tree."""
+    """Peers by address; ``layout`` counts the changes that move anybody's place on the ring or in the tree."""
 
     def __init__(self):
         super().__init__()
@@ -68,12 +68,12 @@
         self.forget(address)
 
     def pop(self, address, *otherwise):
-        """Take a fellow out."""
+        """Take a peer out."""
         self.forget(address)
         return super().pop(address, *otherwise)
 
     def forget(self, address: str) -> None:
-        """A fellow's entry is gone: so is what was worked out from it."""
+        """A peer's entry is gone: so is what was worked out from it."""
         self.layout += 1
         self.bytes.pop(address, None)
 
@@ -90,12 +90,12 @@
         self.worked_out = self.layout
 
     def live(self) -> tuple[str, ...]:
-        """Addresses of the fellows that are not thought to be down, in ring order."""
+        """Addresses of the peers that are not thought to be down, in ring order."""
         self.work_out()
         return tuple(one.address for one in self.around)
 
     def watchers(self, of: str, count: int) -> tuple[str, ...]:
-        """The same as ``fellow.watchers``, without ordering the ring for each question."""
+        """The same as ``peer.watchers``, without ordering the ring for each question."""
         self.work_out()
         if of not in self.named:
             start = bisect.bisect_left(self.positions, cluster_member.position(of))
@@ -103,7 +103,7 @@
         return self.named[of]
 
     def watched(self, by: str, count: int) -> tuple[str, ...]:
-        """The fellows that name one as a watcher, in ring order."""
+        """The peers that name one as a watcher, in ring order."""
         self.work_out()
         if self.naming is None:
             found: dict[str, list[str]] = {}
@@ -114,7 +114,7 @@
         return self.naming.get(by, ())
 
     def tree_order(self) -> tuple[str, ...]:
-        """Live fellows in the order that spans the relay tree: the core first, then by place on the ring."""
+        """Live peers in the order that spans the relay tree: the core first, then by place on the ring."""
         self.work_out()
         if self.tree is None:
             self.tree = tuple(one.address for one in sorted(self.around, key=lambda one: one.role != "core"))
@@ -135,7 +135,7 @@
 
 
 def named_from(of: str, around: list[cluster_member.ClusterMember], start: int, count: int) -> tuple[str, ...]:
-    """The next fellows on the ring from a place on: those of areas not named yet first, then any."""
+    """The next peers on the ring from a place on: those of areas not named yet first, then any."""
     named: list[str] = []
     passed: list[str] = []
     areas: set[str] = set()
--- a/aspencroft/membership/member_table_test.py
+++ b/aspencroft/membership/member_table_test.py
@@ -1,4 +1,4 @@
-"""What is kept of the table of fellows is what working it out anew gives."""
+"""What is kept of the table of peers is what working it out anew gives."""
 
 import dataclasses
 import random
--- a/aspencroft/membership/seeds_test.py
+++ b/aspencroft/membership/seeds_test.py
@@ -26,7 +26,7 @@
         lambda: (
             scene.formed()
             and len(scene.nodes) == count
-            and all(len(one.ring.live()) == count for one in scene.nodes.values())
+            and all(len(one.failure_detector.live()) == count for one in scene.nodes.values())
         ),
         within,
         "all known to all",
--- a/aspencroft/node/drain_order.py
+++ b/aspencroft/node/drain_order.py
@@ -41,7 +41,7 @@
 
     def find(self, name: str) -> cluster_member.ClusterMember | None:
         """The member of a name, the newest run of it where several are known."""
-        found = [one for one in self.own.ring.peers.values() if name in (one.name, one.address)]
+        found = [one for one in self.own.failure_detector.peers.values() if name in (one.name, one.address)]
         return max(found, key=lambda one: (one.state != cluster_member.DOWN, one.incarnation), default=None)
 
     def member(self, name: str) -> cluster_member.ClusterMember:
@@ -59,17 +59,17 @@
 
     def ordered(self, name: str) -> str | None:
         """The address of the machine of a name that is to drain or was removed since; none without such an order."""
-        drained, found = self.own.relay.plan.emptied, self.find(name)
+        drained, found = self.own.relay.configuration.drained, self.find(name)
         if found is not None:
             return found.address if found.address in drained else None
         machines = self.own.relay.document.get("machines", {})
         named = (address for address in drained if name in (address, machines.get(address, {}).get("name")))
         return next(named, None)
 
-    async def newest_plan(self, end: datetime.timedelta) -> None:
+    async def newest_configuration(self, end: datetime.timedelta) -> None:
         """Wait until the plan here is as new as the control group's when this was called."""
         relay = self.own.relay
-        newest = await self.own.submit(0, control_state.ReadPlan(relay.revision), end - clock.now())
+        newest = await self.own.submit(0, control_state.ReadResources(relay.revision), end - clock.now())
         try:
             async with clock.limit(end - clock.now()):
                 while relay.revision < newest.revision:
@@ -88,7 +88,7 @@
             left = [
                 one
                 for one in self.own.holders(sort)
-                if one.address != member.address and not self.own.emptied(one.address)
+                if one.address != member.address and not self.own.is_drained(one.address)
             ]
             if len(left) >= self.own.settings.copies:
                 continue
@@ -99,13 +99,13 @@
 
     def away(self, sort: str) -> collections.abc.Iterator[cluster_member.ClusterMember]:
         """Machines that may hold a sort of group, are not to drain, and left or went down a short time ago."""
-        now, ring = clock.now(), self.own.ring
-        for one in ring.peers.values():
-            if sort not in one.holds or one.address in self.own.relay.plan.emptied:
+        now, detector = clock.now(), self.own.failure_detector
+        for one in detector.peers.values():
+            if sort not in one.holds or one.address in self.own.relay.configuration.drained:
                 continue
             down = one.state == cluster_member.DOWN
             if one.state == cluster_member.LEAVING or (
-                down and now - ring.down_since.get(one.address, now) < RETURNING
+                down and now - detector.down_since.get(one.address, now) < RETURNING
             ):
                 yield one
 
@@ -118,7 +118,7 @@
         """
         end = clock.now() + within
         while True:
-            await self.newest_plan(end)
+            await self.newest_configuration(end)
             if self.ordered(name) is not None:
                 return
             member = self.member(name)
@@ -132,10 +132,10 @@
     async def write(self, member: cluster_member.ClusterMember, end: datetime.timedelta) -> None:
         """Write the order on top of the plan that is known here."""
         body = json.dumps({"machines": {member.address: {"emptied": True, "name": member.name}}})
-        write = control_state.WritePlan("merge", "", "", body, self.own.relay.revision)
+        write = control_state.WriteResources("merge", "", "", body, self.own.relay.revision)
         try:
             async with clock.limit(end - clock.now()):
-                await self.own.write_plan(write)
+                await self.own.write_resources(write)
         except TimeoutError:
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, f"draining {member.name}"
@@ -149,25 +149,25 @@
         """
         end = clock.now() + within
         if self.ordered(name) is None:
-            await self.newest_plan(end)
+            await self.newest_configuration(end)
         address = self.ordered(name)
         if address is None:
             self.member(name)
             return DrainState.IN_SERVICE
-        member = self.own.ring.peers.get(address)
-        pairs = [
-            pair
-            for pair in range(self.own.settings.pairs)
-            if member is None or replica_set.sort_of(pair) in member.holds
+        member = self.own.failure_detector.peers.get(address)
+        group_ids = [
+            group_id
+            for group_id in range(self.own.settings.group_count)
+            if member is None or replica_set.sort_of(group_id) in member.holds
         ]
-        return await self.whole_without(address, pairs, end)
+        return await self.whole_without(address, group_ids, end)
 
-    async def whole_without(self, address: str, pairs: list[int], end: datetime.timedelta) -> DrainState:
+    async def whole_without(self, address: str, group_ids: list[int], end: datetime.timedelta) -> DrainState:
         """Whether all of some groups are whole without a machine, as far as their primaries say so in time."""
         asked: list[asyncio.Task] = []
         try:
             async with clock.limit(end - clock.now()), supervision.Group() as group:
-                asked = [group.create_task(self.own.stands(pair, address)) for pair in pairs]
+                asked = [group.create_task(self.own.stands(group_id, address)) for group_id in group_ids]
         except TimeoutError:
             return DrainState.IN_SERVICE
         return DrainState.DRAINED if all(task.result() for task in asked) else DrainState.IN_SERVICE
--- a/aspencroft/node/drain_order_test.py
+++ b/aspencroft/node/drain_order_test.py
@@ -22,32 +22,32 @@
     def __init__(self, learns: bool):
         self.learns = learns
         self.document: dict = {}
-        self.plan = types.SimpleNamespace(emptied=frozenset())
+        self.configuration = types.SimpleNamespace(drained=frozenset())
         self.revision = OLD
         self.relay = self
         self.settings = types.SimpleNamespace(copies=2)
         member = cluster_member.ClusterMember(
             MACHINE, 1, 0, cluster_member.LIVE, "a", "storage", "", True, (), "storage-0", ("talk",)
         )
-        self.ring = types.SimpleNamespace(peers={MACHINE: member}, down_since={})
-        self.written: list[control_state.WritePlan] = []
+        self.failure_detector = types.SimpleNamespace(peers={MACHINE: member}, down_since={})
+        self.written: list[control_state.WriteResources] = []
 
     def holders(self, sort: str) -> tuple:
         return ()
 
-    def emptied(self, address: str) -> bool:
-        return address in self.plan.emptied
+    def is_drained(self, address: str) -> bool:
+        return address in self.configuration.drained
 
-    async def submit(self, pair, command, within):
-        assert (pair, command) == (0, control_state.ReadPlan(OLD))
-        return control_state.PlanRead(NEW, "", ())
+    async def submit(self, group_id, command, within):
+        assert (group_id, command) == (0, control_state.ReadResources(OLD))
+        return control_state.ResourcesRead(NEW, "", ())
 
     async def changed(self, topic: str) -> None:
         await clock.sleep(clock.seconds(0.1))
         if self.learns:
-            self.revision, self.plan.emptied = NEW, frozenset({MACHINE})
+            self.revision, self.configuration.drained = NEW, frozenset({MACHINE})
 
-    async def write_plan(self, write):
+    async def write_resources(self, write):
         self.written.append(write)
 
 
--- a/aspencroft/node/memory_report.py
+++ b/aspencroft/node/memory_report.py
@@ -9,7 +9,7 @@
 from aspencroft.replication import group_replica, replica
 from aspencroft.runtime import clock, process_memory
 
-LOG = logbook.Logger("memory")
+LOG = logbook.Logger("node.memory_report")
 LOOK_EVERY = clock.seconds(1)
 WARN_SHARE = 0.7
 STEP_SHARE = 0.05
@@ -45,7 +45,7 @@
         limit: int,
         resident: collections.abc.Callable[[], int] = process_memory.resident_bytes,
     ):
-        self.hosts = hosts
+        self.group_replicas = hosts
         self.limit = limit
         self.resident = resident
         self.warned_at = 0
@@ -53,7 +53,8 @@
     def groups(self) -> tuple[GroupMemory, ...]:
         """What each replica on this node holds."""
         return tuple(
-            GroupMemory(group, held.why, held.copy.memory(), held.incoming.size) for group, held in self.hosts.items()
+            GroupMemory(group, held.status_reason, held.copy.memory(), held.incoming.size)
+            for group, held in self.group_replicas.items()
         )
 
     def look(self) -> None:
--- a/aspencroft/node/memory_report_test.py
+++ b/aspencroft/node/memory_report_test.py
@@ -33,7 +33,7 @@
 class FakeHost:
     """A node's part in a group."""
 
-    why: str
+    status_reason: str
     copy: FakeCopy
     incoming: FakeIncoming
 
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -25,7 +25,7 @@
 )
 from aspencroft.distribution import relay, updates
 from aspencroft.errors import result
-from aspencroft.leadership import duty
+from aspencroft.leadership import singleton_role
 from aspencroft.membership import cluster_member, failure_detector
 from aspencroft.node import drain_order, memory_report, payload_limit, settings, timing_check
 from aspencroft.replication import group_replica, group_state, replica
@@ -34,7 +34,7 @@
 from aspencroft.tracing import trace
 from aspencroft.transport import codec, connections
 
-LOG = logbook.Logger("node")
+LOG = logbook.Logger("node.node")
 STEP = clock.seconds(0.25)
 SAMPLE = clock.seconds(2)
 GO = clock.seconds(1.2)
@@ -77,58 +77,62 @@
             place.name or place.address,
             place.held,
         )
-        self.ring = failure_detector.FailureDetector(around, self.link, me, place.seeds, self.proposer)
+        self.failure_detector = failure_detector.FailureDetector(around, self.link, me, place.seeds, self.proposer)
         self.witness = witness.Witness(
             around, data / "witness" if data else None, place.address, self.incarnation, voter_set
         )
-        self.seat = witness_bootstrap.WitnessBootstrap(
+        self.witness_bootstrap = witness_bootstrap.WitnessBootstrap(
             self.witness,
             self.link,
             self.proposer,
             place.address,
-            place.pairs,
+            place.group_count,
             place.copies,
             self.holders,
             place.witnesses == settings.CORE,
         )
-        self.relay = relay.Relay(self.link, self.ring, place.currency)
+        self.relay = relay.Relay(self.link, self.failure_detector, place.currency)
         self.record_recovery = record_recovery.RecordRecovery(
-            self.witness, self.proposer, place.address, self.ring.holdings, self.ring.hold
+            self.witness,
+            self.proposer,
+            place.address,
+            self.failure_detector.records,
+            self.failure_detector.learn_record,
         )
-        self.reseat = witness_changes.WitnessChanges(
-            self.link, self.proposer, place.address, self.rooted, self.wished_seeds
+        self.witness_changes = witness_changes.WitnessChanges(
+            self.link, self.proposer, place.address, self.is_root, self.wished_seeds
         )
-        self.hosts: dict[int, group_replica.GroupReplica] = {}
+        self.group_replicas: dict[int, group_replica.GroupReplica] = {}
         if data is not None:
-            for pair in [one for one in range(place.pairs) if replica_set.sort_of(one) in place.held]:
+            for group_id in [one for one in range(place.group_count) if replica_set.sort_of(one) in place.held]:
                 held = replica.Replica(
                     around,
-                    data / f"pair-{pair}",
-                    pair,
-                    lane_sessions.Talk if pair else control_state.ControlState,
+                    data / f"pair-{group_id}",
+                    group_id,
+                    lane_sessions.Talk if group_id else control_state.ControlState,
                 )
                 around_it = group_state.GroupPolicy(
-                    functools.partial(self.holders, replica_set.sort_of(pair)),
-                    self.emptied,
-                    self.ring.hold,
+                    functools.partial(self.holders, replica_set.sort_of(group_id)),
+                    self.is_drained,
+                    self.failure_detector.learn_record,
                     self.gone,
                     place.copies,
-                    functools.partial(self.goal, pair),
+                    functools.partial(self.goal, group_id),
                     self.records,
                     self.payload_limit,
                 )
-                self.hosts[pair] = group_replica.GroupReplica(
+                self.group_replicas[group_id] = group_replica.GroupReplica(
                     held, self.link, self.proposer, place.address, place.area, around_it
                 )
-        self.memory = memory_report.MemoryReport(self.hosts, place.memory_limit)
+        self.memory = memory_report.MemoryReport(self.group_replicas, place.memory_limit)
         self.drain_orders = drain_order.DrainOrders(self)
         self.missed: dict[str, datetime.timedelta] = {}
         self.looked = clock.ZERO
         self.started = asyncio.Event()
         self.stopping = asyncio.Event()
         self.opened = False
-        self.stories: trace.Traces | None = None
-        self.duties: dict[str, duty.Duty] = {}
+        self.traces: trace.Traces | None = None
+        self.singleton_roles: dict[str, singleton_role.SingletonRole] = {}
         self.sampled: list[collections.abc.Callable[[], list[sample.Sample]]] = [self.own_samples]
         self.outside: collections.Counter = collections.Counter()
         self.standing: collections.Counter = collections.Counter()
@@ -149,14 +153,14 @@
 
     # -- what is known of others -----------------------------------------------------------------
 
-    def goal(self, pair: int) -> int:
+    def goal(self, group_id: int) -> int:
         """How many members a group is to have: one more than the losses to be borne.
 
         The control group has members on more than half of the core where the core has the witnesses,
         so that whichever part of
         it has a majority has a member too.
         """
-        if pair == 0 and self.settings.witnesses == settings.CORE:
+        if group_id == 0 and self.settings.witnesses == settings.CORE:
             return max(self.settings.copies, len(self.proposer.voter_set.present) // 2 + 1)
         return self.settings.copies
 
@@ -164,13 +168,13 @@
         """Live nodes whose disks may hold groups of a sort."""
         return tuple(
             replica_placement.Candidate(one.address, one.area)
-            for one in self.ring.peers.values()
+            for one in self.failure_detector.peers.values()
             if sort in one.holds and one.state == cluster_member.LIVE
         )
 
     def records(self) -> tuple[replica_set.ReplicaSet, ...]:
         """The newest records of replica sets that this node knows."""
-        return tuple(self.ring.holdings.values())
+        return tuple(self.failure_detector.records.values())
 
     def payload_limit(self) -> int:
         """How many bytes of history and kept answers a talk group may hold, by this machine's memory.
@@ -180,35 +184,35 @@
         if not self.drain_orders.members_known():
             return payload_limit.payload_limit(0, 1)
         place = self.settings
-        disks = sum(replica_set.TALK in one.holds for one in self.ring.peers.values())
+        disks = sum(replica_set.TALK in one.holds for one in self.failure_detector.peers.values())
         replicas = payload_limit.replicas_on_a_disk(place.talk_pairs, place.copies, disks, place.losses)
         return payload_limit.payload_limit(place.memory_limit, replicas)
 
-    def life(self) -> str:
+    def incarnation_id(self) -> str:
         """This run of this node, as others may hear of its end."""
-        return f"{self.address} {self.ring.me.incarnation}"
+        return f"{self.address} {self.failure_detector.me.incarnation}"
 
     def gone(self, life: str) -> bool:
         """Whether a run of a node surely ended: another run is known, or watchers agree that it is down."""
         address, _, incarnation = life.rpartition(" ")
-        known = self.ring.peers.get(address)
+        known = self.failure_detector.peers.get(address)
         return known is not None and (known.state == cluster_member.DOWN or str(known.incarnation) != incarnation)
 
     def wished_seeds(self) -> tuple[str, ...]:
         """The witnesses wished for: by the plan, else by the settings of all live nodes if they agree."""
-        wished = self.relay.plan.seeds
+        wished = self.relay.configuration.seeds
         if not wished and self.settings.witnesses == settings.CORE:
             return self.wished_cores()
         if not wished:
-            named = {one.seeds for one in self.ring.peers.values() if one.state == cluster_member.LIVE}
+            named = {one.seeds for one in self.failure_detector.peers.values() if one.state == cluster_member.LIVE}
             wished = named.pop() if len(named) == 1 else ()
-        alive = all(self.ring.state(address) == cluster_member.LIVE for address in wished)
+        alive = all(self.failure_detector.state(address) == cluster_member.LIVE for address in wished)
         return wished if alive else ()
 
     def wished_cores(self) -> tuple[str, ...]:
         """The witnesses wished for where the core has them; one that has been gone for a while counts as lost."""
         now, present = clock.now(), self.proposer.voter_set.present
-        gone = [address for address in present if self.ring.state(address) != cluster_member.LIVE]
+        gone = [address for address in present if self.failure_detector.state(address) != cluster_member.LIVE]
         if now - self.looked > LOST:
             self.missed = {}
         self.looked = now
@@ -216,39 +220,43 @@
         lost = frozenset(address for address in gone if now - self.missed[address] >= LOST)
         cores = tuple(
             address
-            for address in self.ring.live()
-            if self.ring.state(address) == cluster_member.LIVE and self.ring.peers[address].role == settings.CORE
+            for address in self.failure_detector.live()
+            if self.failure_detector.state(address) == cluster_member.LIVE
+            and self.failure_detector.peers[address].role == settings.CORE
         )
         return witness_placement.witnesses(present, cores, lost)
 
-    def emptied(self, address: str) -> bool:
-        """Whether a node is to hold no copies: emptied by an operator, or stopping."""
-        return address in self.relay.plan.emptied or self.ring.state(address) == cluster_member.LEAVING
+    def is_drained(self, address: str) -> bool:
+        """Whether a node is to hold no copies: drained by an operator, or stopping."""
+        return (
+            address in self.relay.configuration.drained
+            or self.failure_detector.state(address) == cluster_member.LEAVING
+        )
 
     # -- messages --------------------------------------------------------------------------------
 
     async def answer(self, message):
         """Answer a message of another node."""
         match message:
-            case cluster_member.Beat():
-                return await self.ring.beat(message)
+            case cluster_member.Heartbeat():
+                return await self.failure_detector.beat(message)
             case updates.Pull():
-                return self.relay.answer_pull(message, self.rooted())
-            case updates.FetchPlan():
+                return self.relay.answer_pull(message, self.is_root())
+            case updates.FetchConfiguration():
                 return self.relay.answer_fetch(message)
             case cluster_member.Join():
-                return self.ring.join(message)
+                return self.failure_detector.join(message)
             case updates.Push():
                 self.relay.hurry.set()
                 return replica_set.Acknowledged()
-            case cluster_member.Confirm():
-                return await self.ring.confirm(message)
+            case cluster_member.ConfirmSuspicion():
+                return await self.failure_detector.confirm(message)
             case replication_messages.Append():
-                return await self.host(message.holding.pair).append(message)
+                return await self.group_replica(message.record.group_id).append(message)
             case replication_messages.Submit():
                 return await self.answer_submit(message)
             case replica_set.LeaseRequest():
-                return await self.witness.claim(message)
+                return await self.witness.renew_lease(message)
             case replica_set.Prepare():
                 return await self.witness.prepare(message)
             case replica_set.Accept():
@@ -264,36 +272,36 @@
                 return replica_set.Acknowledged()
             case replica_set.ReplicaReportRequest():
                 return self.report()
-            case replication_messages.Fetch():
-                return await self.host(message.holding.pair).fetch(message)
+            case replication_messages.FetchLog():
+                return await self.group_replica(message.record.group_id).fetch(message)
             case replication_messages.Compare():
-                return self.host(message.pair).compare(message)
+                return self.group_replica(message.group_id).compare(message)
             case replication_messages.Repair():
-                return await self.host(message.holding.pair).repair(message)
+                return await self.group_replica(message.record.group_id).repair(message)
             case replication_messages.BeginRepair():
-                return await self.host(message.holding.pair).begin_repair(message)
-            case replication_messages.SnapshotPart():
-                return self.host(message.holding.pair).take_snapshot_part(message)
+                return await self.group_replica(message.record.group_id).begin_repair(message)
+            case replication_messages.SnapshotChunk():
+                return self.group_replica(message.record.group_id).receive_snapshot_chunk(message)
             case replication_messages.InstallSnapshot():
-                return await self.host(message.holding.pair).install_snapshot(message)
-            case replication_messages.Ask():
-                return self.host(message.pair).stands(message)
-            case replication_messages.Appoint():
-                return await self.host(message.holding.pair).appoint(message)
+                return await self.group_replica(message.record.group_id).install_snapshot(message)
+            case replication_messages.ReplicaSetQuery():
+                return self.group_replica(message.group_id).stands(message)
+            case replication_messages.ReplicaSetNotice():
+                return await self.group_replica(message.record.group_id).appoint(message)
             case updates.WriteEverywhere():
                 return await self.write_here(message)
             case updates.ApplyEverywhere():
                 return await self.apply_here(message)
             case updates.ReadEverywhere():
-                return await self.host(0).submit(control_state.ReadPlan(message.after), GO)
+                return await self.group_replica(0).submit(control_state.ReadResources(message.after), GO)
             case trace.TraceRequest():
-                told = self.stories.told(message.request) if self.stories is not None else ()
+                told = self.traces.told(message.request) if self.traces is not None else ()
                 if not told:
                     raise result.RequestError(result.ResultCode.UNKNOWN_REQUEST, result.Ran.UNKNOWN)
                 return trace.Told(told)
             case trace.Trace():
-                if self.stories is not None:
-                    self.stories.keep(message)
+                if self.traces is not None:
+                    self.traces.keep(message)
                 return replica_set.Acknowledged()
             case (
                 residency_messages.Called()
@@ -304,7 +312,7 @@
                 self.hear(message)
                 return replica_set.Acknowledged()
             case updates.Publish():
-                if not self.rooted():
+                if not self.is_root():
                     raise result.RequestError(result.ResultCode.NOT_PRIMARY)
                 self.relay.learn(message.news)
                 return replica_set.Acknowledged()
@@ -312,13 +320,13 @@
 
     def hear(self, message) -> None:
         """Give word from an edge to the duties that asked for its kind; what no queue has room for is lost."""
-        for listening in self.duties.values():
+        for listening in self.singleton_roles.values():
             if not listening.words.full():
                 listening.words.put_nowait(message)
 
-    def host(self, pair: int) -> group_replica.GroupReplica:
+    def group_replica(self, group_id: int) -> group_replica.GroupReplica:
         """This node's part in a pair; refused without a disk or before the disk was read."""
-        found = self.hosts.get(pair)
+        found = self.group_replicas.get(group_id)
         if found is None or not self.opened:
             raise result.RequestError(
                 result.ResultCode.NOT_PRIMARY, detail="no copy is open here", retry=clock.seconds(1)
@@ -329,12 +337,12 @@
         """The copies on this node's disk."""
         copies = tuple(
             replica_set.ReplicaReport(
-                pair,
-                self.host(pair).copy.identity,
-                self.host(pair).copy.holding,
-                self.host(pair).copy.last().sequence,
+                group_id,
+                self.group_replica(group_id).copy.identity,
+                self.group_replica(group_id).copy.record,
+                self.group_replica(group_id).copy.last().sequence,
             )
-            for pair in self.hosts
+            for group_id in self.group_replicas
         )
         return replica_set.ReplicaReports(
             self.settings.area,
@@ -347,22 +355,22 @@
         )
 
     async def answer_submit(self, message: replication_messages.Submit) -> replication_messages.Submitted:
-        """Have a command decided here, if this node is the pair's primary."""
-        held = self.host(message.pair)
+        """Have a command decided here, if this node is the group's primary."""
+        held = self.group_replica(message.group_id)
         reply = await held.submit(codec.untagged(message.body), message.within)
         return replication_messages.Submitted(codec.tagged(reply), held.known)
 
-    async def submit(self, pair: int, command, within=2 * GO):
-        """Have a command decided by a pair's primary, wherever it is; commands bear being said twice."""
+    async def submit(self, group_id: int, command, within=2 * GO):
+        """Have a command decided by a group's primary, wherever it is; commands bear being said twice."""
         end = clock.now() + within
         unknown = None
         while True:
-            held = self.ring.holdings.get(pair)
+            held = self.failure_detector.records.get(group_id)
             left = end - clock.now()
             try:
                 if held is None:
-                    raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail=f"pair {pair} is not known yet")
-                message = replication_messages.Submit(pair, min(GO, left), codec.tagged(command))
+                    raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail=f"pair {group_id} is not known yet")
+                message = replication_messages.Submit(group_id, min(GO, left), codec.tagged(command))
                 reply = await self.ask_primary(held, message, min(GO, left))
                 return codec.untagged(reply.body)
             except result.RequestError as refusal:
@@ -379,11 +387,11 @@
 
         Whose answer is then to be asked for.
         """
-        asking = asyncio.ensure_future(self.link.ask(held.primary.address, message, within))
+        asking = asyncio.ensure_future(self.link.request(held.primary.address, message, within))
         try:
             while not asking.done():
                 await asyncio.wait((asking,), timeout=SLICE.total_seconds())
-                known = self.ring.holdings.get(held.pair, held)
+                known = self.failure_detector.records.get(held.group_id, held)
                 if not asking.done() and known.primary != held.primary:
                     raise result.RequestError(result.ResultCode.NOT_PRIMARY, result.Ran.UNKNOWN, "the primary changed")
             return asking.result()
@@ -392,9 +400,9 @@
 
     # -- the plan --------------------------------------------------------------------------------
 
-    def rooted(self) -> bool:
-        """Whether this node is the root of the relay tree: the control pair's primary under a claim."""
-        return self.relay.root and 0 in self.hosts and self.hosts[0].claimed()
+    def is_root(self) -> bool:
+        """Whether this node is the root of the relay tree: the control group's primary under a claim."""
+        return self.relay.root and 0 in self.group_replicas and self.group_replicas[0].has_lease()
 
     async def root(self) -> None:
         """While primary of the control group, feed the relay tree with what its members hold.
@@ -403,20 +411,20 @@
         nothing older is handed out as new.
         """
         while True:
-            held = self.hosts[0]
-            if not held.claimed():
+            held = self.group_replicas[0]
+            if not held.has_lease():
                 self.relay.root = False
                 await clock.sleep(STEP / 2)
                 continue
             held.committed.clear()
             try:
-                self.relay.take_committed(await held.submit(control_state.ReadPlan(self.relay.revision), GO))
+                self.relay.take_committed(await held.submit(control_state.ReadResources(self.relay.revision), GO))
             except result.RequestError:
                 await clock.sleep(STEP / 5)
             else:
-                if not self.relay.root and held.claimed():
+                if not self.relay.root and held.has_lease():
                     self.relay.become_root()
-            if self.rooted():
+            if self.is_root():
                 self.relay.root_heard = clock.now()
                 self.relay.currency_end = max(self.relay.currency_end, held.lease_end)
             try:
@@ -428,8 +436,8 @@
     async def write_here(self, message: updates.WriteEverywhere) -> updates.Written:
         """As root: store an operator's write, then wait until it is in force everywhere, or as long as settings say."""
         started = clock.now()
-        held = self.host(0)
-        if held.claimed():
+        held = self.group_replica(0)
+        if held.has_lease():
             await held.copy.view.look_ahead(message.write)
         written = await held.submit(message.write, message.within)
         confirm = self.settings.confirm
@@ -443,16 +451,16 @@
                     result.Ran.UNKNOWN,
                     "stored, but not known to be in force everywhere",
                 ) from None
-        if not self.rooted():
+        if not self.is_root():
             raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the primary changed")
         return updates.Written(written.revision, written.changed, clock.now() - started)
 
-    async def write_plan(self, write: control_state.WritePlan) -> updates.Written:
+    async def write_resources(self, write: control_state.WriteResources) -> updates.Written:
         """Send an operator's write on to the root, wherever it is."""
         end = clock.now() + clock.seconds(8)
         message = updates.WriteEverywhere(write, 2 * GO)
         while True:
-            held = self.ring.holdings.get(0)
+            held = self.failure_detector.records.get(0)
             try:
                 if held is None:
                     raise result.RequestError(
@@ -460,7 +468,7 @@
                         detail="the control pair is not known yet",
                         retry=clock.seconds(1),
                     )
-                return await self.link.ask(held.primary.address, message, 2 * GO + 3 * self.settings.currency)
+                return await self.link.request(held.primary.address, message, 2 * GO + 3 * self.settings.currency)
             except result.RequestError as refusal:
                 retried = refusal.result in (result.ResultCode.NOT_PRIMARY, result.ResultCode.NO_BACKUP)
                 if not retried or clock.now() > end:
@@ -473,7 +481,7 @@
         Once it is durable nothing takes it back: an order that was taken before is answered as done.
         """
         started = clock.now()
-        applied = await self.host(0).submit(message.command, message.within)
+        applied = await self.group_replica(0).submit(message.command, message.within)
         confirm, left = self.settings.confirm, started + message.within - LAST_LEG - clock.now()
         try:
             async with clock.limit(left if confirm is None else min(confirm, left)):
@@ -506,7 +514,7 @@
         """
         end, unknown = clock.now() + within, None
         while True:
-            held, left = self.ring.holdings.get(0), end - clock.now()
+            held, left = self.failure_detector.records.get(0), end - clock.now()
             try:
                 if held is None:
                     raise result.RequestError(
@@ -537,20 +545,22 @@
 
     # -- draining a machine ----------------------------------------------------------------------
 
-    async def stands(self, pair: int, address: str) -> bool:
+    async def stands(self, group_id: int, address: str) -> bool:
         """Whether a group's primary says that the group is whole without a node, and stays so.
 
         False while it does not say.
         """
-        held = self.ring.holdings.get(pair)
+        held = self.failure_detector.records.get(group_id)
         if held is None:
             return False
         try:
-            reply = await self.link.ask(held.primary.address, replication_messages.Ask(pair, address), STANDS)
+            reply = await self.link.request(
+                held.primary.address, replication_messages.ReplicaSetQuery(group_id, address), STANDS
+            )
         except result.RequestError:
             return False
-        members = reply.holding.members()
-        return reply.emptied and len(members) >= self.settings.copies and all(one.address != address for one in members)
+        members = reply.record.members()
+        return reply.drained and len(members) >= self.settings.copies and all(one.address != address for one in members)
 
     # -- life ------------------------------------------------------------------------------------
 
@@ -563,46 +573,48 @@
             await ready.wait()
             await self.witness.start(self.settings.witnesses == settings.CORE and self.settings.first_start)
             self.proposer.learn(self.witness.known.voter_set)
-            for held in self.hosts.values():
+            for held in self.group_replicas.values():
                 await held.copy.open()
             self.opened = True
             works = {
                 "samples": self.tell_samples,
-                "ring": self.ring.run,
-                "seat": self.seat.run,
+                "ring": self.failure_detector.run,
+                "seat": self.witness_bootstrap.run,
                 "relay": self.relay.run,
-                "holdings": self.share_holdings,
+                "holdings": self.share_records,
                 "records": self.record_recovery.run,
                 "memory": self.memory.run,
             }
-            works.update({f"pair {pair}": held.run for pair, held in self.hosts.items()})
-            works.update({f"pictures {pair}": held.copy.draw_pictures for pair, held in self.hosts.items()})
-            if 0 in self.hosts:
-                works.update({"root": self.root, "reseat": self.reseat.run})
+            works.update({f"pair {group_id}": held.run for group_id, held in self.group_replicas.items()})
+            works.update(
+                {f"pictures {group_id}": held.copy.write_snapshots for group_id, held in self.group_replicas.items()}
+            )
+            if 0 in self.group_replicas:
+                works.update({"root": self.root, "reseat": self.witness_changes.run})
             for name, work in works.items():
                 group.create_task(supervision.stand(name, work, self.standing))
             self.started.set()
 
-    async def share_holdings(self) -> None:
-        """Let this node's copies hear of newer records of holders."""
+    async def share_records(self) -> None:
+        """Let this node's copies hear of newer replica set."""
         while True:
-            for pair, held in self.ring.holdings.items():
-                if pair in self.hosts:
-                    self.hosts[pair].learn(held)
+            for group_id, held in self.failure_detector.records.items():
+                if group_id in self.group_replicas:
+                    self.group_replicas[group_id].learn(held)
             if self.witness.voting:
                 for ballot in list(self.witness.ballots.values()):
                     if (
                         ballot.value
-                        and ballot.register not in self.ring.holdings
+                        and ballot.register not in self.failure_detector.records
                         and ballot.register != replica_set.VOTER_SET
                     ):
-                        self.ring.hold(codec.untagged(ballot.value))
+                        self.failure_detector.learn_record(codec.untagged(ballot.value))
             try:
                 async with clock.limit(STEP):
-                    await self.ring.changed.wait()
+                    await self.failure_detector.changed.wait()
             except TimeoutError:
                 pass
-            self.ring.changed.clear()
+            self.failure_detector.changed.clear()
 
     def own_samples(self) -> list[sample.Sample]:
         """What any node says of itself in numbers."""
@@ -612,16 +624,18 @@
             sample.sample("aspencroft_leaving", self.stopping.is_set()),
             sample.sample(
                 "aspencroft_fellows_live",
-                sum(one.state == cluster_member.LIVE for one in self.ring.peers.values()),
+                sum(one.state == cluster_member.LIVE for one in self.failure_detector.peers.values()),
             ),
             sample.sample("aspencroft_faults_outside", sum(self.outside.values())),
             sample.sample("aspencroft_faults_standing", sum(self.standing.values())),
         ]
-        for pair, held in self.hosts.items():
+        for group_id, held in self.group_replicas.items():
             found.append(
-                sample.sample("aspencroft_pair_serving", held.claimed() and held.why == "serving", pair=str(pair))
+                sample.sample(
+                    "aspencroft_pair_serving", held.has_lease() and held.status_reason == "serving", pair=str(group_id)
+                )
             )
-            found.append(sample.sample("aspencroft_pair_entries", held.copy.last().sequence, pair=str(pair)))
+            found.append(sample.sample("aspencroft_pair_entries", held.copy.last().sequence, pair=str(group_id)))
         return [*found, *self.memory.samples()]
 
     def samples(self) -> tuple[sample.Sample, ...]:
@@ -639,11 +653,11 @@
             await clock.sleep(SAMPLE)
             known = self.relay.topics.get("alerts")
             holder = json.loads(known.body).get("holder") if known is not None else None
-            if holder and self.relay.plan.rules:
+            if holder and self.relay.configuration.rules:
                 if holder == self.address:
                     self.hear(sample.Sampled(self.address, self.samples()))
                 else:
-                    self.link.tell(holder, sample.Sampled(self.address, self.samples()))
+                    self.link.notify(holder, sample.Sampled(self.address, self.samples()))
 
     def control(self, name: str, otherwise):
         """What firing alert rules ask for, as far as it is known here."""
@@ -656,7 +670,7 @@
         And what the loss of a majority does.
         """
         voter_set = self.proposer.voter_set
-        live = [one for one in voter_set.everyone() if self.ring.state(one) == cluster_member.LIVE]
+        live = [one for one in voter_set.everyone() if self.failure_detector.state(one) == cluster_member.LIVE]
         left = voter_set.losses_left(live)
         return {
             "live": live,
@@ -683,7 +697,7 @@
             },
             "witness": {
                 "voting": self.witness.voting,
-                "why": self.seat.why,
+                "why": self.witness_bootstrap.status_reason,
                 "roster": list(self.proposer.voter_set.everyone()),
                 "roster_number": self.proposer.voter_set.number,
             },
@@ -697,27 +711,31 @@
                     "http": one.http,
                     "disk": one.disk,
                 }
-                for one in self.ring.table().peers
+                for one in self.failure_detector.table().peers
             ],
             "holders": {
-                str(pair): {
+                str(group_id): {
                     "epoch": held.epoch,
                     "primary": held.primary.address,
                     "backups": [one.address for one in held.backups],
                 }
-                for pair, held in sorted(self.ring.holdings.items())
+                for group_id, held in sorted(self.failure_detector.records.items())
             },
             "pairs": {
-                str(pair): {
-                    "why": held.why,
-                    "claimed": held.claimed(),
+                str(group_id): {
+                    "why": held.status_reason,
+                    "claimed": held.has_lease(),
                     "sequence": held.copy.last().sequence,
                     "disk": held.copy.condition.value,
                     **held.counts,
                 }
-                for pair, held in self.hosts.items()
+                for group_id, held in self.group_replicas.items()
             },
-            "duties": {name: {"held": one.held(), "epoch": one.epoch} for name, one in self.duties.items()},
+            "duties": {name: {"held": one.held(), "epoch": one.epoch} for name, one in self.singleton_roles.items()},
             "faults": {"outside": dict(self.outside), "standing tasks": dict(self.standing)},
-            "counts": {"link": dict(self.link.counts), "ring": self.ring.counts, "relay": self.relay.counts},
+            "counts": {
+                "link": dict(self.link.counts),
+                "ring": self.failure_detector.counts,
+                "relay": self.relay.counts,
+            },
         }
--- a/aspencroft/node/node_test.py
+++ b/aspencroft/node/node_test.py
@@ -28,7 +28,7 @@
         while await stage.ask_node(asked, own.drain_orders.state(victim, WITHIN)) != drain_order.DrainState.DRAINED:
             assert one.loop.time() < end
             await asyncio.sleep(0.1)
-        assert all(victim not in stage.members(pair) and len(stage.members(pair)) == 2 for pair in (1, 2))
+        assert all(victim not in stage.members(group_id) and len(stage.members(group_id)) == 2 for group_id in (1, 2))
         one.storages.remove(victim)
         one.power_off(victim)
         one.disks[victim].wipe()
@@ -90,7 +90,7 @@
         shown = one.nodes["edge-0"].status()["quorum"]
         assert shown["losses_left"] == -1 and "until 1 more voters" in shown["means"]
         assert shown["missing"] == sorted(f"{name}:1" for name in lost)
-        assert not any(one.leader(pair) for pair in range(3))
+        assert not any(one.leader(group_id) for group_id in range(3))
         one.start(lost[0])
         await one.until(one.formed, 8, "formed")
         assert await stage.write("after")
@@ -111,7 +111,7 @@
         one.power_off(victim)
         await asyncio.sleep(5)
         for node in one.nodes.values():
-            node.ring.peers.pop(f"{victim}:1", None)
+            node.failure_detector.peers.pop(f"{victim}:1", None)
         for name in one.cores:
             orders = one.nodes[name].drain_orders
             assert orders.find(victim) is None
--- a/aspencroft/node/operator.py
+++ b/aspencroft/node/operator.py
@@ -21,7 +21,7 @@
 from aspencroft.runtime import clock, json_input, supervision
 from aspencroft.tracing import trace
 
-LOG = logbook.Logger("operator")
+LOG = logbook.Logger("node.operator")
 OBSERVED = ("keeps", "quiet", "alerts")
 LONGEST_WATCH = clock.seconds(300)
 STORY_ASK = clock.seconds(1)
@@ -110,7 +110,7 @@
         body = "" if way == "delete" else json.dumps(json_body(raw))
         if way in ("whole", "merge") and not body.startswith("{"):
             raise result.RequestError(result.ResultCode.MALFORMED, detail="expected an object")
-        written = await own.write_plan(control_state.WritePlan(way, kind, name, body, condition_of(request)))
+        written = await own.write_resources(control_state.WriteResources(way, kind, name, body, condition_of(request)))
         return litestar.Response(
             {
                 "revision": written.revision.text(),
@@ -248,10 +248,10 @@
 
         async def ask(address: str) -> None:
             with contextlib.suppress(result.RequestError):
-                found.extend((await own.link.ask(address, trace.TraceRequest(identity), STORY_ASK)).stories)
+                found.extend((await own.link.request(address, trace.TraceRequest(identity), STORY_ASK)).traces)
 
         async with supervision.Group() as group:
-            for one in own.ring.peers.values():
+            for one in own.failure_detector.peers.values():
                 if one.state != cluster_member.DOWN and one.role == "edge":
                     group.create_task(ask(one.address))
         if not found:
--- a/aspencroft/node/root_test.py
+++ b/aspencroft/node/root_test.py
@@ -30,32 +30,32 @@
         self.committed = asyncio.Event()
         self.lease_end = clock.seconds(60)
 
-    def claimed(self) -> bool:
+    def has_lease(self) -> bool:
         return self.leased
 
     async def submit(self, command, within):
         if not self.readable:
             raise result.RequestError(result.ResultCode.NO_BACKUP)
-        return control_state.PlanRead(control_state.NEVER, "", ())
+        return control_state.ResourcesRead(control_state.NEVER, "", ())
 
 
 def test_a_primary_is_no_root_before_its_first_read_and_none_after_its_lease():
     async def acts() -> None:
         around = environment.Environment(None, None, None, random.Random(1), lambda: EPOCH)
         own = node.Node(settings.check(PLACE), around)
-        primary = own.hosts[0] = Primary()
+        primary = own.group_replicas[0] = Primary()
         running = asyncio.ensure_future(own.root())
         await clock.sleep(clock.seconds(2))
-        assert not own.rooted() and own.relay.currency_end == clock.ZERO
+        assert not own.is_root() and own.relay.currency_end == clock.ZERO
         primary.readable = True
         await clock.sleep(clock.seconds(0.5))
-        assert own.rooted() and own.relay.stranger_end > clock.now()
+        assert own.is_root() and own.relay.stranger_end > clock.now()
         primary.leased = False
-        assert not own.rooted()
+        assert not own.is_root()
         await clock.sleep(clock.seconds(0.5))
         primary.leased, primary.readable = True, False
         await clock.sleep(clock.seconds(1))
-        assert not own.rooted(), "a second tenure begins with a read as well"
+        assert not own.is_root(), "a second tenure begins with a read as well"
         running.cancel()
 
     loop.SimLoop().run_until_complete(acts())
--- a/aspencroft/node/settings.py
+++ b/aspencroft/node/settings.py
@@ -73,7 +73,7 @@
 
     ``losses`` is how many machines may be lost at once; ``holds`` which groups this disk may hold;
     ``witnesses`` who keeps the
-    record of holders, the seeds or the live core nodes; ``currency`` how long a node may act on a plan without renewal;
+    replica set, the seeds or the live core nodes; ``currency`` how long a node may act on a plan without renewal;
     ``confirm`` how long an operator's write waits at most until all nodes confirmed it,
     none for as long as they may act on
     an older plan; ``first_start`` that this node's empty disk is a new one, not a lost one; ``key_window`` how long an
@@ -115,8 +115,8 @@
         return self.holds if self.data is not None else ()
 
     @property
-    def pairs(self) -> int:
-        """The control pair and the talk pairs."""
+    def group_count(self) -> int:
+        """The control group and the session groups."""
         return 1 + self.talk_pairs
 
     def reloaded(self, fresh: "Settings") -> tuple["Settings", tuple[str, ...]]:
--- a/aspencroft/platform_check/operator_api_test.py
+++ b/aspencroft/platform_check/operator_api_test.py
@@ -91,7 +91,7 @@
         assert await status("POST", b'{"deadline-s": 10}', way="/api/retire/nobody") == 404
         assert await status("POST", b'{"deadline-s": "x"}', way="/api/retire/storage-1") == 400
         for own in one.nodes.values():
-            assert own.relay.plan.version == 9 and list(own.relay.plan.http_routes) == ["r-1"]
+            assert own.relay.configuration.version == 9 and list(own.relay.configuration.http_routes) == ["r-1"]
 
     play(301, acts, more=SURE)
 
@@ -110,8 +110,8 @@
         assert response.status_code == 200, response.text
         for name, own in one.nodes.items():
             assert (
-                own.relay.plan.http_routes["r-7"].timeout == clock.seconds(0.005)
-                and len(own.relay.plan.http_routes) == 2500
+                own.relay.configuration.http_routes["r-7"].timeout == clock.seconds(0.005)
+                and len(own.relay.configuration.http_routes) == 2500
             )
             assert own.relay.counts["whole plans"] == before[name]
 
@@ -129,7 +129,7 @@
             assert order.status == 200 and order.answered - order.sent < 0.2, order
             version = order.version
             for own in one.nodes.values():
-                assert own.relay.plan.version == version
+                assert own.relay.configuration.version == version
 
     play(303, acts, simulated_cluster.Size(edges=24, storages=3, cores=5, apart=True), SURE)
 
--- a/aspencroft/platform_check/operators.py
+++ b/aspencroft/platform_check/operators.py
@@ -210,7 +210,7 @@
         held: dict[int, int] = {}
         while not self.over:
             for name, own in self.scene.nodes.items():
-                version = own.relay.plan.version
+                version = own.relay.configuration.version
                 if version < held.get(id(own), 0):
                     self.steps_back.append(f"{name} went back to {version}")
                 held[id(own)] = version
--- a/aspencroft/power/machine_power.py
+++ b/aspencroft/power/machine_power.py
@@ -8,14 +8,14 @@
 import logbook
 
 from aspencroft.errors import result
-from aspencroft.leadership import duty
+from aspencroft.leadership import singleton_role
 from aspencroft.node import node
 from aspencroft.power import sleeping_machines
 from aspencroft.residency import messages, residency
 from aspencroft.runtime import clock, supervision
 from aspencroft.workers import adapter, worker
 
-LOG = logbook.Logger("rest")
+LOG = logbook.Logger("power.machine_power")
 TOPIC = "quiet"
 WINDOW = clock.seconds(10)
 STEP = clock.seconds(1)
@@ -36,8 +36,10 @@
     def __init__(self, own: node.Node, back: adapter.Adapter):
         self.node = own
         self.adapter = back
-        self.duty = duty.Duty("rest", own.address, own.incarnation, lambda: own.ring.peers, own.submit)
-        own.duties["rest"] = self.duty
+        self.duty = singleton_role.SingletonRole(
+            "rest", own.address, own.incarnation, lambda: own.failure_detector.peers, own.submit
+        )
+        own.singleton_roles["rest"] = self.duty
         self.served: collections.deque[tuple[datetime.timedelta, str, float]] = collections.deque()
         self.wanted: set[str] = set()
         self.quiet: frozenset[str] = frozenset()
@@ -103,7 +105,7 @@
             self.served.popleft()
         found = await self.adapter.workers(self.node.settings.workers) if self.node.settings.workers else ()
         targets = {one.name: one for one in found if one.kind == worker.MODEL}
-        leaving = {one.name for one in found if one.leaving} | self.node.relay.plan.leaving
+        leaving = {one.name for one in found if one.leaving} | self.node.relay.configuration.leaving
         self.decide(now, targets, leaving)
         await self.publish()
         async with supervision.Group() as group:
@@ -186,7 +188,7 @@
         return self.marks.setdefault(name, mark) != mark and seen["busy"] == 0
 
     async def put_to_sleep(self, target: worker.Worker) -> None:
-        """Let a machine sleep that was emptied."""
+        """Let a machine sleep that was drained."""
         if not self.duty.held():
             return
         try:
--- a/aspencroft/proxy/endings.py
+++ b/aspencroft/proxy/endings.py
@@ -17,7 +17,7 @@
 
     def __init__(self, own: node.Node):
         self.node = own
-        self.rows = {group: asyncio.Queue(BOUND) for group in range(1, own.settings.pairs)}
+        self.rows = {group: asyncio.Queue(BOUND) for group in range(1, own.settings.group_count)}
         self.under_way = 0
         self.counts: collections.Counter = collections.Counter()
 
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -22,7 +22,7 @@
 from aspencroft.tracing import trace
 from aspencroft.workers import pool
 
-LOG = logbook.Logger("forward")
+LOG = logbook.Logger("proxy.forwarder")
 SOON = clock.seconds(0.3)
 LATER = clock.seconds(1)
 OVERTIME = clock.seconds(0.2)
@@ -117,7 +117,7 @@
         self.dialect = dialect
         self.instances = known
         self.pool = connections
-        self.stories = trace.Traces(own.address)
+        self.traces = trace.Traces(own.address)
         self.endings = endings.Endings(own)
         self.chains = chains.Chains()
         self.working_sets = working_set.WorkingSets()
@@ -148,7 +148,7 @@
             raise result.RequestError(result.ResultCode.NO_PLAN, retry=SOON)
         if self.active >= MOST_CALLS:
             raise result.RequestError(result.ResultCode.OVERLOADED, retry=LATER)
-        route = self.node.relay.plan.route_table.match(one.host, one.path())
+        route = self.node.relay.configuration.route_table.match(one.host, one.path())
         if route is None:
             if not self.knows_all_routes():
                 raise result.RequestError(result.ResultCode.NO_PLAN, detail="no route here, but one may be", retry=SOON)
@@ -165,7 +165,7 @@
         one may have been acknowledged meanwhile.
         """
         relay = self.node.relay
-        configured = bool(relay.plan.version or relay.plan.http_routes)
+        configured = bool(relay.configuration.version or relay.configuration.http_routes)
         return configured and (relay.root or clock.now() <= relay.currency_end - relay.currency + CONFIRMED)
 
     async def wait_for_plan(self, one: call.Call) -> None:
@@ -173,7 +173,7 @@
 
         The time is that of the route, as far as an older plan tells it.
         """
-        route = self.node.relay.plan.route_table.match(one.host, one.path())
+        route = self.node.relay.configuration.route_table.match(one.host, one.path())
         limit = clock.now() + (one.within if route is None else min(one.within, route.timeout)) * PART
         while not (self.node.relay.current() and self.instances.listed) and clock.now() < limit and not self.closed:
             if self.waiting >= MOST_CALLS:
@@ -217,7 +217,7 @@
     def tell(self, passage: Passage, what: str, detail: str = "") -> None:
         """Add a line to the call's story."""
         one = passage.call
-        self.stories.add(one.attempt, passage.route.name, clock.now() - one.arrived, what, detail)
+        self.traces.add(one.attempt, passage.route.name, clock.now() - one.arrived, what, detail)
 
     # -- begin -----------------------------------------------------------------------------------
 
@@ -259,7 +259,7 @@
             route.retained,
             keep,
             passage.end - clock.now(),
-            self.node.life(),
+            self.node.incarnation_id(),
             have,
             (),
         )
@@ -295,7 +295,7 @@
                 missed.append(group)
 
         async with asyncio.TaskGroup() as tasks:
-            for group in range(1, self.node.settings.pairs):
+            for group in range(1, self.node.settings.group_count):
                 if group != mine:
                     tasks.create_task(ask(group))
         for reply in found:
@@ -316,7 +316,7 @@
         passage.claimed = True
         window = self.node.settings.key_window
         command = entry.ClaimKey(
-            self.key_of(one), one.attempt, digest, passage.end - clock.now(), window, self.node.life()
+            self.key_of(one), one.attempt, digest, passage.end - clock.now(), window, self.node.incarnation_id()
         )
         held = await self.ask_group(passage, self.key_of(one), command)
         if held.mine:
@@ -325,7 +325,9 @@
         passage.claimed = False
         self.tell(passage, "key known", held.outcome or "at work")
         if held.outcome == messages.DONE and held.status:
-            return call.Answer(held.status, tuple((pair.name, pair.value) for pair in held.headers), held.body)
+            return call.Answer(
+                held.status, tuple((group_id.name, group_id.value) for group_id in held.headers), held.body
+            )
         raise result.RequestError(result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN, held.outcome)
 
     def key_of(self, one: call.Call) -> str:
@@ -336,7 +338,7 @@
 
     def choose(self, passage: Passage) -> tuple[instance.Instance | None, str]:
         """A worker for the call among those that the configuration in force allows now, and why."""
-        route = self.node.relay.plan.http_routes.get(passage.route.name)
+        route = self.node.relay.configuration.http_routes.get(passage.route.name)
         if route is None or (route.host, route.prefix) != (passage.route.host, passage.route.prefix):
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=passage.route.name)
         if (route.kind, route.retained) != (passage.route.kind, passage.route.retained):
@@ -358,7 +360,7 @@
 
     def memory_and_slots(self, service: str) -> tuple[int, int]:
         """The KV memory of one of a service's workers in tokens, and its slots; zeros when they aren't known."""
-        facts = self.node.relay.plan.services.get(service)
+        facts = self.node.relay.configuration.services.get(service)
         if facts is None or facts.engine is None:
             return 0, 0
         return facts.engine.kv_tokens, facts.engine.slots
@@ -450,7 +452,7 @@
             remaining = passage.end - clock.now()
             if remaining <= clock.ZERO:
                 raise result.RequestError(result.ResultCode.DEADLINE, retry=SOON)
-            service = self.node.relay.plan.services.get(chosen.service)
+            service = self.node.relay.configuration.services.get(chosen.service)
             most = service.max_connections if service is not None and service.max_connections else MOST_CONNECTIONS
             headers = self.dialect.request_headers(one, chosen.name, remaining)
             response = await self.send(passage, chosen, headers, most)
@@ -642,7 +644,7 @@
     async def end_turn(self, passage: Passage, chosen: instance.Instance, reader: events.Reader) -> None:
         """Have the turn kept and charged, before its caller hears of its end."""
         one, output = passage.call, reader.output()
-        service = self.node.relay.plan.services.get(chosen.service)
+        service = self.node.relay.configuration.services.get(chosen.service)
         stride = service.engine.stride if service is not None and service.engine is not None else 1
         retained = passage.route.retained
         command = entry.EndTurn(
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -34,9 +34,13 @@
         environment=around,
         sampled=[],
         stopping=asyncio.Event(),
-        settings=types.SimpleNamespace(pairs=2, talk_pairs=1, area="north", address="edge:1"),
+        settings=types.SimpleNamespace(group_count=2, talk_pairs=1, area="north", address="edge:1"),
         relay=types.SimpleNamespace(
-            plan=plan, current=lambda: True, currency=clock.seconds(12), currency_end=clock.seconds(12), root=False
+            configuration=plan,
+            current=lambda: True,
+            currency=clock.seconds(12),
+            currency_end=clock.seconds(12),
+            root=False,
         ),
     )
 
@@ -194,7 +198,7 @@
 
 def test_a_call_whose_route_changes_its_kind_on_the_way_is_not_sent_under_the_new_one():
     async def story(forwarding, lives):
-        plan = forwarding.node.relay.plan
+        plan = forwarding.node.relay.configuration
         admit = forwarding.admit
 
         def change(one):
@@ -211,7 +215,7 @@
 
 def test_an_edge_without_any_configuration_does_not_say_that_there_is_no_route():
     async def story(forwarding, lives):
-        plan = forwarding.node.relay.plan
+        plan = forwarding.node.relay.configuration
         plan.route_table, plan.http_routes, plan.version = route_table.EMPTY, {}, 0
         return (await refusal_of(forwarding)).result
 
@@ -220,7 +224,7 @@
 
 def test_an_edge_that_heard_nothing_of_the_control_plane_lately_does_not_say_that_there_is_no_route():
     async def story(forwarding, lives):
-        plan, relay = forwarding.node.relay.plan, forwarding.node.relay
+        plan, relay = forwarding.node.relay.configuration, forwarding.node.relay
         plan.route_table, plan.http_routes = route_table.EMPTY, {}
         first = (await refusal_of(forwarding)).result
         await clock.sleep(clock.seconds(5))
--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -7,7 +7,7 @@
 from aspencroft.replication import group_state, log_shipping, record_changes
 from aspencroft.runtime import clock
 
-LOG = logbook.Logger("following")
+LOG = logbook.Logger("replication.backup")
 PRIMARY_SILENCE = clock.seconds(0.7)
 TURN = clock.seconds(0.25)
 AGAIN = clock.seconds(0.1)
@@ -28,9 +28,9 @@
         own = self.own
         if self.watched != own.known.primary:
             self.watched, own.heard = own.known.primary, clock.now()
-        own.why = "backup"
+        own.status_reason = "backup"
         standing = own.known
-        await own.copy.hold(standing)
+        await own.copy.persist_record(standing)
         silence = PRIMARY_SILENCE + standing.backups.index(own.me()) * TURN
         pause = own.heard + silence - clock.now()
         while own.known == standing:
@@ -45,7 +45,7 @@
                 try:
                     await self.take_over(standing)
                 except result.RequestError as refusal:
-                    LOG.info("pair {}: taking over: {}", own.pair, refusal)
+                    LOG.info("pair {}: taking over: {}", own.group_id, refusal)
                     pause = min(group_state.RETRY if refusal.retry is None else refusal.retry, group_state.RETRY)
 
     async def take_over(self, standing: replica_set.ReplicaSet) -> None:
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -19,7 +19,7 @@
 from aspencroft.runtime import clock, supervision
 from aspencroft.transport import connections
 
-LOG = logbook.Logger("pair")
+LOG = logbook.Logger("replication.group_replica")
 PATIENCE = witness.LEASE + witness.LEASE_MARGIN
 """How long a member that started waits for another one before it goes on with what it holds.
 
@@ -32,7 +32,7 @@
 """How long a node that is no member keeps its copy: what leaves is to be gone before much else is moved here."""
 
 
-RepairStep = messages.Repair | messages.BeginRepair | messages.SnapshotPart | messages.InstallSnapshot
+RepairStep = messages.Repair | messages.BeginRepair | messages.SnapshotChunk | messages.InstallSnapshot
 
 
 class GroupReplica(group_state.GroupState):
@@ -62,8 +62,8 @@
         lease and the silence after which a backup takes over.
         """
         self.patience_end = clock.now() + PATIENCE
-        if self.copy.holding is not None:
-            self.learn(self.copy.holding)
+        if self.copy.record is not None:
+            self.learn(self.copy.record)
         while True:
             self.changed.clear()
             standing = self.known
@@ -75,19 +75,19 @@
                 else:
                     await self.stand_by()
             except* (group_state.Deposed, result.RequestError) as group:
-                LOG.info("pair {}: {}", self.pair, group.exceptions)
+                LOG.info("pair {}: {}", self.group_id, group.exceptions)
                 supervision.heed()
                 await clock.sleep(group_state.RETRY)
             except* OSError as group:
-                LOG.warning("group {}: the disk failed: {}", self.pair, group.exceptions)
+                LOG.warning("group {}: the disk failed: {}", self.group_id, group.exceptions)
                 supervision.heed()
-                self.why = "the disk failed"
+                self.status_reason = "the disk failed"
                 self.counts["disk failures"] += 1
                 await clock.sleep(STEP_ASIDE)
 
     async def stand_by(self) -> None:
         """Wait for a record that names this node; meanwhile let go of what it still holds of the group."""
-        self.why = "bystander"
+        self.status_reason = "bystander"
         began = clock.now()
         while not self.changed.is_set():
             try:
@@ -107,16 +107,16 @@
         if standing is None:
             return
         try:
-            stands = await self.link.ask(
-                standing.primary.address, messages.Ask(self.pair, self.address), group_state.REPLY
+            stands = await self.link.request(
+                standing.primary.address, messages.ReplicaSetQuery(self.group_id, self.address), group_state.REPLY
             )
         except result.RequestError as refusal:
-            LOG.info("group {}: keeps its copy: {}", self.pair, refusal)
+            LOG.info("group {}: keeps its copy: {}", self.group_id, refusal)
             return
         async with self.lock:
-            members = stands.holding.members()
+            members = stands.record.members()
             unneeded = len(members) >= self.around.copies and all(one.address != self.address for one in members)
-            if unneeded and self.known == standing == stands.holding and not self.incoming.size:
+            if unneeded and self.known == standing == stands.record and not self.incoming.size:
                 await self.copy.release()
                 self.counts["released"] += 1
 
@@ -124,31 +124,33 @@
         """Have a command decided, if this node is the primary; the reply comes once it is synced on all copies."""
         return await self.serving.submit(command, within)
 
-    def stands(self, message: messages.Ask) -> messages.Stands:
+    def stands(self, message: messages.ReplicaSetQuery) -> messages.ReplicaSetReply:
         """As primary that serves: the record that stands, while no ballot is under way."""
-        if not self.claimed() or self.why != "serving" or self.balloting.locked():
-            raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail=self.why, retry=group_state.COME_BACK)
-        return messages.Stands(self.known, self.around.emptied(message.address))
+        if not self.has_lease() or self.status_reason != "serving" or self.balloting.locked():
+            raise result.RequestError(
+                result.ResultCode.NOT_PRIMARY, detail=self.status_reason, retry=group_state.COME_BACK
+            )
+        return messages.ReplicaSetReply(self.known, self.around.is_drained(message.address))
 
-    async def fetch(self, message: messages.Fetch) -> messages.Fetched:
+    async def fetch(self, message: messages.FetchLog) -> messages.FetchedLog:
         """As a member of the same record: what this copy holds beyond that of one that just started."""
         async with self.lock:
             if message.identity != self.copy.identity:
-                return messages.Fetched(None, (), True)
+                return messages.FetchedLog(None, (), True)
             if self.copy.incomplete():
                 raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="this copy is being repaired")
-            if self.known is None or message.holding.epoch != self.known.epoch or self.me() not in self.known.members():
+            if self.known is None or message.record.epoch != self.known.epoch or self.me() not in self.known.members():
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not a member of that record")
-            return messages.Fetched(*self.copy.ahead_of(message.last, log_shipping.MEND_BYTES), False)
+            return messages.FetchedLog(*self.copy.ahead_of(message.last, log_shipping.MEND_BYTES), False)
 
     async def append(self, message: messages.Append) -> messages.Appended:
         """As backup: take entries that follow the last one; refuse lower epochs."""
         async with self.lock:
-            if self.known is None or message.holding.epoch > self.known.epoch:
-                self.learn(message.holding)
-            if message.holding.epoch < self.known.epoch or self.me() not in self.known.backups:
+            if self.known is None or message.record.epoch > self.known.epoch:
+                self.learn(message.record)
+            if message.record.epoch < self.known.epoch or self.me() not in self.known.backups:
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=f"epoch {self.known.epoch} stands")
-            await self.copy.hold(self.known)
+            await self.copy.persist_record(self.known)
             self.heard = clock.now()
             fresh = self.copy.beyond(message.previous, message.entries)
             self.unsure = False
@@ -165,7 +167,7 @@
         """As candidate or backup: become like the primary's copy."""
         async with self.lock:
             self.check_repair(message)
-            await self.copy.hold(message.holding)
+            await self.copy.persist_record(message.record)
             self.heard = clock.now()
             last = await self.copy.repair(message.through, message.snapshot, message.entries)
             self.unsure = False
@@ -173,23 +175,23 @@
 
     def check_repair(self, message: RepairStep) -> None:
         """Refuse what is not from the primary of the newest record, or meant for another copy."""
-        self.learn(message.holding)
-        if self.leading or message.identity != self.copy.identity or message.holding.epoch < self.known.epoch:
+        self.learn(message.record)
+        if self.leading or message.identity != self.copy.identity or message.record.epoch < self.known.epoch:
             raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not to be mended by that")
 
     async def begin_repair(self, message: messages.BeginRepair) -> replica_set.Acknowledged:
         """As candidate or backup: from now on this copy is not whole before it holds the goal."""
         async with self.lock:
             self.check_repair(message)
-            await self.copy.hold(message.holding)
+            await self.copy.persist_record(message.record)
             await self.copy.begin_repair(replica.RepairGoal(message.goal.sequence, message.goal.digest))
             return replica_set.Acknowledged()
 
-    def take_snapshot_part(self, message: messages.SnapshotPart) -> messages.SnapshotHeld:
+    def receive_snapshot_chunk(self, message: messages.SnapshotChunk) -> messages.SnapshotProgress:
         """As candidate or backup: hold a part of a snapshot; the copy is what it was until all of it is installed."""
         self.check_repair(message)
         self.heard = clock.now()
-        return messages.SnapshotHeld(self.incoming.take(message))
+        return messages.SnapshotProgress(self.incoming.take(message))
 
     async def install_snapshot(self, message: messages.InstallSnapshot) -> messages.Appended:
         """As candidate or backup: become what the parts of a snapshot show; asked again, say that it was done."""
@@ -197,13 +199,13 @@
             self.check_repair(message)
             if self.copy.digest_at(message.sequence) != message.digest:
                 snapshot = self.incoming.whole(message)
-                await self.copy.hold(message.holding)
+                await self.copy.persist_record(message.record)
                 await self.copy.repair(message.sequence, snapshot, ())
             self.heard, self.unsure = clock.now(), False
             self.incoming.forget()
             return messages.Appended(self.copy.last())
 
-    async def appoint(self, message: messages.Appoint) -> replica_set.Acknowledged:
+    async def appoint(self, message: messages.ReplicaSetNotice) -> replica_set.Acknowledged:
         """Hear at once of a record that names this node."""
-        self.learn(message.holding)
+        self.learn(message.record)
         return replica_set.Acknowledged()
--- a/aspencroft/replication/group_replica_test.py
+++ b/aspencroft/replication/group_replica_test.py
@@ -58,11 +58,11 @@
 def test_a_members_lost_disk_and_power_lost_by_all_others_lose_nothing():
     async def acts(stage: groups.Stage) -> None:
         one = stage.scene
-        for number, pair in enumerate((0, 1, 2, 0)):
+        for number, group_id in enumerate((0, 1, 2, 0)):
             await one.until(stage.whole, 15, "whole")
             assert (await stage.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
             assert await stage.write(f"extra-{number}")
-            lost = stage.members(pair)[number % 2]
+            lost = stage.members(group_id)[number % 2]
             for name in one.names():
                 one.power_off(name)
             one.disks[lost].wipe()
@@ -99,7 +99,9 @@
             await one.until(
                 lambda: (
                     stage.whole()
-                    and all(fresh in stage.members(pair) and lost not in stage.members(pair) for pair in (1, 2))
+                    and all(
+                        fresh in stage.members(group_id) and lost not in stage.members(group_id) for group_id in (1, 2)
+                    )
                 ),
                 8,
                 "whole with the new one",
@@ -113,12 +115,12 @@
 def test_with_two_losses_to_be_borne_two_disks_may_go_at_once_with_the_power_of_all():
     async def acts(stage: groups.Stage) -> None:
         one = stage.scene
-        for number, pair in enumerate((0, 1, 2)):
+        for number, group_id in enumerate((0, 1, 2)):
             await one.until(stage.whole, 15, "whole")
-            assert len(stage.members(pair)) == 3
+            assert len(stage.members(group_id)) == 3
             assert (await stage.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
             assert await stage.write(f"extra-{number}")
-            lost = one.chance.sample(stage.members(pair), 2)
+            lost = one.chance.sample(stage.members(group_id), 2)
             for name in one.names():
                 one.power_off(name)
             for name in lost:
@@ -145,9 +147,9 @@
         assert stage.record(1).epoch > 1
         one.power_off(third)
         await one.until(lambda: stage.members(1) == [first], 4, "one is left")
-        held = one.nodes[first].hosts[1]
+        held = one.nodes[first].group_replicas[1]
         await asyncio.sleep(5)
-        assert held.claimed() and held.why == "no backup"
+        assert held.has_lease() and held.status_reason == "no backup"
         one.start(second)
         await one.until(lambda: one.leader(1) == first, 4, "served again")
         assert len(stage.members(1)) == 2
@@ -174,7 +176,7 @@
             assert f"extra-{number}" in await stage.written()
             if number == 1:
                 one.loop.thaw(gone)
-                assert not one.nodes[gone].hosts[0].claimed()
+                assert not one.nodes[gone].group_replicas[0].has_lease()
             else:
                 one.start(gone)
 
@@ -185,10 +187,10 @@
 def test_a_backup_that_fell_silent_is_recorded_out_within_its_time_and_taken_in_again_at_once():
     async def acts(stage: groups.Stage) -> None:
         one = stage.scene
-        for pair in (0, 1):
-            silent = stage.members(pair)[-1]
+        for group_id in (0, 1):
+            silent = stage.members(group_id)[-1]
             one.power_off(silent)
-            took = await one.until(lambda: silent not in stage.members(pair), 4, "recorded out")
+            took = await one.until(lambda: silent not in stage.members(group_id), 4, "recorded out")
             assert took < 1.7, took
             one.start(silent)
             await one.until(stage.whole, 3, "whole")
@@ -200,26 +202,30 @@
     async def acts(stage: groups.Stage) -> None:
         one = stage.scene
         assert (await stage.ask("edge-0", "supervisor", "p first", program="p")).ran == "done"
-        for pair in (1, 2):
-            primary, backup = stage.members(pair)
+        for group_id in (1, 2):
+            primary, backup = stage.members(group_id)
             third = next(name for name in one.storages if name not in (primary, backup))
-            link = one.nodes[primary].hosts[pair].link
-            ask = link.ask
-
-            async def cut_before_telling(address, message, *rest, ask=ask, pair=pair, primary=primary, third=third):
-                told = message.holding if isinstance(message, messages.Appoint) else None
-                if told is not None and told.pair == pair and third in str(told.backups):
+            link = one.nodes[primary].group_replicas[group_id].link
+            request = link.request
+
+            async def cut_before_telling(
+                address, message, *rest, request=request, group_id=group_id, primary=primary, third=third
+            ):
+                told = message.record if isinstance(message, messages.ReplicaSetNotice) else None
+                if told is not None and told.group_id == group_id and third in str(told.backups):
                     one.power_off(primary)
                     one.disks[primary].wipe()
                     one.lost.add(primary)
-                return await ask(address, message, *rest)
+                return await request(address, message, *rest)
 
-            link.ask = cut_before_telling
+            link.request = cut_before_telling
             one.power_off(backup)
             await one.until(lambda primary=primary: not one.alive(primary), 6, "lost before telling")
             await asyncio.sleep(0.5)
             one.start(primary)
-            await one.until(lambda pair=pair, third=third: one.leader(pair) == third, 6, "led by the new member")
+            await one.until(
+                lambda group_id=group_id, third=third: one.leader(group_id) == third, 6, "led by the new member"
+            )
             one.start(backup)
             await one.until(stage.whole, 10, "whole")
         assert (await stage.ask("edge-1", "supervisor", "second", program="p", after=1)).ran == "done"
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -1,4 +1,4 @@
-"""A node's part in one group: its copy, the newest record of holders it knows, its claim."""
+"""A node's part in one group: its copy, the newest replica set it knows, its claim."""
 
 import asyncio
 import collections.abc
@@ -13,7 +13,7 @@
 from aspencroft.runtime import clock
 from aspencroft.transport import codec, connections
 
-LOG = logbook.Logger("pair")
+LOG = logbook.Logger("replication.group_state")
 REPLY = clock.seconds(0.6)
 RETRY = clock.seconds(0.15)
 COME_BACK = clock.seconds(1)
@@ -40,7 +40,7 @@
     """
 
     candidates: collections.abc.Callable[[], tuple[replica_placement.Candidate, ...]]
-    emptied: collections.abc.Callable[[str], bool]
+    is_drained: collections.abc.Callable[[str], bool]
     publish: collections.abc.Callable[[replica_set.ReplicaSet], None]
     gone: collections.abc.Callable[[str], bool]
     copies: int
@@ -62,7 +62,7 @@
         around: GroupPolicy,
     ):
         self.copy = held
-        self.pair = held.pair
+        self.group_id = held.group_id
         self.link = links
         self.proposer = voters
         self.address = address
@@ -91,7 +91,7 @@
             "moves": 0,
             "released": 0,
         }
-        self.why = "starting"
+        self.status_reason = "starting"
         self.unsure = True
         self.patience_end = clock.ZERO
 
@@ -100,13 +100,13 @@
         return replica_set.ReplicaId(self.address, self.copy.identity)
 
     def learn(self, fresh: replica_set.ReplicaSet) -> None:
-        """Hear of a record of holders from anywhere; only a newer epoch counts."""
+        """Hear of a replica set from anywhere; only a newer epoch counts."""
         if self.known is None or fresh.epoch > self.known.epoch:
             self.known = fresh
             self.changed.set()
             self.around.publish(fresh)
 
-    def claimed(self) -> bool:
+    def has_lease(self) -> bool:
         """Whether this node may act as the primary at this moment."""
         tenure = record_changes.Tenure(self.leading, self.handing_over, self.lease_end, self.knows_chosen())
         return record_changes.may_serve(tenure, self.known, self.me(), clock.now())
@@ -127,15 +127,15 @@
     def check_disk(self) -> None:
         """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead."""
         if self.copy.stalled():
-            raise DiskStalled(f"group {self.pair}: a write has not come back for long")
+            raise DiskStalled(f"group {self.group_id}: a write has not come back for long")
 
     def staying(self) -> tuple[replica_set.ReplicaId, ...]:
-        """The members that are neither emptied nor about to stop, nor giving their place to a better one."""
+        """The members that are neither drained nor about to stop, nor giving their place to a better one."""
         return tuple(one for one in self.remaining() if one != self.moving)
 
     def remaining(self) -> tuple[replica_set.ReplicaId, ...]:
-        """The members that are neither emptied nor about to stop."""
-        return tuple(one for one in self.known.members() if not self.around.emptied(one.address))
+        """The members that are neither drained nor about to stop."""
+        return tuple(one for one in self.known.members() if not self.around.is_drained(one.address))
 
     def doubt(self, address: str) -> None:
         """Try a node that failed last for a while, whatever membership thinks of it."""
@@ -148,7 +148,7 @@
     async def ballot(
         self, function: collections.abc.Callable[[replica_set.ReplicaSet], replica_set.ReplicaSet]
     ) -> proposer.Chosen:
-        """One ballot on the record of holders; what it chose is known from then on.
+        """One ballot on the replica set; what it chose is known from then on.
 
         Witnesses may have told of a record that was accepted by few and never chosen. Where the chosen one bears no
         higher epoch, it is given the next one, so that it is the newer one for everybody.
@@ -161,10 +161,10 @@
             return codec.tagged(record_changes.distinct(function(standing), self.known))
 
         async with self.balloting:
-            chosen = await self.proposer.change(self.pair, str(self.me()), change)
+            chosen = await self.proposer.change(self.group_id, str(self.me()), change)
             fresh = proposer.replica_set_of(chosen.value)
             if self.me() in fresh.members():
-                await self.copy.hold(fresh)
+                await self.copy.persist_record(fresh)
             if fresh.primary == self.me():
                 self.chosen, self.chosen_record = chosen, fresh
             self.learn(fresh)
