--- a/aspencroft/replication/interrupted_write_test.py
+++ b/aspencroft/replication/interrupted_write_test.py
@@ -27,7 +27,7 @@
         replica.Entry(
             epoch,
             one.last().sequence + number,
-            codec.tagged(control_state.DutyTaken("duty", number, holder, 1)),
+            codec.tagged(control_state.RoleAcquired("duty", number, holder, 1)),
         )
         for number in range(1, count + 1)
     )
@@ -107,7 +107,7 @@
         machine = disk.SimDisk(tmp_path / str(space), random.Random(1))
         one = made(machine)
         await one.open()
-        drawing = asyncio.ensure_future(one.draw_pictures())
+        drawing = asyncio.ensure_future(one.write_snapshots())
         await one.append(entries(one, 12, "a:1"))
         machine.space = space
         assert one.begin_snapshot()
@@ -137,15 +137,15 @@
         machine.failing_sync = True
         record = replica_set.ReplicaSet(0, 3, replica_set.ReplicaId("a:1", one.identity), ())
         with pytest.raises(OSError, match="error"):
-            await one.hold(record)
-        assert one.holding is None
+            await one.persist_record(record)
+        assert one.record is None
         machine.failing_sync = False
         again = made(machine)
         await again.open()
-        await one.hold(record)
+        await one.persist_record(record)
         again = made(machine)
         await again.open()
-        assert again.holding == record
+        assert again.record == record
 
     run(scene())
 
@@ -155,8 +155,8 @@
 
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
-        machine = those.hosts["n1:1"].copy.environment.disk
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
+        machine = those.group_replicas["n1:1"].copy.environment.disk
         for number in range(20):
             machine.delay = 0.05
             writing = asyncio.ensure_future(those.write(f"s{number}"))
@@ -165,7 +165,7 @@
                 task.cancel()
             await asyncio.gather(writing, return_exceptions=True)
             machine.delay = 0.002
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("last")
         assert those.same("n0:1", "n1:1")
         for name in ("n0:1", "n1:1"):
@@ -176,8 +176,8 @@
 
 async def same_copy_after_start(those: members.Members, name: str) -> bool:
     """Whether a process that starts on a member's disk holds what that member holds."""
-    held = those.hosts[name].copy
-    again = replica.Replica(held.environment, held.folder, held.pair, control_state.ControlState)
+    held = those.group_replicas[name].copy
+    again = replica.Replica(held.environment, held.folder, held.group_id, control_state.ControlState)
     await again.open()
     return (again.last(), again.entries) == (held.last(), held.entries)
 
@@ -186,19 +186,22 @@
 def test_a_primary_whose_disk_fails_steps_aside_and_comes_back_as_a_backup(tmp_path, trouble):
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("a")
-        machine = those.hosts["n0:1"].copy.environment.disk
+        machine = those.group_replicas["n0:1"].copy.environment.disk
         if trouble == "full":
             machine.space = 0
         else:
             machine.stall()
         refused = asyncio.ensure_future(those.write("b", within=2))
         took = await those.until(
-            lambda: any(those.hosts[name].why == "serving" and those.hosts[name].claimed() for name in ("n1:1", "n2:1"))
+            lambda: any(
+                those.group_replicas[name].status_reason == "serving" and those.group_replicas[name].has_lease()
+                for name in ("n1:1", "n2:1")
+            )
         )
         assert took < 6, took
-        leader = next(name for name in ("n1:1", "n2:1") if those.hosts[name].claimed())
+        leader = next(name for name in ("n1:1", "n2:1") if those.group_replicas[name].has_lease())
         await those.write("c", leader)
         assert isinstance((await asyncio.gather(refused, return_exceptions=True))[0], Exception)
         machine.space = None
@@ -216,19 +219,21 @@
 
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        own = those.hosts["n0:1"]
-        await those.until(lambda: own.why == "serving")
+        own = those.group_replicas["n0:1"]
+        await those.until(lambda: own.status_reason == "serving")
         own.copy.environment.disk.stall()
         those.register.refusing = True
         hanging = asyncio.ensure_future(those.write("b", within=1))
-        await those.until(lambda: own.claimed() and own.copy.write_began is not None)
-        assert await those.until(lambda: not own.claimed()) < 4
+        await those.until(lambda: own.has_lease() and own.copy.write_began is not None)
+        assert await those.until(lambda: not own.has_lease()) < 4
         await clock.sleep(clock.seconds(5))
-        assert not own.claimed()
+        assert not own.has_lease()
         own.copy.environment.disk.resume()
         those.register.refusing = False
         await asyncio.gather(hanging, return_exceptions=True)
-        await those.until(lambda: any(one.claimed() and one.why == "serving" for one in those.hosts.values()), 20)
+        await those.until(
+            lambda: any(one.has_lease() and one.status_reason == "serving" for one in those.group_replicas.values()), 20
+        )
 
     members.play(tmp_path, 2, acts)
 
@@ -239,7 +244,7 @@
         machine = disk.SimDisk(tmp_path, random.Random(1))
         one, most = made(machine), 0
         await one.open()
-        drawing = asyncio.ensure_future(one.draw_pictures())
+        drawing = asyncio.ensure_future(one.write_snapshots())
         machine.delay = delay
         for number in range(2000):
             await one.append(entries(one, 1, f"holder {number}"))
@@ -254,7 +259,7 @@
     run(scene())
 
 
-def holds(one: replica.Replica, mark: replica.Mark) -> bool:
+def holds(one: replica.Replica, mark: replica.LogPosition) -> bool:
     """Whether a copy holds all up to a mark."""
     if one.snapshot.sequence > mark.sequence:
         return True
@@ -290,9 +295,9 @@
 ):
     monkeypatch.setattr(replica, "COMPACT_ENTRIES", 4)
 
-    async def life(one: replica.Replica, other: replica.Replica, acknowledged: list[replica.Mark]) -> None:
+    async def life(one: replica.Replica, other: replica.Replica, acknowledged: list[replica.LogPosition]) -> None:
         """Steps of a member's day; each acknowledged mark is noted once the step that ends with it came back."""
-        await one.hold(replica_set.ReplicaSet(0, 1, replica_set.ReplicaId("a:1", one.identity), ()))
+        await one.persist_record(replica_set.ReplicaSet(0, 1, replica_set.ReplicaId("a:1", one.identity), ()))
         for count in (1, 3, 2):
             await one.append(entries(one, count, "a:1"))
             acknowledged.append(one.last())
@@ -334,7 +339,7 @@
         again = made(machine)
         await again.open()
         assert again.identity == one.identity and again.condition is not store.Condition.DAMAGED
-        floor = acknowledged[-1] if acknowledged else replica.Mark(0, replica.NO_DIGEST)
+        floor = acknowledged[-1] if acknowledged else replica.LogPosition(0, replica.NO_DIGEST)
         assert again.incomplete() or holds(again, floor), (end_at, again.last(), floor)
         fresh = made(disk.SimDisk(folder / "fresh", random.Random(3)))
         await fresh.open()
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -7,7 +7,7 @@
 from aspencroft.replication import append_patience, group_state, messages, replica, snapshot_transfer
 from aspencroft.runtime import clock, supervision
 
-LOG = logbook.Logger("copying")
+LOG = logbook.Logger("replication.log_shipping")
 APPEND = append_patience.MOST
 ANSWER = clock.seconds(0.5)
 MEND = clock.seconds(5)
@@ -15,7 +15,7 @@
 
 
 class LogShipping:
-    """The sending side of a member: appending, comparing, mending."""
+    """The sending side of a member: appending, comparing, repairing."""
 
     def __init__(self, own: group_state.GroupState):
         self.own = own
@@ -24,7 +24,7 @@
         self.lost: set[replica_set.ReplicaId] = set()
 
     async def append(
-        self, standing: replica_set.ReplicaSet, last: replica.Mark, entries: tuple[replica.Entry, ...]
+        self, standing: replica_set.ReplicaSet, last: replica.LogPosition, entries: tuple[replica.Entry, ...]
     ) -> tuple[replica_set.ReplicaId, ...]:
         """Sync entries here and on all backups at once; the backups whose copies are not the same then."""
         message = messages.Append(standing, last, entries)
@@ -36,16 +36,16 @@
         last_here = self.own.copy.last()
         return tuple(one for one, task in sent.items() if task.cancelled() or task.result() != last_here)
 
-    async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> replica.Mark | None:
+    async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> replica.LogPosition | None:
         """A backup's newest entry once it synced, or none; tried again while there is time, as it does no
         harm twice.
         """
         end = clock.now() + APPEND
         while (left := end - clock.now()) > clock.ZERO:
             try:
-                return (await self.own.link.ask(backup.address, message, left)).last
+                return (await self.own.link.request(backup.address, message, left)).last
             except result.RequestError as refusal:
-                LOG.info("pair {}: backup {}: {}", self.own.pair, backup.address, refusal)
+                LOG.info("pair {}: backup {}: {}", self.own.group_id, backup.address, refusal)
                 if refusal.result is not result.ResultCode.UNREACHABLE:
                     return None
             await clock.sleep(min(group_state.RETRY / 3, left))
@@ -62,29 +62,29 @@
         return tuple(one for one, task in mended.items() if not task.result())
 
     async def repair_member(self, peer: replica_set.ReplicaId) -> bool:
-        """Compare digests with a backup and mend it; whether its copy is now the same."""
+        """Compare digests with a backup and repair it; whether its copy is now the same."""
         own = self.own
         try:
-            compared = await own.link.ask(peer.address, messages.Compare(own.pair, own.known.epoch), ANSWER)
+            compared = await own.link.request(peer.address, messages.Compare(own.group_id, own.known.epoch), ANSWER)
             if compared.identity != peer.identity:
                 if not compared.identity.startswith(replica.RELEASED):
                     self.lost.add(peer)
                 return False
-            await own.link.ask(peer.address, messages.Appoint(own.known), group_state.REPLY)
+            await own.link.request(peer.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
             return await self.repair_from(peer, compared) == own.copy.last()
         except result.RequestError as refusal:
-            LOG.info("pair {}: mending {}: {}", own.pair, peer.address, refusal)
+            LOG.info("pair {}: mending {}: {}", own.group_id, peer.address, refusal)
             return False
 
-    async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> replica.Mark:
-        """Send what the fellow lacks behind the last range on which the digests agree; its newest entry then."""
+    async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> replica.LogPosition:
+        """Send what the peer lacks behind the last range on which the digests agree; its newest entry then."""
         held = self.own.copy
         agreeing = [mark.sequence for mark in compared.marks if held.digest_at(mark.sequence) == mark.digest]
         snapshot = None if agreeing else held.snapshot
         through = max(agreeing, default=held.snapshot.sequence)
         goal = held.last()
         begin = messages.BeginRepair(self.own.known, peer.identity, goal)
-        await self.own.link.ask(peer.address, begin, group_state.REPLY)
+        await self.own.link.request(peer.address, begin, group_state.REPLY)
         while True:
             if through < held.snapshot.sequence:
                 snapshot, through = held.snapshot, held.snapshot.sequence
@@ -100,9 +100,9 @@
                 entries.append(entry)
                 size += len(entry.body)
             message = messages.Repair(self.own.known, peer.identity, through, snapshot, tuple(entries))
-            reply = await self.own.link.ask(peer.address, message, MEND)
+            reply = await self.own.link.request(peer.address, message, MEND)
             through, snapshot = through + len(entries), None
-            if through >= goal.sequence or not self.own.claimed():
+            if through >= goal.sequence or not self.own.has_lease():
                 return reply.last
 
     async def made_sure(self) -> bool:
@@ -119,12 +119,12 @@
             asked = [group.create_task(self.take_from(one)) for one in others]
         told = [task.result() for task in asked]
         if own.copy.incomplete():
-            own.why = "waits for a member that holds what this copy lacks since a repair broke off"
+            own.status_reason = "waits for a member that holds what this copy lacks since a repair broke off"
             return False
         if True in told or told.count(None) == len(told) or clock.now() >= own.patience_end:
             own.unsure = not is_final(own.leading)
             return True
-        own.why = "waits for another member after the start"
+        own.status_reason = "waits for another member after the start"
         return False
 
     async def take_from(self, peer: replica_set.ReplicaId) -> bool | None:
@@ -132,8 +132,8 @@
         own = self.own
         try:
             while True:
-                message = messages.Fetch(own.known, own.copy.last(), peer.identity)
-                reply = await own.link.ask(peer.address, message, group_state.REPLY)
+                message = messages.FetchLog(own.known, own.copy.last(), peer.identity)
+                reply = await own.link.request(peer.address, message, group_state.REPLY)
                 if reply.lost:
                     return None
                 if reply.snapshot is None and not reply.entries:
@@ -141,12 +141,12 @@
                 async with own.lock:
                     if own.copy.last() != message.last:
                         continue
-                    LOG.warning("pair {}: {} held more than this disk", own.pair, peer.address)
+                    LOG.warning("pair {}: {} held more than this disk", own.group_id, peer.address)
                     own.counts["taken at start"] += 1
                     through = message.last.sequence if reply.snapshot is None else reply.snapshot.sequence
                     await own.copy.repair(through, reply.snapshot, reply.entries)
         except result.RequestError as refusal:
-            LOG.info("pair {}: comparing with {}: {}", own.pair, peer.address, refusal)
+            LOG.info("pair {}: comparing with {}: {}", own.group_id, peer.address, refusal)
             return False
 
 
--- a/aspencroft/replication/log_shipping_test.py
+++ b/aspencroft/replication/log_shipping_test.py
@@ -8,16 +8,16 @@
 
 def entries(one: replica.Replica, count: int) -> tuple[replica.Entry, ...]:
     """Entries that follow a copy's last one."""
-    body = members.codec.tagged(members.control_state.DutyTaken("x", 1, "a:1", 1))
+    body = members.codec.tagged(members.control_state.RoleAcquired("x", 1, "a:1", 1))
     return tuple(replica.Entry(1, one.last().sequence + number + 1, body) for number in range(count))
 
 
 def test_one_other_member_is_enough_to_be_sure(tmp_path):
     async def acts(those: members.Members) -> None:
-        own = those.hosts["n0:1"]
+        own = those.group_replicas["n0:1"]
         fresh = entries(own.copy, 3)
         for name in ("n0:1", "n1:1", "n2:1"):
-            await those.hosts[name].copy.append(fresh[: 2 if name == "n0:1" else 3])
+            await those.group_replicas[name].copy.append(fresh[: 2 if name == "n0:1" else 3])
         those.silent.add("n1:1")
         own.patience_end = clock.now() + clock.seconds(60)
         assert await own.log_shipping.made_sure()
@@ -28,12 +28,12 @@
 
 def test_a_lost_copy_is_not_waited_for_and_a_silent_one_only_for_a_while(tmp_path):
     async def acts(those: members.Members) -> None:
-        own = those.hosts["n0:1"]
+        own = those.group_replicas["n0:1"]
         own.patience_end = clock.now() + clock.seconds(3)
         those.silent.add("n1:1")
         assert not await own.log_shipping.made_sure()
         those.silent.clear()
-        those.hosts["n1:1"].copy.identity = "another"
+        those.group_replicas["n1:1"].copy.identity = "another"
         assert await own.log_shipping.made_sure()
         own.unsure = True
         those.silent.add("n1:1")
@@ -45,7 +45,7 @@
 
 def test_those_backups_are_named_that_do_not_hold_the_entries(tmp_path):
     async def acts(those: members.Members) -> None:
-        own = those.hosts["n0:1"]
+        own = those.group_replicas["n0:1"]
         assert await own.log_shipping.append(own.known, own.copy.last(), entries(own.copy, 2)) == ()
         assert those.same(*those.names)
         those.silent.add("n2:1")
@@ -59,10 +59,10 @@
 
 def test_a_backup_that_compared_after_its_start_compares_again_once_it_leads(tmp_path):
     async def acts(those: members.Members) -> None:
-        own = those.hosts["n1:1"]
+        own = those.group_replicas["n1:1"]
         assert await own.log_shipping.made_sure() and own.unsure
         late = entries(own.copy, 1)
-        await those.hosts["n2:1"].copy.append(late)
+        await those.group_replicas["n2:1"].copy.append(late)
         own.leading = True
         assert await own.log_shipping.made_sure() and not own.unsure
         assert those.same("n1:1", "n2:1")
@@ -72,7 +72,7 @@
 
 def test_a_message_that_does_not_fit_does_not_make_a_started_backup_sure(tmp_path):
     async def acts(those: members.Members) -> None:
-        first, own = those.hosts["n0:1"], those.hosts["n1:1"]
+        first, own = those.group_replicas["n0:1"], those.group_replicas["n1:1"]
         before = first.copy.last()
         lost, fresh = entries(first.copy, 2)
         await first.copy.append((lost,))
--- a/aspencroft/replication/messages.py
+++ b/aspencroft/replication/messages.py
@@ -13,8 +13,8 @@
 class Append:
     """Entries for a backup, behind the one it has last."""
 
-    holding: replica_set.ReplicaSet
-    previous: replica.Mark
+    record: replica_set.ReplicaSet
+    previous: replica.LogPosition
     entries: tuple[replica.Entry, ...]
 
 
@@ -23,7 +23,7 @@
 class Appended:
     """The copy's newest entry once all is synced."""
 
-    last: replica.Mark
+    last: replica.LogPosition
 
 
 @codec.kind(52)
@@ -31,7 +31,7 @@
 class Compare:
     """Ask a copy for its range digests."""
 
-    pair: int
+    group_id: int
     epoch: int
 
 
@@ -41,7 +41,7 @@
     """A copy's identity and range digests."""
 
     identity: str
-    marks: tuple[replica.Mark, ...]
+    marks: tuple[replica.LogPosition, ...]
 
 
 @codec.kind(54)
@@ -49,10 +49,10 @@
 class Repair:
     """Keep what agrees through a sequence, then add this; the record fences off older primaries."""
 
-    holding: replica_set.ReplicaSet
+    record: replica_set.ReplicaSet
     identity: str
     through: int
-    snapshot: replica.Picture | None
+    snapshot: replica.Snapshot | None
     entries: tuple[replica.Entry, ...]
 
 
@@ -61,17 +61,17 @@
 class BeginRepair:
     """A repair of several messages begins: until the copy holds the goal, it may lack what was acknowledged."""
 
-    holding: replica_set.ReplicaSet
+    record: replica_set.ReplicaSet
     identity: str
-    goal: replica.Mark
+    goal: replica.LogPosition
 
 
 @codec.kind(180)
 @dataclasses.dataclass(frozen=True)
-class SnapshotPart:
+class SnapshotChunk:
     """Bytes of a snapshot from an offset on; none of them just asks how many of the transfer are held."""
 
-    holding: replica_set.ReplicaSet
+    record: replica_set.ReplicaSet
     identity: str
     transfer: int
     offset: int
@@ -80,7 +80,7 @@
 
 @codec.kind(181)
 @dataclasses.dataclass(frozen=True)
-class SnapshotHeld:
+class SnapshotProgress:
     """How many bytes of a transfer a member holds: the next part starts there."""
 
     held: int
@@ -91,7 +91,7 @@
 class InstallSnapshot:
     """All parts were sent: become what they show; the record fences off older primaries."""
 
-    holding: replica_set.ReplicaSet
+    record: replica_set.ReplicaSet
     identity: str
     transfer: int
     epoch: int
@@ -102,51 +102,51 @@
 
 @codec.kind(55)
 @dataclasses.dataclass(frozen=True)
-class Appoint:
+class ReplicaSetNotice:
     """The witnesses recorded these holders."""
 
-    holding: replica_set.ReplicaSet
+    record: replica_set.ReplicaSet
 
 
 @codec.kind(58)
 @dataclasses.dataclass(frozen=True)
-class Fetch:
+class FetchLog:
     """A member that has just started asks another one, known by its identity, for what it holds beyond this."""
 
-    holding: replica_set.ReplicaSet
-    last: replica.Mark
+    record: replica_set.ReplicaSet
+    last: replica.LogPosition
     identity: str
 
 
 @codec.kind(59)
 @dataclasses.dataclass(frozen=True)
-class Fetched:
-    """Entries behind the mark, or a picture and the entries behind it; none when there is nothing more.
+class FetchedLog:
+    """Entries behind the mark, or a snapshot and the entries behind it; none when there is nothing more.
 
     ``lost`` says that this is not the copy that was asked for: that one is gone.
     """
 
-    snapshot: replica.Picture | None
+    snapshot: replica.Snapshot | None
     entries: tuple[replica.Entry, ...]
     lost: bool
 
 
 @codec.kind(37)
 @dataclasses.dataclass(frozen=True)
-class Ask:
-    """Ask a group's primary for the record that stands, and whether it knows that a node is being emptied."""
+class ReplicaSetQuery:
+    """Ask a group's primary for the record that stands, and whether it knows that a node is being drained."""
 
-    pair: int
+    group_id: int
     address: str
 
 
 @codec.kind(38)
 @dataclasses.dataclass(frozen=True)
-class Stands:
-    """The record under which a primary serves; ``emptied`` tells that it will not take the node in again."""
+class ReplicaSetReply:
+    """The record under which a primary serves; ``drained`` tells that it will not take the node in again."""
 
-    holding: replica_set.ReplicaSet
-    emptied: bool
+    record: replica_set.ReplicaSet
+    drained: bool
 
 
 @codec.kind(56)
@@ -154,7 +154,7 @@
 class Submit:
     """A command for a pair, to its primary."""
 
-    pair: int
+    group_id: int
     within: datetime.timedelta
     body: bytes
 
@@ -165,4 +165,4 @@
     """The reply to a command, once it is synced on all copies."""
 
     body: bytes
-    holding: replica_set.ReplicaSet
+    record: replica_set.ReplicaSet
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -13,7 +13,7 @@
 from aspencroft.runtime import clock, supervision
 from aspencroft.transport import codec
 
-LOG = logbook.Logger("serving")
+LOG = logbook.Logger("replication.primary")
 RENEW = clock.seconds(0.25)
 BEAT = clock.seconds(0.2)
 QUEUE = 1024
@@ -60,13 +60,17 @@
     async def submit(self, command, within: datetime.timedelta):
         """Have a command decided by the primary; the reply comes once it is synced on all copies."""
         own = self.own
-        if not own.claimed():
-            raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail=own.why, retry=group_state.COME_BACK)
+        if not own.has_lease():
+            raise result.RequestError(
+                result.ResultCode.NOT_PRIMARY, detail=own.status_reason, retry=group_state.COME_BACK
+            )
         if not own.known.backups:
-            raise result.RequestError(result.ResultCode.NO_BACKUP, detail=own.why, retry=group_state.COME_BACK)
+            raise result.RequestError(
+                result.ResultCode.NO_BACKUP, detail=own.status_reason, retry=group_state.COME_BACK
+            )
         if self.submissions.full():
             raise result.RequestError(
-                result.ResultCode.OVERLOADED, detail=f"pair {own.pair}", retry=group_state.COME_BACK
+                result.ResultCode.OVERLOADED, detail=f"pair {own.group_id}", retry=group_state.COME_BACK
             )
         waiting = Submission(command, clock.now() + within, asyncio.get_running_loop().create_future())
         self.submissions.put_nowait(waiting)
@@ -77,15 +81,15 @@
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN,
                 result.Ran.UNKNOWN,
-                f"pair {own.pair} did not finish in time",
+                f"pair {own.group_id} did not finish in time",
                 group_state.COME_BACK,
             ) from None
 
     async def lead(self) -> None:
         """Claim, make the backups agree, then serve until deposed."""
         own = self.own
-        own.why = "claiming"
-        await own.copy.hold(own.known)
+        own.status_reason = "claiming"
+        await own.copy.persist_record(own.known)
         if own.chosen is None or proposer.replica_set_of(own.chosen.value) != own.known:
             await own.ballot(lambda standing: standing)
             if own.known.primary != own.me():
@@ -122,8 +126,8 @@
         while True:
             own.check_disk()
             used = own.chosen
-            end, newest, answered = await own.proposer.claim(
-                used, own.pair, str(own.me()), clock.ZERO if failed else witness.LEASE
+            end, newest, answered = await own.proposer.request_lease(
+                used, own.group_id, str(own.me()), clock.ZERO if failed else witness.LEASE
             )
             if end is not None and failed:
                 failed = False
@@ -145,16 +149,16 @@
         """
         own = self.own
         unchanged = own.chosen is used and not own.balloting.locked()
-        return unchanged and bool(newest or (not own.claimed() and answered))
+        return unchanged and bool(newest or (not own.has_lease() and answered))
 
     async def settle_record(self, why: str) -> None:
         """Have the record that stands chosen once more, and know it then."""
         own = self.own
-        own.why = why
+        own.status_reason = why
         try:
             await own.ballot(lambda standing: standing)
         except result.RequestError as refusal:
-            LOG.info("pair {}: {}", own.pair, refusal)
+            LOG.info("pair {}: {}", own.group_id, refusal)
 
     async def tick(self) -> None:
         """Clock events of the view, decided like any command."""
@@ -162,7 +166,7 @@
         while True:
             await clock.sleep(BEAT)
             own.copy.view.limit_payload(own.around.payload_limit())
-            if own.claimed() and own.known.backups and not self.submissions.full():
+            if own.has_lease() and own.known.backups and not self.submissions.full():
                 for command in own.copy.view.due(clock.now(), own.around.gone):
                     if not self.submissions.full():
                         self.submissions.put_nowait(
@@ -193,10 +197,10 @@
         try:
             while True:
                 standing = own.known
-                if not own.claimed():
+                if not own.has_lease():
                     await clock.sleep(BEAT / 8)
                 elif not standing.backups:
-                    own.why = "no backup"
+                    own.status_reason = "no backup"
                     self.refuse_waiting(result.ResultCode.NO_BACKUP)
                     if await self.replica_changes.add_replica():
                         self.agreed = own.known
@@ -205,14 +209,14 @@
                 elif self.agreed != standing:
                     await self.agree(standing)
                 elif not self.enough(standing):
-                    own.why = "recruiting"
+                    own.status_reason = "recruiting"
                     if await self.replica_changes.add_replica(doubted=False):
                         self.agreed = own.known
                     elif own.known == standing:
                         self.short = standing
                 else:
                     self.answer(held_back)
-                    own.why = "serving"
+                    own.status_reason = "serving"
                     await self.replica_changes.move_away()
                     if own.known == standing and await self.replica_changes.admit():
                         self.agreed = own.known
@@ -226,7 +230,7 @@
         if not await self.log_shipping.made_sure():
             await clock.sleep(group_state.RETRY)
             return
-        self.own.why = "mending the backups"
+        self.own.status_reason = "mending the backups"
         failed = await self.log_shipping.agree(standing)
         lost = self.log_shipping.lost.intersection(failed)
         if failed:
@@ -238,7 +242,7 @@
 
     def answer(self, decided: list[Decided]) -> None:
         """Hand out replies of what all replicas hold, if the lease still stands; else the outcome is unknown."""
-        if not self.own.claimed():
+        if not self.own.has_lease():
             self.leave_unclear(decided)
             return
         for one in decided:
@@ -279,7 +283,7 @@
         """Decide what waits, sync the events on all copies, answer; backups that failed are recorded out.
 
         What was decided stays in ``held_back`` until enough copies hold it.
-        The record of holders may change meanwhile, when a
+        The replica set may change meanwhile, when a
         ballot whose outcome was not known is finished: then the backups that synced may be none any more,
         and the batch waits
         until the members of the next record agree.
@@ -319,7 +323,7 @@
         self,
         batch: list[Submission],
         standing: replica_set.ReplicaSet,
-        last: replica.Mark,
+        last: replica.LogPosition,
         held_back: list[Decided],
     ) -> tuple[replica.Entry, ...]:
         """Have the view decide commands one after the other; the entries that come of it, folded already."""
@@ -328,7 +332,7 @@
         for waiting in batch:
             if waiting.reply.done():
                 continue
-            if not own.claimed() or waiting.end < clock.now():
+            if not own.has_lease() or waiting.end < clock.now():
                 fail(
                     waiting.reply,
                     result.RequestError(result.ResultCode.NOT_PRIMARY, retry=group_state.COME_BACK),
@@ -339,7 +343,7 @@
             except result.RequestError as refusal:
                 events, reply = (), refusal
             except Exception as error:
-                LOG.exception("pair {} could not decide {}", own.pair, type(waiting.command).__name__)
+                LOG.exception("pair {} could not decide {}", own.group_id, type(waiting.command).__name__)
                 events, reply = (), result.RequestError(result.ResultCode.INTERNAL, detail=repr(error))
             for event in events:
                 entries.append(replica.Entry(standing.epoch, last.sequence + len(entries) + 1, codec.tagged(event)))
@@ -355,7 +359,7 @@
         try:
             await own.ballot(lambda standing: record_changes.without(standing, own.me(), gone))
         except result.RequestError as refusal:
-            LOG.info("pair {}: {}", own.pair, refusal)
+            LOG.info("pair {}: {}", own.group_id, refusal)
             await clock.sleep(group_state.RETRY)
         own.check_tenure()
 
--- a/aspencroft/replication/primary_test.py
+++ b/aspencroft/replication/primary_test.py
@@ -13,7 +13,7 @@
 def test_nothing_is_answered_until_all_backups_hold_it_or_are_recorded_out(tmp_path):
     async def acts(those: members.Members) -> None:
         those.run("n0:1", "n1:1", "n2:1")
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("a")
         assert those.same("n0:1", "n1:1", "n2:1")
         those.silent.add("n2:1")
@@ -34,8 +34,8 @@
 
 def test_too_few_members_answer_only_when_no_other_disk_can_be_had_and_one_never_does(tmp_path):
     async def acts(those: members.Members) -> None:
-        own = those.hosts["n0:1"].serving
-        one, two, three = (those.hosts[name].me() for name in those.names)
+        own = those.group_replicas["n0:1"].serving
+        one, two, three = (those.group_replicas[name].me() for name in those.names)
         short = replica_set.ReplicaSet(0, 5, one, (two,))
         assert own.enough(replica_set.ReplicaSet(0, 5, one, (two, three)))
         assert not own.enough(short)
@@ -51,7 +51,7 @@
 def test_a_group_with_too_few_members_takes_in_another_before_it_answers(tmp_path):
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         those.silent.add("n1:1")
         await those.write("a")
         standing = those.register.standing()
@@ -70,14 +70,14 @@
 
 def slow_repairs(those: members.Members):
     """Have copying to new members take half a second a message."""
-    ask = those.ask
+    request = those.request
 
     async def slow(address, message, within):
         if isinstance(message, messages.BeginRepair):
             await clock.sleep(clock.seconds(0.5))
-        return await ask(address, message, within)
+        return await request(address, message, within)
 
-    those.ask = slow
+    those.request = slow
 
 
 def test_a_disk_known_to_be_lost_is_one_of_the_losses_to_be_borne_and_holds_nobody_up(tmp_path):
@@ -97,8 +97,8 @@
 
 def test_a_copy_that_was_let_go_of_is_no_loss_nor_is_a_member_that_is_silent(tmp_path):
     async def acts(those: members.Members) -> None:
-        own = those.hosts["n0:1"]
-        await those.hosts["n2:1"].copy.release()
+        own = those.group_replicas["n0:1"]
+        await those.group_replicas["n2:1"].copy.release()
         assert await own.log_shipping.agree(own.known)
         assert not own.log_shipping.lost
         those.silent.add("n2:1")
@@ -123,7 +123,7 @@
 def test_members_beyond_what_must_hold_answers_are_taken_in_behind_serving(tmp_path):
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         for number in range(40):
             await those.write(f"a{number}")
         await those.until(lambda: len(those.register.standing().backups) == 2, 3)
@@ -136,7 +136,7 @@
 def test_what_a_member_lacks_is_not_answered_while_the_record_names_it(tmp_path):
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         those.silent.add("n2:1")
         those.register.refusing = True
         try:
@@ -152,14 +152,21 @@
 def test_a_primary_that_hears_no_witness_asks_for_no_claim_that_it_could_not_use(tmp_path):
     async def acts(those: members.Members) -> None:
         those.run("n0:1")
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         those.register.deaf = True
         before = len(those.register.lengths)
         await clock.sleep(clock.seconds(5))
         assert [length > clock.ZERO for length in those.register.lengths[before:]].count(True) <= 1
         assert len(those.register.lengths) > before + 3
         those.register.deaf = False
-        assert await those.until(lambda: those.hosts["n0:1"].claimed() and those.hosts["n0:1"].why == "serving") < 1.5
+        assert (
+            await those.until(
+                lambda: (
+                    those.group_replicas["n0:1"].has_lease() and those.group_replicas["n0:1"].status_reason == "serving"
+                )
+            )
+            < 1.5
+        )
 
     members.play(tmp_path, 2, acts)
 
@@ -168,7 +175,7 @@
     async def acts(those: members.Members) -> None:
         those.run("n0:1")
         those.silent.add("n1:1")
-        await those.until(lambda: those.hosts["n0:1"].why == "no backup")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "no backup")
         try:
             await those.write("a")
             raise AssertionError("answered")
@@ -181,8 +188,8 @@
 def test_nothing_is_answered_under_a_record_that_was_told_of_and_never_chosen(tmp_path):
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        own = those.hosts["n0:1"]
-        await those.until(lambda: own.why == "serving")
+        own = those.group_replicas["n0:1"]
+        await those.until(lambda: own.status_reason == "serving")
         chosen = those.register.standing()
         left_out = chosen.backups[0]
         those.silent.add(left_out.address)
@@ -197,7 +204,7 @@
         assert not answered
         those.register.refusing = False
         those.silent.clear()
-        await those.until(lambda: own.claimed() and own.why == "serving")
+        await those.until(lambda: own.has_lease() and own.status_reason == "serving")
         assert own.known == those.register.standing() and own.known.epoch > chosen.epoch + 1
         await those.write("b")
 
@@ -207,9 +214,9 @@
 def test_an_order_that_the_primary_could_not_write_is_not_answered_though_its_lease_stands(tmp_path):
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("a")
-        own = those.hosts["n0:1"]
+        own = those.group_replicas["n0:1"]
         writes = own.copy.write_items
 
         async def failing(*values) -> None:
--- a/aspencroft/replication/record_changes.py
+++ b/aspencroft/replication/record_changes.py
@@ -109,9 +109,9 @@
 ) -> bool:
     """Whether a member may act as the primary at this moment.
 
-    One that is handing over may not, whatever lease is granted to it meanwhile: witnesses drop that lease once they
-    accept the next primary, which may lead before this one hears of it. One that was told of a record that it did
-    not have chosen may not either: a record that few accepted can leave out a backup that may take over.
+    One that is transferring leadership may not, whatever lease is granted to it meanwhile: witnesses drop that lease
+    once they accept the next primary, which may lead before this one hears of it. One that was told of a record that
+    it did not have chosen may not either: a record that few accepted can leave out a backup that may take over.
     """
     return (
         tenure.leading
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -19,7 +19,7 @@
 from aspencroft.storage import store
 from aspencroft.transport import codec
 
-LOG = logbook.Logger("copy")
+LOG = logbook.Logger("replication.replica")
 NO_DIGEST = b"\0" * 8
 RANGE = 32
 DENSE = 1024
@@ -57,7 +57,7 @@
 
 @codec.kind(42)
 @dataclasses.dataclass(frozen=True)
-class Picture:
+class Snapshot:
     """A fold's result; it replaces the events up to its sequence."""
 
     epoch: int
@@ -68,8 +68,8 @@
 
 @codec.kind(158)
 @dataclasses.dataclass(frozen=True)
-class PicturePart:
-    """A piece of a picture as a disk holds it, so that none is ever written or read as a whole."""
+class StoredChunk:
+    """A piece of a snapshot as a disk holds it, so that none is ever written or read as a whole."""
 
     place: int
     body: bytes
@@ -77,8 +77,8 @@
 
 @codec.kind(159)
 @dataclasses.dataclass(frozen=True)
-class Pictured:
-    """The end of a picture's parts: what they show."""
+class StoredSnapshot:
+    """The end of a snapshot's parts: what they show."""
 
     epoch: int
     sequence: int
@@ -87,8 +87,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Drawn:
-    """A picture in memory, in pieces: they share their bytes with the view. It is sent like a Picture."""
+class EncodedSnapshot:
+    """A snapshot in memory, in pieces: they share their bytes with the view. It is sent like a Picture."""
 
     epoch: int
     sequence: int
@@ -104,27 +104,27 @@
         """Bytes."""
         return sum(map(len, self.pieces))
 
-    def values(self) -> collections.abc.Iterator[PicturePart | Pictured]:
-        """The picture as a disk holds it."""
+    def values(self) -> collections.abc.Iterator[StoredChunk | StoredSnapshot]:
+        """The snapshot as a disk holds it."""
         count, waiting, size = 0, [], 0
         for piece in self.pieces:
             waiting.append(piece)
             size += len(piece)
             if size >= PART:
-                yield PicturePart(count, b"".join(waiting))
+                yield StoredChunk(count, b"".join(waiting))
                 count, waiting, size = count + 1, [], 0
         if waiting:
-            yield PicturePart(count, b"".join(waiting))
+            yield StoredChunk(count, b"".join(waiting))
             count += 1
-        yield Pictured(self.epoch, self.sequence, self.digest, count)
+        yield StoredSnapshot(self.epoch, self.sequence, self.digest, count)
 
 
-NOTHING = Drawn(0, 0, NO_DIGEST, ())
+EMPTY_SNAPSHOT = EncodedSnapshot(0, 0, NO_DIGEST, ())
 
 
 @codec.kind(43)
 @dataclasses.dataclass(frozen=True)
-class Mark:
+class LogPosition:
     """The digest of all events up to a sequence: the end of one range."""
 
     sequence: int
@@ -155,7 +155,7 @@
 
 
 class View(typing.Protocol):
-    """What a journal means: decides commands, folds events, draws pictures of itself."""
+    """What a journal means: decides commands, folds events, draws snapshots of itself."""
 
     def decide(self, command, now, epoch: int) -> tuple[tuple, object]:
         """Events and reply for a command, or a RequestError."""
@@ -209,26 +209,26 @@
 
 
 class Replica:
-    """A pair's copy on this node's disk."""
+    """A group's copy on this node's disk."""
 
     def __init__(
         self,
         around: environment.Environment,
         folder: pathlib.Path,
-        pair: int,
+        group_id: int,
         make_view: collections.abc.Callable[[], View],
     ):
         self.environment = around
         self.folder = folder
-        self.pair = pair
+        self.group_id = group_id
         self.make_view = make_view
         self.kept: store.Store | None = None
         self.condition = store.Condition.EMPTY
         self.identity = ""
-        self.holding: replica_set.ReplicaSet | None = None
+        self.record: replica_set.ReplicaSet | None = None
         self.goal: RepairGoal | None = None
-        self.snapshot = NOTHING
-        self.picture_size = 0
+        self.snapshot = EMPTY_SNAPSHOT
+        self.snapshot_size = 0
         self.entries: list[Entry] = []
         self.digests: list[bytes] = []
         self.held = 0
@@ -241,7 +241,7 @@
         self.next_snapshot = clock.ZERO
         self.rest_end = clock.ZERO
         self.sending = 0
-        self.begun: tuple[Mark, int, collections.abc.Iterator[bytes]] | None = None
+        self.begun: tuple[LogPosition, int, collections.abc.Iterator[bytes]] | None = None
         self.wanted = asyncio.Event()
         self.view_at = 0
 
@@ -253,10 +253,10 @@
         """
         self.kept, items, self.condition = await self.load()
         if self.condition is store.Condition.DAMAGED:
-            LOG.warning("pair {}: the copy in {} is damaged; it starts empty and is mended", self.pair, self.folder)
-        self.identity, self.holding, self.goal = "", None, None
+            LOG.warning("pair {}: the copy in {} is damaged; it starts empty and is mended", self.group_id, self.folder)
+        self.identity, self.record, self.goal = "", None, None
         self.newest = self.kept.generation
-        self.replace_all(NOTHING)
+        self.replace_all(EMPTY_SNAPSHOT)
         parts: list[bytes] = []
         unread = collections.deque(items)
         items = ()
@@ -265,15 +265,15 @@
             if isinstance(value, Identity):
                 self.identity = value.identity
             elif isinstance(value, replica_set.ReplicaSet):
-                self.holding = value
+                self.record = value
             elif isinstance(value, RepairGoal):
                 self.goal = value
-            elif isinstance(value, Picture):
+            elif isinstance(value, Snapshot):
                 self.replace_all(value)
-            elif isinstance(value, PicturePart):
+            elif isinstance(value, StoredChunk):
                 parts.append(value.body)
-            elif isinstance(value, Pictured):
-                self.replace_all(Drawn(value.epoch, value.sequence, value.digest, tuple(parts)))
+            elif isinstance(value, StoredSnapshot):
+                self.replace_all(EncodedSnapshot(value.epoch, value.sequence, value.digest, tuple(parts)))
                 parts = []
             else:
                 self.cut(slice(max(0, value.sequence - self.snapshot.sequence - 1), None))
@@ -289,13 +289,13 @@
             try:
                 return await self.environment.disk.perform(store.load, self.folder, self.environment.disk)
             except OSError as error:
-                LOG.warning("group {}: {} can't be opened: {}", self.pair, self.folder, error)
+                LOG.warning("group {}: {} can't be opened: {}", self.group_id, self.folder, error)
             await clock.sleep(DISK_PAUSE)
 
-    def replace_all(self, snapshot: Picture | Drawn) -> None:
-        """Hold a picture and nothing else."""
+    def replace_all(self, snapshot: Snapshot | EncodedSnapshot) -> None:
+        """Hold a snapshot and nothing else."""
         self.snapshot = as_drawn(snapshot)
-        self.picture_size = self.snapshot.size()
+        self.snapshot_size = self.snapshot.size()
         self.entries, self.digests, self.held = [], [], 0
 
     def cut(self, places: slice) -> None:
@@ -304,12 +304,12 @@
         del self.entries[places], self.digests[places]
 
     def refold(self) -> None:
-        """Make the view anew from picture and entries; the picture shares the view's bytes from then on."""
+        """Make the view anew from snapshot and entries; the snapshot shares the view's bytes from then on."""
         self.view = self.make_view()
         if self.snapshot.pieces:
             self.view.restore(self.take_snapshot_body())
             self.snapshot = dataclasses.replace(self.snapshot, pieces=tuple(self.view.snapshot_parts()))
-            self.picture_size = self.snapshot.size()
+            self.snapshot_size = self.snapshot.size()
         for entry in self.entries:
             self.view.fold(codec.untagged(entry.body))
         self.view_at = self.last().sequence
@@ -341,14 +341,14 @@
     def memory(self) -> ReplicaMemory:
         """What this replica holds in memory."""
         return ReplicaMemory(
-            self.picture_size, self.held, len(self.entries), self.view.payload_bytes(), self.view.size()
+            self.snapshot_size, self.held, len(self.entries), self.view.payload_bytes(), self.view.size()
         )
 
-    def last(self) -> Mark:
+    def last(self) -> LogPosition:
         """Sequence and digest of the newest entry."""
         if self.entries:
-            return Mark(self.entries[-1].sequence, self.digests[-1])
-        return Mark(self.snapshot.sequence, self.snapshot.digest)
+            return LogPosition(self.entries[-1].sequence, self.digests[-1])
+        return LogPosition(self.snapshot.sequence, self.snapshot.digest)
 
     def digest_at(self, sequence: int) -> bytes | None:
         """The digest at a sequence, when the copy still knows it."""
@@ -357,7 +357,7 @@
             return self.snapshot.digest
         return self.digests[place - 1] if 0 < place <= len(self.digests) else None
 
-    def beyond(self, previous: Mark, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
+    def beyond(self, previous: LogPosition, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
         """Those entries behind a mark that this copy has not yet; refused when the copies differ."""
         ahead = self.last().sequence - previous.sequence
         present = tuple(self.entries[len(self.entries) - ahead :]) if ahead > 0 else ()
@@ -365,22 +365,22 @@
             raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="the copies differ")
         return entries[ahead:]
 
-    def marks(self) -> tuple[Mark, ...]:
+    def marks(self) -> tuple[LogPosition, ...]:
         """Digests at the ends of the ranges, and of the newest entries one by one.
 
         These are more than a primary has in flight, so that one of them is where two members of a record begin to
         differ:
         a repair never cuts a backup back below what was acknowledged.
         """
-        ends = [Mark(self.snapshot.sequence, self.snapshot.digest)]
+        ends = [LogPosition(self.snapshot.sequence, self.snapshot.digest)]
         for place in range(RANGE - 1, len(self.entries), RANGE):
-            ends.append(Mark(self.entries[place].sequence, self.digests[place]))
+            ends.append(LogPosition(self.entries[place].sequence, self.digests[place]))
         newest = range(max(0, len(self.entries) - DENSE), len(self.entries))
-        ends.extend(Mark(self.entries[place].sequence, self.digests[place]) for place in newest)
+        ends.extend(LogPosition(self.entries[place].sequence, self.digests[place]) for place in newest)
         return tuple(sorted(set(ends), key=lambda mark: mark.sequence))
 
-    def ahead_of(self, mark: Mark, most: int) -> tuple[Drawn | None, tuple[Entry, ...]]:
-        """What this copy holds beyond a mark of another: entries of so many bytes, behind a picture if need be."""
+    def ahead_of(self, mark: LogPosition, most: int) -> tuple[EncodedSnapshot | None, tuple[Entry, ...]]:
+        """What this copy holds beyond a mark of another: entries of so many bytes, behind a snapshot if need be."""
         snapshot, place = None, mark.sequence - self.snapshot.sequence
         if place < 0:
             snapshot, place = self.snapshot, 0
@@ -425,7 +425,7 @@
         for entry in entries:
             self.remember(entry)
 
-    async def rewrite(self, snapshot: Drawn, entries: list[Entry]) -> None:
+    async def rewrite(self, snapshot: EncodedSnapshot, entries: list[Entry]) -> None:
         """Write and use a generation of a snapshot and entries, while the caller holds ``writing``.
 
         The older one stays in force if that fails. A snapshot that is being drawn is drawn in vain.
@@ -445,13 +445,13 @@
         self.newest = max(self.newest, self.kept.generation) + 1
         return self.kept.successor(self.newest)
 
-    async def fill(self, fresh: store.Store, snapshot: Drawn, entries: list[Entry]) -> None:
-        """Write a picture and the entries behind it into a new generation, a bounded part at a time."""
+    async def fill(self, fresh: store.Store, snapshot: EncodedSnapshot, entries: list[Entry]) -> None:
+        """Write a snapshot and the entries behind it into a new generation, a bounded part at a time."""
         await self.environment.disk.perform(fresh.blank)
         waiting, size = [], 0
         for value in itertools.chain(
             [Identity(self.identity)],
-            [self.holding] if self.holding else [],
+            [self.record] if self.record else [],
             [self.goal] if self.incomplete() else [],
             snapshot.values(),
             tuple(entries),
@@ -463,18 +463,18 @@
                 waiting, size = [], 0
         await self.environment.disk.perform(fresh.append, waiting)
 
-    async def hold(self, fresh: replica_set.ReplicaSet) -> None:
-        """Make a newer record of holders last before acting under it; written twice, as a disk may lose its
+    async def persist_record(self, fresh: replica_set.ReplicaSet) -> None:
+        """Make a newer replica set last before acting under it; written twice, as a disk may lose its
         last synced value and no other copy need hold the same record.
         """
-        if self.holding is None or fresh.epoch > self.holding.epoch:
+        if self.record is None or fresh.epoch > self.record.epoch:
             await uninterrupted.finish(self.write_record(fresh))
 
     async def write_record(self, fresh: replica_set.ReplicaSet) -> None:
         """The two steps of ``hold``."""
         await self.write_items((stored(fresh), stored(fresh)))
-        if self.holding is None or fresh.epoch > self.holding.epoch:
-            self.holding = fresh
+        if self.record is None or fresh.epoch > self.record.epoch:
+            self.record = fresh
 
     async def append(self, entries: tuple[Entry, ...]) -> None:
         """Take entries that follow the last one, make them last, then fold them."""
@@ -518,7 +518,7 @@
         """Whether the entries are more than so many or so many bytes, and than half of the state."""
         times = WHILE_SENDING if self.sending else 1
         many = len(self.entries) >= times * max(entries, self.view.size() // 2)
-        return many or self.held >= times * max(size, self.picture_size // 2)
+        return many or self.held >= times * max(size, self.snapshot_size // 2)
 
     def begin_snapshot(self) -> bool:
         """Take hold of what the view shows now, if the entries are many and the view shows just them.
@@ -536,19 +536,19 @@
         self.wanted.set()
         return True
 
-    async def draw_pictures(self) -> None:
-        """Draw each picture that was begun."""
+    async def write_snapshots(self) -> None:
+        """Draw each snapshot that was begun."""
         while True:
             await self.wanted.wait()
-            await self.finish_picture()
+            await self.write_snapshot()
 
     async def compact(self) -> None:
-        """Replace the events by a picture when they are many."""
+        """Replace the events by a snapshot when they are many."""
         if self.begin_snapshot():
-            await self.finish_picture()
+            await self.write_snapshot()
 
-    async def finish_picture(self) -> None:
-        """Replace events by the picture that was begun. It is drawn in parts, between which the loop goes on.
+    async def write_snapshot(self) -> None:
+        """Replace events by the snapshot that was begun. It is drawn in parts, between which the loop goes on.
 
         And written beside
         the generation in force, which takes entries meanwhile; only its end holds them up.
@@ -559,20 +559,20 @@
         (end, epoch, parts), meanwhile, self.begun = self.begun, self.meanwhile, None
         try:
             if meanwhile is not None:
-                await self.use(Drawn(epoch, end.sequence, end.digest, await drawn(parts)), meanwhile)
+                await self.use(EncodedSnapshot(epoch, end.sequence, end.digest, await drawn(parts)), meanwhile)
         except OSError as error:
             self.next_snapshot = clock.now() + DISK_PAUSE
-            LOG.warning("group {}: no snapshot could be written: {}", self.pair, error)
+            LOG.warning("group {}: no snapshot could be written: {}", self.group_id, error)
         finally:
             self.drawing = False
             if self.meanwhile is meanwhile:
                 self.meanwhile = None
 
-    async def use(self, snapshot: Drawn, meanwhile: list[store.Item]) -> None:
-        """Write a generation that starts with a picture and goes on with what was written meanwhile, then use it.
+    async def use(self, snapshot: EncodedSnapshot, meanwhile: list[store.Item]) -> None:
+        """Write a generation that starts with a snapshot and goes on with what was written meanwhile, then use it.
 
         Unless the copy
-        was mended, which makes a generation of its own.
+        was repair, which makes a generation of its own.
         """
         fresh = self.successor()
         try:
@@ -586,7 +586,7 @@
                 await self.environment.disk.perform(fresh.point, self.kept.home())
                 self.kept = fresh
                 self.cut(slice(0, snapshot.sequence - self.snapshot.sequence))
-                self.snapshot, self.picture_size = snapshot, snapshot.size()
+                self.snapshot, self.snapshot_size = snapshot, snapshot.size()
                 self.rest_end = clock.now() + SNAPSHOT_REST
         except OSError:
             if self.kept is not fresh:
@@ -607,11 +607,11 @@
             former, goal = self.identity, self.goal
             self.identity, self.goal = RELEASED + self.new_identity(), None
             try:
-                await self.rewrite(NOTHING, [])
+                await self.rewrite(EMPTY_SNAPSHOT, [])
             except OSError:
                 self.identity, self.goal = former, goal
                 raise
-            self.replace_all(NOTHING)
+            self.replace_all(EMPTY_SNAPSHOT)
         self.refold()
         allocator.return_free_pages()
 
@@ -619,12 +619,14 @@
         """A name that no other store has."""
         return format(self.environment.randomness.getrandbits(64), "016x")
 
-    async def repair(self, through: int, snapshot: Picture | None, entries: tuple[Entry, ...]) -> Mark:
+    async def repair(self, through: int, snapshot: Snapshot | None, entries: tuple[Entry, ...]) -> LogPosition:
         """Become like the primary: keep what agrees, drop what does not, add what is missing."""
         await uninterrupted.finish(self.replace_behind(through, snapshot, entries))
         return self.last()
 
-    async def replace_behind(self, through: int, snapshot: Picture | Drawn | None, entries: tuple[Entry, ...]) -> None:
+    async def replace_behind(
+        self, through: int, snapshot: Snapshot | EncodedSnapshot | None, entries: tuple[Entry, ...]
+    ) -> None:
         """The steps of ``repair``: the disk first, then memory, so that a failed write leaves both as they were."""
         if snapshot is None and through == self.last().sequence:
             await self.write_and_remember(entries)
@@ -651,12 +653,12 @@
         self.refold()
 
 
-def as_drawn(snapshot: Picture | Drawn) -> Drawn:
+def as_drawn(snapshot: Snapshot | EncodedSnapshot) -> EncodedSnapshot:
     """A snapshot in pieces."""
-    if isinstance(snapshot, Drawn):
+    if isinstance(snapshot, EncodedSnapshot):
         return snapshot
     pieces = (snapshot.body,) if snapshot.body else ()
-    return Drawn(snapshot.epoch, snapshot.sequence, snapshot.digest, pieces)
+    return EncodedSnapshot(snapshot.epoch, snapshot.sequence, snapshot.digest, pieces)
 
 
 def stored(value) -> store.Item:
@@ -665,7 +667,7 @@
 
 
 async def drawn(parts: collections.abc.Iterator[bytes]) -> tuple[bytes, ...]:
-    """The pieces of a picture; the loop goes on between bounded numbers of them."""
+    """The pieces of a snapshot; the loop goes on between bounded numbers of them."""
     pieces, since = [], 0
     for part in parts:
         pieces.append(part)
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -1,4 +1,4 @@
-"""Finding other disks for a group, and moving it off machines that are emptied, stopped or fuller than others."""
+"""Finding other disks for a group, and moving it off machines that are drained, stopped or fuller than others."""
 
 import asyncio
 import datetime
@@ -11,7 +11,7 @@
 from aspencroft.replication import group_state, log_shipping, messages, record_changes
 from aspencroft.runtime import clock
 
-LOG = logbook.Logger("recruiting")
+LOG = logbook.Logger("replication.replica_changes")
 BALANCE_AFTER = clock.seconds(4)
 """How long a better place for a member must have been there before it moves: most machines that are away come back."""
 BALANCE_LOOK = clock.seconds(0.5)
@@ -42,9 +42,9 @@
         areas = {one.area for one in able if one.address in staying}
         if own.moving != own.me():
             areas.add(own.area)
-        free = [one for one in able if one.address not in members and not own.around.emptied(one.address)]
+        free = [one for one in able if one.address not in members and not own.around.is_drained(one.address)]
         held = replica_placement.replica_counts(own.around.records())
-        best_first = replica_placement.preferred(own.pair, free, areas, held)
+        best_first = replica_placement.preferred(own.group_id, free, areas, held)
         return sorted(best_first, key=lambda one: own.doubts(one.address))
 
     def lacking(self) -> bool:
@@ -67,7 +67,9 @@
         """Make a candidate's copy the same as this one was a moment ago, or as it is now; none when that failed."""
         own = self.own
         try:
-            compared = await own.link.ask(one.address, messages.Compare(own.pair, own.known.epoch), group_state.REPLY)
+            compared = await own.link.request(
+                one.address, messages.Compare(own.group_id, own.known.epoch), group_state.REPLY
+            )
             peer = replica_set.ReplicaId(one.address, compared.identity)
             mark = await self.log_shipping.repair_from(peer, compared)
             same = mark == own.copy.last() if whole else own.copy.digest_at(mark.sequence) == mark.digest
@@ -75,7 +77,7 @@
                 own.doubt(one.address)
             return peer if same else None
         except result.RequestError as refusal:
-            LOG.info("pair {}: recruiting {}: {}", own.pair, one.address, refusal)
+            LOG.info("pair {}: recruiting {}: {}", own.group_id, one.address, refusal)
             own.doubt(one.address)
             return None
 
@@ -87,7 +89,7 @@
         Until then nothing more may be answered, as that node would lack it and could take over.
         """
         own = self.own
-        if own.around.emptied(peer.address):
+        if own.around.is_drained(peer.address):
             return False
         try:
             chosen = await own.ballot(lambda standing: record_changes.with_backup(standing, own.me(), peer))
@@ -95,10 +97,12 @@
             if peer not in own.known.backups:
                 return False
             own.counts["recruits"] += 1
-            await own.link.ask(peer.address, messages.Appoint(proposer.replica_set_of(chosen.value)), group_state.REPLY)
+            await own.link.request(
+                peer.address, messages.ReplicaSetNotice(proposer.replica_set_of(chosen.value)), group_state.REPLY
+            )
             return True
         except result.RequestError as refusal:
-            LOG.info("pair {}: recruiting {}: {}", own.pair, peer.address, refusal)
+            LOG.info("pair {}: recruiting {}: {}", own.group_id, peer.address, refusal)
             own.doubt(peer.address)
             if refusal.result is result.ResultCode.OUTCOME_UNKNOWN:
                 raise group_state.Deposed(f"not known whether {peer.address} is a member") from None
@@ -111,13 +115,13 @@
         """
         while True:
             await clock.sleep(group_state.RETRY)
-            if not self.own.claimed():
+            if not self.own.has_lease():
                 continue
             self.balance()
             if not self.lacking():
                 continue
             for one in self.order():
-                if not self.own.claimed() or self.own.why != "serving" or not self.lacking():
+                if not self.own.has_lease() or self.own.status_reason != "serving" or not self.lacking():
                     break
                 peer = await self.prepare(one)
                 if peer is not None:
@@ -136,14 +140,14 @@
         if own.moving is not None or clock.now() < self.next_look:
             return
         self.next_look = clock.now() + BALANCE_LOOK
-        leaving = self.misplaced() if own.why == "serving" else None
+        leaving = self.misplaced() if own.status_reason == "serving" else None
         if leaving is None:
             self.unbalanced_since = None
             return
         if self.unbalanced_since is None:
             self.unbalanced_since = clock.now()
         if clock.now() - self.unbalanced_since >= BALANCE_AFTER + self.turn(leaving) * BALANCE_TURN:
-            LOG.info("group {}: {} is to give its place to a better one", own.pair, leaving.address)
+            LOG.info("group {}: {} is to give its place to a better one", own.group_id, leaving.address)
             self.unbalanced_since = None
             own.moving = leaving
             own.counts["moves"] += 1
@@ -163,7 +167,7 @@
         able = [
             one
             for one in own.around.candidates()
-            if not own.around.emptied(one.address) and not own.doubts(one.address)
+            if not own.around.is_drained(one.address) and not own.doubts(one.address)
         ]
         move = replica_placement.improving_move(own.known, able, held)
         return move.leaving if move is not None else None
@@ -171,7 +175,7 @@
     def turn(self, leaving: replica_set.ReplicaId) -> int:
         """How many groups of a lower number have a member on the same machine: they go first."""
         return sum(
-            record.pair < self.own.pair and any(one.address == leaving.address for one in record.members())
+            record.group_id < self.own.group_id and any(one.address == leaving.address for one in record.members())
             for record in self.own.around.records()
         )
 
@@ -193,7 +197,7 @@
             self.admitted.set()
 
     async def move_away(self) -> None:
-        """Leave machines that are being emptied or stopped, or that another member took the place of.
+        """Leave machines that are being drained or stopped, or that another member took the place of.
 
         One step at a time, once enough others hold the copy. A primary hands its place to a backup that stays.
         """
@@ -216,14 +220,14 @@
         try:
             await own.ballot(lambda standing: record_changes.without(standing, own.me(), leaving))
         except result.RequestError as refusal:
-            LOG.info("pair {}: moving away: {}", own.pair, refusal)
+            LOG.info("pair {}: moving away: {}", own.group_id, refusal)
 
     async def transfer_leadership(self, heir: replica_set.ReplicaId) -> None:
         """Make a backup the primary and stay as a backup; it holds all that was answered."""
         own = self.own
         own.handing_over = True
         await own.ballot(lambda standing: record_changes.hand_over(standing, own.me(), heir))
-        await own.link.ask(heir.address, messages.Appoint(own.known), group_state.REPLY)
+        await own.link.request(heir.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
         own.check_tenure()
         own.handing_over = False
 
--- a/aspencroft/replication/replica_moves_test.py
+++ b/aspencroft/replication/replica_moves_test.py
@@ -25,7 +25,7 @@
 async def serving(those: members.Members) -> None:
     """All nodes run and the group is served by its first primary."""
     those.run(*those.names)
-    await those.until(lambda: those.hosts["n0:1"].why == "serving")
+    await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
     for number in range(5):
         await those.write(f"a{number}")
 
@@ -53,7 +53,7 @@
         await those.until(lambda: "n0:1" not in member_addresses(those) and len(member_addresses(those)) == 2, 40)
         leader = those.register.standing().primary.address
         await those.until(lambda: those.leader() == leader)
-        assert "a4" in those.hosts[leader].copy.view.document["services"]
+        assert "a4" in those.group_replicas[leader].copy.view.document["services"]
 
     members.play(tmp_path, 5, acts)
 
@@ -103,10 +103,10 @@
 
 def test_groups_of_lower_numbers_on_the_same_disk_move_first(tmp_path):
     async def acts(those: members.Members) -> None:
-        own = those.hosts["n0:1"]
+        own = those.group_replicas["n0:1"]
         await serving(those)
         assert own.replica_changes.turn(own.me()) == 0
-        own.pair = 3
+        own.group_id = 3
         those.other_records = other_groups(("n0:1", "n3:1"), 2)
         assert own.replica_changes.turn(own.me()) == 3
 
@@ -126,12 +126,12 @@
 
 
 async def recorded_out(those: members.Members) -> None:
-    """The backup n1 was emptied, n2 took its place, and n1 may hold copies again."""
+    """The backup n1 was drained, n2 took its place, and n1 may hold copies again."""
     await serving(those)
-    those.emptied.add("n1:1")
+    those.drained.add("n1:1")
     await those.until(lambda: "n1:1" not in member_addresses(those) and len(member_addresses(those)) == 2)
-    those.emptied.clear()
-    those.hosts["n1:1"].learn(those.register.standing())
+    those.drained.clear()
+    those.group_replicas["n1:1"].learn(those.register.standing())
 
 
 def stored_bytes(folder: pathlib.Path) -> int:
@@ -141,7 +141,7 @@
 
 def test_a_node_that_is_no_member_any_more_lets_its_copy_go_in_memory_and_on_disk(tmp_path):
     async def acts(those: members.Members) -> None:
-        left = those.hosts["n1:1"]
+        left = those.group_replicas["n1:1"]
         await recorded_out(those)
         identity, held = left.copy.identity, stored_bytes(those.folders["n1:1"])
         assert left.copy.holds_state()
@@ -160,14 +160,14 @@
 
 def test_a_copy_that_was_let_go_can_become_a_member_again(tmp_path):
     async def acts(those: members.Members) -> None:
-        left = those.hosts["n1:1"]
+        left = those.group_replicas["n1:1"]
         await recorded_out(those)
         await those.until(lambda: not left.copy.holds_state(), 30)
         those.stop("n2:1")
         those.stop("n3:1")
         those.gone.update(("n2:1", "n3:1"))
         await those.until(lambda: member_addresses(those) == {"n0:1", "n1:1"})
-        await those.until(lambda: those.hosts["n0:1"].why == "serving")
+        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("again")
         assert those.same("n0:1", "n1:1")
         assert "a4" in left.copy.view.document["services"]
@@ -177,7 +177,7 @@
 
 def test_a_copy_stays_while_the_primary_does_not_say_that_the_group_is_whole_without_it(tmp_path):
     async def acts(those: members.Members) -> None:
-        left = those.hosts["n1:1"]
+        left = those.group_replicas["n1:1"]
         await recorded_out(those)
         those.silent.add(those.register.standing().primary.address)
         await clock.sleep(group_replica.RELEASE_AFTER * 2)
@@ -188,7 +188,7 @@
 
 def test_a_copy_is_not_let_go_by_a_record_that_names_this_node(tmp_path):
     async def acts(those: members.Members) -> None:
-        left = those.hosts["n1:1"]
+        left = those.group_replicas["n1:1"]
         await serving(those)
         await left.release()
         assert left.copy.holds_state()
@@ -199,12 +199,12 @@
 
 def test_a_copy_that_was_let_go_is_not_taken_for_the_member_that_it_was(tmp_path):
     async def acts(those: members.Members) -> None:
-        left = those.hosts["n1:1"]
+        left = those.group_replicas["n1:1"]
         await serving(those)
         former = left.me()
         await left.copy.release()
         assert left.me() != former
-        message = messages.Append(those.register.standing(), those.hosts["n0:1"].copy.last(), ())
+        message = messages.Append(those.register.standing(), those.group_replicas["n0:1"].copy.last(), ())
         try:
             await left.append(message)
             raise AssertionError("it answered as the member that it was")
--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -1,4 +1,4 @@
-"""A copy's pictures: bounded in memory and on the disk, drawn while entries come in, whole after any loss of power."""
+"""A copy's snapshots: bounded in memory and on the disk, drawn while entries come in, whole after any loss of power."""
 
 import asyncio
 import datetime
@@ -112,8 +112,8 @@
             await one.compact()
             live = one.view.ledger.bytes
             assert one.held == sum(len(each.body) + replica.OF_AN_ENTRY for each in one.entries)
-            assert one.held < max(replica.COMPACT_BYTES, one.picture_size // 2) or live < replica.COMPACT_BYTES
-            assert one.picture_size == one.snapshot.size() and one.meanwhile is None
+            assert one.held < max(replica.COMPACT_BYTES, one.snapshot_size // 2) or live < replica.COMPACT_BYTES
+            assert one.snapshot_size == one.snapshot.size() and one.meanwhile is None
             pictures.add(one.snapshot.sequence)
             most_live = max(most_live, live)
             if second % 60 == 59:
@@ -162,7 +162,7 @@
         one = made(tmp_path / "a", disk)
         await one.open()
         pictures, during = set(), 0
-        drawing = asyncio.get_running_loop().create_task(one.draw_pictures())
+        drawing = asyncio.get_running_loop().create_task(one.write_snapshots())
         for number in range(300):
             await turn(one, number, clock.seconds(9))
             one.begin_snapshot()
@@ -210,18 +210,22 @@
         disk.delay = 0.02
         one = made(folder / "a", disk)
         await one.open()
-        await one.hold(replica_set.ReplicaSet(1, 5, replica_set.ReplicaId("a", one.identity), ()))
+        await one.persist_record(replica_set.ReplicaSet(1, 5, replica_set.ReplicaId("a", one.identity), ()))
         await fill(one, range(10))
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(one.hold(replica_set.ReplicaSet(1, 6, replica_set.ReplicaId("a", one.identity), ())))
-            tasks.create_task(one.hold(replica_set.ReplicaSet(1, 7, replica_set.ReplicaId("a", one.identity), ())))
+            tasks.create_task(
+                one.persist_record(replica_set.ReplicaSet(1, 6, replica_set.ReplicaId("a", one.identity), ()))
+            )
+            tasks.create_task(
+                one.persist_record(replica_set.ReplicaSet(1, 7, replica_set.ReplicaId("a", one.identity), ()))
+            )
             await asyncio.sleep(pause)
             assert one.begin_snapshot()
-            await one.finish_picture()
+            await one.write_snapshot()
         assert one.snapshot.sequence == 20 and not one.entries
         again = made(folder / "a", disk)
         await again.open()
-        assert same(one, again) and again.holding == one.holding and one.holding.epoch == 7
+        assert same(one, again) and again.record == one.record and one.record.epoch == 7
 
     for number in range(12):
         run(scene(number / 200))
@@ -255,10 +259,10 @@
         ahead = replica.Entry(1, one.last().sequence + 1, codec.tagged(events[0]))
         one.fold(ahead, events[0])
         await one.compact()
-        assert one.snapshot is replica.NOTHING
+        assert one.snapshot is replica.EMPTY_SNAPSHOT
         await one.write(ahead)
         await one.compact()
-        assert one.snapshot is replica.NOTHING
+        assert one.snapshot is replica.EMPTY_SNAPSHOT
         one.remember(ahead)
         await one.compact()
         assert one.snapshot.sequence == ahead.sequence and not one.entries
@@ -292,7 +296,7 @@
                 )
             ),
         )
-        assert isinstance(sent.snapshot, replica.Picture) and sent.snapshot.body == other.snapshot.body
+        assert isinstance(sent.snapshot, replica.Snapshot) and sent.snapshot.body == other.snapshot.body
         async with asyncio.TaskGroup() as tasks:
             if begun:
                 assert one.begin_snapshot()
@@ -300,7 +304,7 @@
                 tasks.create_task(one.compact())
                 await asyncio.sleep(pause)
             await one.repair(sent.through, sent.snapshot, sent.entries)
-        await one.finish_picture()
+        await one.write_snapshot()
         assert not one.drawing
         assert same(one, other) and one.snapshot.body == other.snapshot.body
         assert len(list((folder / "a").glob("generation-*"))) == 1
@@ -360,14 +364,14 @@
         disk = Disk(tmp_path, random.Random(4))
         one = made(tmp_path / "a", disk)
         await one.open()
-        await one.hold(replica_set.ReplicaSet(1, 5, replica_set.ReplicaId("a", one.identity), ()))
+        await one.persist_record(replica_set.ReplicaSet(1, 5, replica_set.ReplicaId("a", one.identity), ()))
         await fill(one, range(100))
         await one.compact()
         assert not one.entries and disk.lose_last() == 1
         again = made(tmp_path / "a", disk)
         await again.open()
-        assert again.last() == replica.Mark(0, replica.NO_DIGEST) and again.view.size() == 0
-        assert (again.identity, again.holding) == (one.identity, one.holding)
+        assert again.last() == replica.LogPosition(0, replica.NO_DIGEST) and again.view.size() == 0
+        assert (again.identity, again.record) == (one.identity, one.record)
         snapshot, entries = one.ahead_of(again.last(), 1 << 20)
         await again.repair(snapshot.sequence, snapshot, entries)
         assert same(again, one)
@@ -382,7 +386,7 @@
         await one.open()
         await fill(one, range(5))
         end = one.last()
-        await one.write(replica.Picture(1, end.sequence, end.digest, one.view.snapshot()))
+        await one.write(replica.Snapshot(1, end.sequence, end.digest, one.view.snapshot()))
         again = made(tmp_path / "a", disk)
         await again.open()
         assert same(one, again) and not again.entries and again.snapshot.sequence == end.sequence
--- a/aspencroft/replication/second_loss_test.py
+++ b/aspencroft/replication/second_loss_test.py
@@ -102,7 +102,7 @@
     before = len(traffic.acknowledged)
     await those.until(lambda: len(traffic.acknowledged) > before + 2, 8)
     leader = those.leader()
-    services = those.hosts[leader].copy.view.document["services"]
+    services = those.group_replicas[leader].copy.view.document["services"]
     assert set(traffic.acknowledged[:-1]) <= set(services), (step, second)
     return late[0]
 
@@ -131,11 +131,11 @@
 
 
 def test_a_second_loss_at_every_message_of_a_drain(tmp_path):
-    walk(tmp_path, Change(1, lambda those: those.emptied.add(BACKUP), whole_without(BACKUP)), (PRIMARY, THIRD))
+    walk(tmp_path, Change(1, lambda those: those.drained.add(BACKUP), whole_without(BACKUP)), (PRIMARY, THIRD))
 
 
 def test_a_second_loss_at_every_message_while_the_primary_is_drained(tmp_path):
-    walk(tmp_path, Change(1, lambda those: those.emptied.add(PRIMARY), whole_without(PRIMARY)), (BACKUP, THIRD))
+    walk(tmp_path, Change(1, lambda those: those.drained.add(PRIMARY), whole_without(PRIMARY)), (BACKUP, THIRD))
 
 
 def test_a_second_loss_from_the_moment_on_that_a_lost_member_is_replaced(tmp_path):
--- a/aspencroft/replication/snapshot_transfer.py
+++ b/aspencroft/replication/snapshot_transfer.py
@@ -49,7 +49,7 @@
         self.size = 0
         self.expiry: asyncio.TimerHandle | None = None
 
-    def take(self, part: messages.SnapshotPart) -> int:
+    def take(self, part: messages.SnapshotChunk) -> int:
         """Add a part that follows the last one; how many bytes of its transfer are held then."""
         if part.transfer != self.transfer:
             self.forget()
@@ -62,11 +62,11 @@
         self.expiry = asyncio.get_running_loop().call_later(FORGOTTEN_AFTER.total_seconds(), self.forget)
         return self.size
 
-    def whole(self, end: messages.InstallSnapshot) -> replica.Drawn:
+    def whole(self, end: messages.InstallSnapshot) -> replica.EncodedSnapshot:
         """The snapshot; refused unless all of its bytes are held."""
         if end.transfer != self.transfer or end.size != self.size:
             raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="parts of the snapshot are missing")
-        return replica.Drawn(end.epoch, end.sequence, end.digest, tuple(self.parts))
+        return replica.EncodedSnapshot(end.epoch, end.sequence, end.digest, tuple(self.parts))
 
     def forget(self) -> None:
         """Let all parts go."""
@@ -78,7 +78,7 @@
     """A snapshot that is sent, under a number that no other snapshot has."""
 
     number: int
-    snapshot: replica.Drawn
+    snapshot: replica.EncodedSnapshot
 
 
 class SnapshotSender:
@@ -88,14 +88,14 @@
         self.own = own
         self.current: Transfer | None = None
 
-    def transfer_of(self, snapshot: replica.Drawn) -> Transfer:
+    def transfer_of(self, snapshot: replica.EncodedSnapshot) -> Transfer:
         """The transfer of this very snapshot; a later try or another receiver takes it up under the same number."""
         if self.current is None or self.current.snapshot is not snapshot:
             number = self.own.copy.environment.randomness.getrandbits(62) + 1
             self.current = Transfer(number, snapshot)
         return self.current
 
-    async def send(self, peer: replica_set.ReplicaId, snapshot: replica.Drawn) -> replica.Mark:
+    async def send(self, peer: replica_set.ReplicaId, snapshot: replica.EncodedSnapshot) -> replica.LogPosition:
         """Have a member hold the whole snapshot and install it; its newest entry then.
 
         Snapshots of this copy are held back meanwhile, so that the entries behind this one are there to be sent next.
@@ -122,17 +122,17 @@
 
     async def send_part(self, peer: replica_set.ReplicaId, transfer: Transfer, offset: int, body: bytes) -> int:
         """Send one part, again after a broken connection; how many bytes the member holds then."""
-        message = messages.SnapshotPart(self.own.known, peer.identity, transfer.number, offset, body)
+        message = messages.SnapshotChunk(self.own.known, peer.identity, transfer.number, offset, body)
         for _ in range(TRIES - 1):
             try:
-                return (await self.own.link.ask(peer.address, message, PART_TIME)).held
+                return (await self.own.link.request(peer.address, message, PART_TIME)).held
             except result.RequestError as refusal:
                 if refusal.result is not result.ResultCode.UNREACHABLE:
                     raise
             await clock.sleep(group_state.RETRY)
-        return (await self.own.link.ask(peer.address, message, PART_TIME)).held
+        return (await self.own.link.request(peer.address, message, PART_TIME)).held
 
-    async def install(self, peer: replica_set.ReplicaId, transfer: Transfer) -> replica.Mark:
+    async def install(self, peer: replica_set.ReplicaId, transfer: Transfer) -> replica.LogPosition:
         """Have the member replace its copy by the snapshot that it holds."""
         snapshot, size = transfer.snapshot, transfer.snapshot.size()
         message = messages.InstallSnapshot(
@@ -145,4 +145,4 @@
             size,
         )
         within: datetime.timedelta = INSTALL_TIME + clock.seconds(size / INSTALL_BYTES_PER_SECOND)
-        return (await self.own.link.ask(peer.address, message, within)).last
+        return (await self.own.link.request(peer.address, message, within)).last
--- a/aspencroft/replication/snapshot_transfer_test.py
+++ b/aspencroft/replication/snapshot_transfer_test.py
@@ -18,7 +18,7 @@
         replica.Entry(
             1,
             one.last().sequence + number,
-            codec.tagged(control_state.DutyTaken(f"duty {one.last().sequence + number}", 1, "x" * size, 1)),
+            codec.tagged(control_state.RoleAcquired(f"duty {one.last().sequence + number}", 1, "x" * size, 1)),
         )
         for number in range(1, count + 1)
     )
@@ -34,18 +34,18 @@
 
 async def begun(those: members.Members, count: int = 60, more: int = 30) -> replica.Replica:
     """A primary with a snapshot and entries behind it."""
-    held = those.hosts["n0:1"].copy
+    held = those.group_replicas["n0:1"].copy
     await held.append(entries(held, count))
     await held.compact()
     assert held.snapshot.sequence == count
     await held.append(entries(held, more))
-    those.hosts["n0:1"].claimed = lambda: True
+    those.group_replicas["n0:1"].has_lease = lambda: True
     return held
 
 
-async def mended(those: members.Members, name: str = "n1:1") -> replica.Mark:
+async def mended(those: members.Members, name: str = "n1:1") -> replica.LogPosition:
     """Repair a node's copy from the primary's."""
-    own, peer = those.hosts["n0:1"], those.hosts[name]
+    own, peer = those.group_replicas["n0:1"], those.group_replicas[name]
     compared = peer.compare(messages.Compare(0, 1))
     return await own.log_shipping.repair_from(peer.me(), compared)
 
@@ -68,8 +68,8 @@
         sizes = [len(codec.pack(message)) for _, message in those.heard]
         assert max(sizes) < 4500, max(sizes)
         again = replica.Replica(
-            those.hosts["n1:1"].copy.environment,
-            those.hosts["n1:1"].copy.folder,
+            those.group_replicas["n1:1"].copy.environment,
+            those.group_replicas["n1:1"].copy.folder,
             0,
             control_state.ControlState,
         )
@@ -84,7 +84,7 @@
 def test_a_transfer_that_breaks_goes_on_where_it_was_and_is_not_used_before(tmp_path, small, broken):
     async def acts(those: members.Members) -> None:
         held = await begun(those)
-        peer = those.hosts["n1:1"]
+        peer = those.group_replicas["n1:1"]
         await peer.copy.append(entries(peer.copy, 5, size=10))
         real, count = those.deliver, [0]
 
@@ -115,7 +115,7 @@
         those.silent.clear()
         sent = len(those.heard)
         assert await mended(those) == held.last() and not peer.copy.incomplete()
-        parts = [one for _, one in those.heard if isinstance(one, messages.SnapshotPart) and one.body]
+        parts = [one for _, one in those.heard if isinstance(one, messages.SnapshotChunk) and one.body]
         assert len(parts) <= held.snapshot.size() // 1000 + 6, (len(parts), sent)
         assert peer.copy.view.snapshot() == held.view.snapshot()
 
@@ -125,21 +125,21 @@
 def test_half_a_snapshot_is_not_installed_and_two_are_not_mixed(tmp_path, small):
     async def acts(those: members.Members) -> None:
         held = await begun(those)
-        peer = those.hosts["n1:1"]
+        peer = those.group_replicas["n1:1"]
         before = peer.copy.last(), peer.copy.view.snapshot()
-        known, size = those.hosts["n0:1"].known, held.snapshot.size()
+        known, size = those.group_replicas["n0:1"].known, held.snapshot.size()
         end = messages.InstallSnapshot(
             known, peer.copy.identity, 5, 1, held.snapshot.sequence, held.snapshot.digest, size
         )
         body = held.snapshot.body
-        part = messages.SnapshotPart(known, peer.copy.identity, 5, 0, body[:4000])
-        assert peer.take_snapshot_part(part).held == 4000
-        assert peer.take_snapshot_part(part).held == 4000
+        part = messages.SnapshotChunk(known, peer.copy.identity, 5, 0, body[:4000])
+        assert peer.receive_snapshot_chunk(part).held == 4000
+        assert peer.receive_snapshot_chunk(part).held == 4000
         for wrong in (end, dataclasses.replace(end, transfer=6), dataclasses.replace(end, identity="another")):
             with pytest.raises(result.RequestError):
                 await peer.install_snapshot(wrong)
-        assert peer.take_snapshot_part(dataclasses.replace(part, transfer=6, offset=4000)).held == 0
-        assert peer.take_snapshot_part(dataclasses.replace(part, transfer=6, body=body)).held == size
+        assert peer.receive_snapshot_chunk(dataclasses.replace(part, transfer=6, offset=4000)).held == 0
+        assert peer.receive_snapshot_chunk(dataclasses.replace(part, transfer=6, body=body)).held == size
         with pytest.raises(result.RequestError):
             await peer.install_snapshot(end)
         assert (peer.copy.last(), peer.copy.view.snapshot()) == before
@@ -152,9 +152,9 @@
 
 def test_parts_of_a_transfer_that_ended_are_forgotten(tmp_path, small):
     async def acts(those: members.Members) -> None:
-        peer = those.hosts["n1:1"]
-        part = messages.SnapshotPart(those.hosts["n0:1"].known, peer.copy.identity, 5, 0, b"x" * 4000)
-        peer.take_snapshot_part(part)
+        peer = those.group_replicas["n1:1"]
+        part = messages.SnapshotChunk(those.group_replicas["n0:1"].known, peer.copy.identity, 5, 0, b"x" * 4000)
+        peer.receive_snapshot_chunk(part)
         await clock.sleep(snapshot_transfer.FORGOTTEN_AFTER * 1.1)
         assert not peer.incoming.parts
 
@@ -168,7 +168,7 @@
 
     async def acts(those: members.Members) -> None:
         held = await begun(those)
-        peer, third = those.hosts["n1:1"], those.hosts["n2:1"]
+        peer, third = those.group_replicas["n1:1"], those.group_replicas["n2:1"]
         for one in (peer, third):
             await one.copy.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries[:-1]))
         await peer.copy.append(entries(peer.copy, 1, size=1))
@@ -203,7 +203,7 @@
 
     async def acts(those: members.Members) -> None:
         held = await begun(those, more=70)
-        peer = those.hosts["n1:1"]
+        peer = those.group_replicas["n1:1"]
         acknowledged = held.last().sequence - differing
         count = acknowledged - held.snapshot.sequence
         await peer.copy.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries[:count]))
@@ -225,7 +225,7 @@
 def test_a_goal_that_the_next_primary_does_not_hold_binds_no_longer(tmp_path, small):
     async def acts(those: members.Members) -> None:
         held = await begun(those)
-        peer = those.hosts["n1:1"]
+        peer = those.group_replicas["n1:1"]
         await peer.copy.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries))
         await peer.copy.begin_repair(replica.RepairGoal(held.last().sequence + 3, b"12345678"))
         assert peer.copy.incomplete()
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -42,42 +42,27 @@
     """A disk whose work is done at once."""
 
     async def perform(self, function, *arguments):
-        """Do the work.
-
-        Example: ``await disk.perform(store.load, folder, disk)``
-        """
+        """Do the work."""
         return function(*arguments)
 
 
 def around() -> environment.Environment:
-    """An environment whose random numbers are the same each time.
-
-    Example: ``around().randomness.getrandbits(64)``
-    """
+    """An environment whose random numbers are the same each time."""
     return environment.Environment(None, Disk(), None, random.Random(7), None)
 
 
 def group_replica(folder: pathlib.Path, group: int) -> replica.Replica:
-    """A replica of a group, not opened yet.
-
-    Example: ``group_replica(tmp_path, TALK_GROUP)``
-    """
+    """A replica of a group, not opened yet."""
     return replica.Replica(around(), folder, group, VIEWS[group])
 
 
 def new_witness(folder: pathlib.Path) -> witness.Witness:
-    """A witness, not started yet.
-
-    Example: ``new_witness(tmp_path)``
-    """
+    """A witness, not started yet."""
     return witness.Witness(around(), folder, "w:1", 5, FIRST_VOTERS)
 
 
 async def take(one: replica.Replica, *commands) -> None:
-    """Have commands decided and their events appended, as a primary would.
-
-    Example: ``await take(one, command)``
-    """
+    """Have commands decided and their events appended, as a primary would."""
     for command in commands:
         events, _ = one.view.decide(command, NOW, EPOCH)
         last = one.last().sequence
@@ -87,24 +72,18 @@
 
 
 def plan_commands(first: int) -> tuple:
-    """Commands of the control group.
-
-    Example: ``plan_commands(1)``
-    """
+    """Commands of the control group."""
     service = json.dumps({"kind": "plain"})
     return (
-        control_state.WritePlan("merge", "", "", json.dumps({"services": {f"s{first}": {"kind": "plain"}}}), None),
-        control_state.WritePlan("put", "services", f"s{first + 1}", service, None),
-        control_state.TakeDuty(f"duty {first}", f"holder {first}", 5),
-        control_state.WritePlan("put", "services", f"s{first + 2}", service, None),
+        control_state.WriteResources("merge", "", "", json.dumps({"services": {f"s{first}": {"kind": "plain"}}}), None),
+        control_state.WriteResources("put", "services", f"s{first + 1}", service, None),
+        control_state.AcquireRole(f"duty {first}", f"holder {first}", 5),
+        control_state.WriteResources("put", "services", f"s{first + 2}", service, None),
     )
 
 
 def turn_commands(first: int) -> tuple:
-    """Commands of a talk group: turns, keys and operations that are open, closed, and given up.
-
-    Example: ``turn_commands(1)``
-    """
+    """Commands of a talk group: turns, keys and operations that are open, closed, and given up."""
     program, session = f"program {first}", f"session {first}"
     turns = (f"turn {first}", f"turn {first + 1}", f"turn {first + 2}")
     headers = (entry.Pair(b"content-type", b"text/plain"),)
@@ -138,13 +117,10 @@
 
 
 async def write_group(folder: pathlib.Path, group: int) -> None:
-    """A replica that lives through commands, a snapshot, more commands and the beginning of a repair.
-
-    Example: ``await write_group(tmp_path, TALK_GROUP)``
-    """
+    """A replica that lives through commands, a snapshot, more commands and the beginning of a repair."""
     one = group_replica(folder, group)
     await one.open()
-    await one.hold(replica_set.ReplicaSet(group, EPOCH, HOLDERS[0], HOLDERS[1:]))
+    await one.persist_record(replica_set.ReplicaSet(group, EPOCH, HOLDERS[0], HOLDERS[1:]))
     await take(one, *COMMANDS[group](1))
     await one.compact()
     await take(one, *COMMANDS[group](11))
@@ -152,10 +128,7 @@
 
 
 async def write_witness(folder: pathlib.Path) -> None:
-    """A founding witness that takes part in a ballot, a change of the voter set, and remembers the cluster.
-
-    Example: ``await write_witness(tmp_path)``
-    """
+    """A founding witness that takes part in a ballot, a change of the voter set, and remembers the cluster."""
     one = new_witness(folder)
     await one.start(founding=True)
     value = codec.tagged(replica_set.ReplicaSet(TALK_GROUP, EPOCH, HOLDERS[0], HOLDERS[1:]))
@@ -167,20 +140,14 @@
 
 
 def records(folder: pathlib.Path) -> dict[bytes, bytes]:
-    """Keys and values of the generation in force, read without the project's code.
-
-    Example: ``records(tmp_path)[b"0000000000000000"]``
-    """
+    """Keys and values of the generation in force, read without the project's code."""
     generation = (folder / "current").read_text().split()[0]
     with dbm.dumb.open(str(folder / f"generation-{generation}" / "journal"), "r") as database:
         return {key: database[key] for key in sorted(database.keys())}
 
 
 def lay_out(name: str, folder: pathlib.Path) -> pathlib.Path:
-    """The folder of the data file with a name, as files.
-
-    Example: ``lay_out("witness", tmp_path / "former")``
-    """
+    """The folder of the data file with a name, as files."""
     for path, data in json.loads(PATH.read_text())[name].items():
         (folder / path).parent.mkdir(parents=True, exist_ok=True)
         (folder / path).write_bytes(base64.b64decode(data))
@@ -188,20 +155,14 @@
 
 
 async def write_all(folder: pathlib.Path) -> None:
-    """The three folders, by the present code.
-
-    Example: ``await write_all(tmp_path)``
-    """
+    """The three folders, by the present code."""
     await write_group(folder / "control", CONTROL_GROUP)
     await write_group(folder / "talk", TALK_GROUP)
     await write_witness(folder / "witness")
 
 
 def make_data_file() -> None:
-    """Write the data file, unless there is one.
-
-    Example: ``make_data_file()``
-    """
+    """Write the data file, unless there is one."""
     replica.COMPACT_ENTRIES = 4
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
@@ -255,7 +216,7 @@
     asyncio.run(one.open())
     assert one.condition is store.Condition.SOUND
     assert one.identity == "f2a74de452e6b438"
-    assert one.holding == replica_set.ReplicaSet(group, 3, HOLDERS[0], (HOLDERS[1],))
+    assert one.record == replica_set.ReplicaSet(group, 3, HOLDERS[0], (HOLDERS[1],))
     assert (one.goal.sequence, one.goal.digest) == (9000, b"goal 009")
     assert (one.snapshot.epoch, one.snapshot.sequence, one.snapshot.digest.hex()) == snapshot
     assert (one.last().sequence, one.last().digest.hex()) == last
--- a/aspencroft/residency/residency.py
+++ b/aspencroft/residency/residency.py
@@ -11,14 +11,14 @@
 from aspencroft.configuration import control_state, resources
 from aspencroft.distribution import updates
 from aspencroft.errors import result
-from aspencroft.leadership import duty
+from aspencroft.leadership import singleton_role
 from aspencroft.membership import cluster_member
 from aspencroft.node import node
 from aspencroft.residency import candidate, keep_plan, messages, selection, signals, tap
 from aspencroft.runtime import clock, supervision
 from aspencroft.workers import adapter, worker
 
-LOG = logbook.Logger("residency")
+LOG = logbook.Logger("residency.residency")
 TOPIC = "keeps"
 WINDOW = clock.seconds(10)
 RESOLVE = clock.seconds(0.5)
@@ -71,8 +71,10 @@
     def __init__(self, own: node.Node, back: adapter.Adapter):
         self.node = own
         self.adapter = back
-        self.duty = duty.Duty("residency", own.address, own.incarnation, lambda: own.ring.peers, own.submit)
-        own.duties["residency"] = self.duty
+        self.duty = singleton_role.SingletonRole(
+            "residency", own.address, own.incarnation, lambda: own.failure_detector.peers, own.submit
+        )
+        own.singleton_roles["residency"] = self.duty
         self.signals = signals.Signals()
         self.beliefs: dict[str, Belief] = {}
         self.workers: tuple[worker.Worker, ...] = ()
@@ -106,7 +108,7 @@
 
     def note_served(self, message: messages.Called) -> None:
         """A served call shows that the worker holds the model, and the program's KV."""
-        service = self.node.relay.plan.services.get(message.service)
+        service = self.node.relay.configuration.services.get(message.service)
         belief = self.beliefs.get(message.worker)
         if service is None or belief is None or service.kind != worker.MODEL:
             return
@@ -126,7 +128,7 @@
 
     def models(self, state: str) -> list[worker.Worker]:
         """The model workers that are not leaving, without those of the quiet list: all, or those asleep."""
-        leaving = self.node.relay.plan.leaving
+        leaving = self.node.relay.configuration.leaving
         held = self.node.relay.topics.get("quiet")
         without = json.loads(held.body).get(state, ()) if held is not None else ()
         return [
@@ -179,7 +181,7 @@
 
     def decide(self, now: datetime.timedelta) -> list[tuple[worker.Worker, keep_plan.Step]]:
         """The target set and next orders of each worker whose report was read."""
-        current = self.node.relay.plan
+        current = self.node.relay.configuration
         allowed = frozenset(name for lane in current.lanes.values() for name in lane.services)
         services = tuple(sorted(name for name in allowed if current.services[name].kind == worker.MODEL))
         chances = {name: self.signals.reuse(name, services, WINDOW, now) for name in services}
@@ -221,7 +223,7 @@
         self,
         target: worker.Worker,
         belief: Belief,
-        current: resources.Plan,
+        current: resources.Configuration,
         chances: dict[str, float],
         copies: dict[str, dict[str, int]],
         now: datetime.timedelta,
@@ -325,15 +327,15 @@
         await publish(self.node, self.duty, TOPIC, body)
 
 
-async def publish(own: node.Node, held: duty.Duty, topic: str, body: str) -> None:
+async def publish(own: node.Node, held: singleton_role.SingletonRole, topic: str, body: str) -> None:
     """Give a topic's new state to the root, under a revision that grows with the duty's epoch."""
-    holders = own.ring.holdings.get(0)
+    holders = own.failure_detector.records.get(0)
     if holders is None or not held.held():
         return
     known = own.relay.topics.get(topic)
     number = max(held.epoch * EPOCH_UNIT, known.revision.number if known else 0) + 1
-    one = updates.News(topic, control_state.Revision(held.epoch, number), None, body)
+    one = updates.Update(topic, control_state.Revision(held.epoch, number), None, body)
     try:
-        await own.link.ask(holders.primary.address, updates.Publish(one), clock.seconds(1))
+        await own.link.request(holders.primary.address, updates.Publish(one), clock.seconds(1))
     except result.RequestError as refusal:
         LOG.info("publishing {}: {}", topic, refusal)
--- a/aspencroft/runtime/environment.py
+++ b/aspencroft/runtime/environment.py
@@ -21,7 +21,7 @@
 
 
 class Channel(typing.Protocol):
-    """One byte stream to a fellow."""
+    """One byte stream to a peer."""
 
     async def read(self, count: int) -> bytes:
         """Exactly so many bytes, or IncompleteReadError."""
@@ -122,7 +122,7 @@
         link.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(silence.total_seconds() * 1000))
 
     async def write(self, data: bytes) -> None:
-        """Write and wait while the fellow is slow."""
+        """Write and wait while the peer is slow."""
         self.writer.write(data)
         await self.writer.drain()
 
--- a/aspencroft/runtime/supervision.py
+++ b/aspencroft/runtime/supervision.py
@@ -8,7 +8,7 @@
 
 from aspencroft.runtime import clock
 
-LOG = logbook.Logger("steady")
+LOG = logbook.Logger("runtime.supervision")
 AGAIN = clock.seconds(0.5)
 
 
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -291,7 +291,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LedgerPicture:
+class LedgerSnapshot:
     """All that a ledger holds."""
 
     accounts: tuple[Account, ...]
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -1,4 +1,4 @@
-"""A talk pair's view: conversations with history and budget, and operation keys."""
+"""A session group's view: conversations with history and budget, and operation keys."""
 
 import collections
 import collections.abc
@@ -227,7 +227,7 @@
         return b"".join(self.snapshot_parts())
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The picture of this moment in bounded parts; what changes meanwhile is not in it."""
+        """The snapshot of this moment in bounded parts; what changes meanwhile is not in it."""
         held = (list(self.programs.values()), list(self.operations.values()))
         ledger_parts = self.ledger.snapshot_parts()
 
@@ -241,7 +241,7 @@
         return parts()
 
     def size(self) -> int:
-        """How much a picture holds, in programs, keys and entries of the ledger."""
+        """How much a snapshot holds, in programs, keys and entries of the ledger."""
         return len(self.programs) + len(self.operations) + self.ledger.size()
 
     def payload_bytes(self) -> int:
@@ -256,7 +256,7 @@
         self.ledger.most_bytes = most
 
     def restore(self, body: bytes) -> None:
-        """Become what a picture shows; one from before there was a ledger ends behind the operations."""
+        """Become what a snapshot shows; one from before there was a ledger ends behind the operations."""
         shown, place = codec.unpack_from(messages.TalkPicture, body, 0)
         if place < len(body) and self.ledger.restore(body, place) != len(body):
             raise codec.Broken("bytes are left over")
--- a/aspencroft/sessions/ledger.py
+++ b/aspencroft/sessions/ledger.py
@@ -602,10 +602,10 @@
                 self.looked.popleft()
         return (entry.Forget(*out),) if any(out) else ()
 
-    # -- pictures ------------------------------------------------------------------------------
+    # -- snapshots ------------------------------------------------------------------------------
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The picture of this moment in bounded parts; history is shared, not copied.
+        """The snapshot of this moment in bounded parts; history is shared, not copied.
 
         What changes meanwhile is not in it.
         """
@@ -643,7 +643,7 @@
         return parts()
 
     def size(self) -> int:
-        """How much a picture holds, in entries."""
+        """How much a snapshot holds, in entries."""
         return (
             len(self.accounts)
             + len(self.turns)
@@ -654,11 +654,11 @@
         )
 
     def restore(self, body: bytes, place: int) -> int:
-        """Become what a picture shows that stands at a place of the bytes; the place behind it.
+        """Become what a snapshot shows that stands at a place of the bytes; the place behind it.
 
         In one of an earlier version the ages of turns are missing: they count as new.
         """
-        shown, end = codec.unpack_from(entry.LedgerPicture, body, place)
+        shown, end = codec.unpack_from(entry.LedgerSnapshot, body, place)
         ages = entry.TurnAges(clock.ZERO, (clock.ZERO,) * len(shown.turns))
         if end < len(body):
             ages, end = codec.unpack_from(entry.TurnAges, body, end)
--- a/aspencroft/sessions/ledger_test.py
+++ b/aspencroft/sessions/ledger_test.py
@@ -993,7 +993,7 @@
         )
 
 
-# -- clocks, pictures, memory ------------------------------------------------------------------------
+# -- clocks, snapshots, memory ------------------------------------------------------------------------
 
 
 def test_the_looks_at_a_large_ledger_are_bounded_and_reach_everything():
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -1,4 +1,4 @@
-"""What edges and talk pairs say to each other, and the events kept: one family of records."""
+"""What edges and session groups say to each other, and the events kept: one family of records."""
 
 import dataclasses
 import datetime
@@ -199,7 +199,7 @@
 @codec.kind(118)
 @dataclasses.dataclass(frozen=True)
 class OpenGo:
-    """A turn under way, as a picture keeps it."""
+    """A turn under way, as a snapshot keeps it."""
 
     helper: str
     after: int
@@ -246,7 +246,7 @@
 @codec.kind(121)
 @dataclasses.dataclass(frozen=True)
 class TalkPicture:
-    """All programs and operations of a talk pair."""
+    """All programs and operations of a session group."""
 
     programs: tuple[Program, ...]
     operations: tuple[Operation, ...]
--- a/aspencroft/simulation/alerting_test.py
+++ b/aspencroft/simulation/alerting_test.py
@@ -37,7 +37,9 @@
         assert (shed.result, shed.ran) == (1108, "not run")
         assert (await stage.ask("edge-1", "till-lock", {"name": "k"}, operation="k")).ran == "done"
         holder = next(
-            name for name, own in one.nodes.items() if own.duties.get("alerts") and own.duties["alerts"].held()
+            name
+            for name, own in one.nodes.items()
+            if own.singleton_roles.get("alerts") and own.singleton_roles["alerts"].held()
         )
         one.kill(holder)
         for _ in range(40):
--- a/aspencroft/simulation/behaviour_digests.py
+++ b/aspencroft/simulation/behaviour_digests.py
@@ -135,7 +135,7 @@
     Example: ``final_versions(cluster)[0] == ["edge-0", 3]``
     """
     return [
-        [name, cluster.nodes[name].relay.plan.version]
+        [name, cluster.nodes[name].relay.configuration.version]
         for name in cluster.names()
         if cluster.alive(name) and name in cluster.nodes
     ]
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -259,12 +259,14 @@
             sampled=[],
             stopping=asyncio.Event(),
             standing=None,
-            settings=types.SimpleNamespace(pairs=2, talk_pairs=1, area="north", address=name, key_window=KEY_WINDOW),
+            settings=types.SimpleNamespace(
+                group_count=2, talk_pairs=1, area="north", address=name, key_window=KEY_WINDOW
+            ),
             relay=types.SimpleNamespace(
-                plan=plan, current=lambda: True, root=False, currency=SETTLED * 10, currency_end=SETTLED * 10
+                configuration=plan, current=lambda: True, root=False, currency=SETTLED * 10, currency_end=SETTLED * 10
             ),
             submit=self.group.submit,
-            life=lambda: name,
+            incarnation_id=lambda: name,
         )
         known = instances.Instances()
         known.take(
@@ -449,10 +451,7 @@
 
 
 def sizes_of(kind: Kind) -> Sizes:
-    """The bytes of a call without trouble, counted at the worker.
-
-    Example: ``sizes_of(KINDS[0]).request > 0``
-    """
+    """The bytes of a call without trouble, counted at the worker."""
     scene = Scene(kind, Trouble())
     read, written = bytearray(), bytearray()
 
--- a/aspencroft/simulation/calls_test.py
+++ b/aspencroft/simulation/calls_test.py
@@ -39,9 +39,12 @@
 def test_a_pair_without_a_primary_holds_up_none_but_its_own():
     async def acts(stage: guarantees.Stage) -> None:
         one = stage.scene
-        pairs = one.edge_paths["edge-0"].node.settings.talk_pairs
+        group_ids = one.edge_paths["edge-0"].node.settings.talk_pairs
         names = [f"n{number}" for number in range(4000)]
-        of = {pair: [name for name in names if pair_of(name, pairs) == pair] for pair in range(1, 1 + pairs)}
+        of = {
+            group_id: [name for name in names if pair_of(name, group_ids) == group_id]
+            for group_id in range(1, 1 + group_ids)
+        }
         for node in one.names():
             own = one.nodes[node]
             answer = own.answer
@@ -78,9 +81,9 @@
     guarantees.play(53, acts)
 
 
-def pair_of(name: str, pairs: int) -> int:
-    """The talk pair of a name."""
-    return path.pair_of(name, pairs)
+def pair_of(name: str, group_ids: int) -> int:
+    """The session group of a name."""
+    return path.pair_of(name, group_ids)
 
 
 def test_a_flood_costs_linear_work_and_what_cannot_be_served_is_refused_when_that_is_known():
--- a/aspencroft/simulation/campaign.py
+++ b/aspencroft/simulation/campaign.py
@@ -94,7 +94,7 @@
             watching.cancel()
         self.told.extend(await self.asking.still_kept())
         await self.scene.until(lambda: bool(self.scene.leader(0)), RETURN, "led")
-        self.document = self.scene.nodes[self.scene.leader(0)].hosts[0].copy.view.document
+        self.document = self.scene.nodes[self.scene.leader(0)].group_replicas[0].copy.view.document
         for _ in range(4):
             await self.operators.read()
 
@@ -135,7 +135,8 @@
     def serves(self) -> bool:
         """Whether every pair is served with two copies, and every edge holds a current plan."""
         return self.scene.ready() and all(
-            self.scene.nodes[self.scene.leader(pair)].hosts[pair].known.backups for pair in range(3)
+            self.scene.nodes[self.scene.leader(group_id)].group_replicas[group_id].known.backups
+            for group_id in range(3)
         )
 
     async def traffic(self) -> None:
@@ -339,7 +340,7 @@
                 one.start(name)
 
     async def empty_machine(self, victim: str) -> None:
-        """An operator has a storage machine emptied; once it holds nothing it is switched off for good."""
+        """An operator has a storage machine drained; once it holds nothing it is switched off for good."""
         one = self.scene
         fresh = f"storage-{one.made(one.storages) + self.swaps}"
         self.swaps += 1
@@ -357,7 +358,7 @@
 
         def empty() -> bool:
             known = one.nodes.get(one.cores[0])
-            held = known.ring.holdings.values() if known is not None else ()
+            held = known.failure_detector.records.values() if known is not None else ()
             return bool(held) and not any(f"{victim}:1" == member.address for two in held for member in two.members())
 
         await one.until(empty, RETURN, f"{victim} emptied")
@@ -414,10 +415,7 @@
     size: simulated_cluster.Size = simulated_cluster.Size(),
     more: dict | None = None,
 ) -> dict:
-    """One seeded campaign; what was wrong, what was done to the fleet, how long service took to return.
-
-    Example: ``run_day(7)["wrong"] == []``
-    """
+    """One seeded campaign; what was wrong, what was done to the fleet, how long service took to return."""
     held: list[Day] = []
 
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
--- a/aspencroft/simulation/cutoff.py
+++ b/aspencroft/simulation/cutoff.py
@@ -298,8 +298,10 @@
                 continue
             self.counts["looks at edges in touch" if calm else "looks at edges while unsettled"] += 1
             due = self.newest(self.bounds.apply + (0.0 if calm else self.bounds.outer))
-            if own.relay.plan.version < due:
-                self.fault(f"{name} holds {own.relay.plan.version}, not {due}, its parent {own.relay.parent()}")
+            if own.relay.configuration.version < due:
+                self.fault(
+                    f"{name} holds {own.relay.configuration.version}, not {due}, its parent {own.relay.parent()}"
+                )
             elif calm and due and not own.relay.current():
                 self.fault(f"{name} in touch may not act on its configuration")
 
@@ -308,8 +310,8 @@
         due = self.newest(ROOT_SLACK)
         for name in self.scene.cores:
             own = self.own(name)
-            if own is not None and own.rooted() and own.relay.plan.version < due:
-                self.fault(f"{name} is the root with {own.relay.plan.version}, not {due}")
+            if own is not None and own.is_root() and own.relay.configuration.version < due:
+                self.fault(f"{name} is the root with {own.relay.configuration.version}, not {due}")
 
     async def watch(self) -> None:
         """Sample and judge again and again."""
@@ -323,9 +325,9 @@
                 if own is None:
                     continue
                 key = (name, own.incarnation)
-                if own.relay.plan.version < held.get(key, 0):
-                    self.fault(f"{name} went back from {held[key]} to {own.relay.plan.version}")
-                held[key] = max(held.get(key, 0), own.relay.plan.version)
+                if own.relay.configuration.version < held.get(key, 0):
+                    self.fault(f"{name} went back from {held[key]} to {own.relay.configuration.version}")
+                held[key] = max(held.get(key, 0), own.relay.configuration.version)
             await asyncio.sleep(SAMPLE)
 
     async def play(self, trouble: collections.abc.Callable[[], collections.abc.Coroutine]) -> None:
--- a/aspencroft/simulation/cutoff_test.py
+++ b/aspencroft/simulation/cutoff_test.py
@@ -78,7 +78,7 @@
         scene.wire.heal()
         due, began = trial.newest(), scene.loop.time()
         own = scene.nodes[victim]
-        assert due > 5 and own.relay.plan.version < due
+        assert due > 5 and own.relay.configuration.version < due
         answered = []
 
         async def read() -> None:
@@ -93,9 +93,9 @@
             while scene.loop.time() < began + 1:
                 group.create_task(read())
                 group.create_task(order_again())
-                newest = max(node.ring.holdings[0].epoch for node in scene.nodes.values())
-                held = own.ring.holdings.get(0)
-                if own.rooted() or own.hosts[0].claimed():
+                newest = max(node.failure_detector.records[0].epoch for node in scene.nodes.values())
+                held = own.failure_detector.records.get(0)
+                if own.is_root() or own.group_replicas[0].has_lease():
                     trial.fault(f"{victim} leads under {held} while {newest} is known")
                 await asyncio.sleep(0.02)
         if any(version < due for version in answered):
@@ -132,7 +132,7 @@
             scene.start(name)
         await asyncio.sleep(12)
         for name in names:
-            version = scene.nodes[name].relay.plan.version
+            version = scene.nodes[name].relay.configuration.version
             if version < trial.newest(2.0):
                 trial.fault(f"{name} holds {version} twelve seconds after its start, not {trial.newest(2.0)}")
         scene.wire.heal()
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -295,7 +295,7 @@
         if own.settings.role == settings.EDGE:
             connections, known = pool.Pool(own.environment, own.outside), instances.Instances()
             forwarding = forwarder.Forwarder(own, worker_server.StandDialect(), known, connections)
-            own.stories = forwarding.stories
+            own.traces = forwarding.traces
             self.forwarders[name] = forwarding
             return [connections.run, list_reader.Watch(own, known, lister).run, forwarding.run]
         if own.settings.role == settings.CORE:
@@ -326,7 +326,7 @@
 
         async def whole() -> None:
             own.stopping.set()
-            own.ring.leave()
+            own.failure_detector.leave()
             async with asyncio.TaskGroup() as group:
                 if forwarding is not None:
                     group.create_task(forwarding.drain())
@@ -360,7 +360,7 @@
         }
         if not self.ready() or not all(self.alive(name) for name in witnesses):
             return False
-        if not all(self.nodes[self.leader(group)].hosts[group].known.backups for group in range(1 + GROUPS)):
+        if not all(self.nodes[self.leader(group)].group_replicas[group].known.backups for group in range(1 + GROUPS)):
             return False
         return all(
             self.forwarders[name].ready()
@@ -986,7 +986,7 @@
             world.wire.heal(ways)
 
     async def retire(self) -> None:
-        """A storage machine is emptied by the operator's order, then taken away with its disk."""
+        """A storage machine is drained by the operator's order, then taken away with its disk."""
         world, victim = self.world, self.chance.choice(self.world.storages)
         self.fresh += 1
         fresh = f"storage-{20 + 3 * self.fresh + int(victim.split('-')[1]) % 3}"
@@ -1220,7 +1220,7 @@
     found = {}
     for word in " ".join(wrong[:SHOWN]).replace(",", " ").replace("(", " ").split():
         for name, forwarding in day.world.forwarders.items():
-            for story in forwarding.stories.told(word) if word.startswith("a") and word[1:].isdigit() else ():
+            for story in forwarding.traces.told(word) if word.startswith("a") and word[1:].isdigit() else ():
                 found[f"{word} at {name}"] = [
                     f"+{line.after.total_seconds():.3f} {line.what} {line.detail}"[:200] for line in story.lines
                 ]
@@ -1278,7 +1278,7 @@
                 print(f"seed {shown.seed}: {len(shown.wrong)} wrong; {'; '.join(shown.done)}")
                 for one in shown.wrong[:SHOWN]:
                     print(f"  {one[:700]}")
-                for name, lines in shown.stories.items() if stories else ():
+                for name, lines in shown.traces.items() if stories else ():
                     print("   ", name, *lines, sep="\n      ")
                 sys.stdout.flush()
     print(f"{seeds} seeds, {bad} wrong: {dict(broken.most_common())}")
--- a/aspencroft/simulation/forwarding_test.py
+++ b/aspencroft/simulation/forwarding_test.py
@@ -69,7 +69,9 @@
     held = worker_server.StandDialect.request_headers
 
     def request_headers(self, one, instance_name, remaining):
-        return tuple(pair for pair in held(self, one, instance_name, remaining) if pair[0] != worker_server.EXPECT)
+        return tuple(
+            group_id for group_id in held(self, one, instance_name, remaining) if group_id[0] != worker_server.EXPECT
+        )
 
     with changed(worker_server.StandDialect, "request_headers", request_headers):
         assert "ROUTE" in told(301, ("crash",))
--- a/aspencroft/simulation/groups.py
+++ b/aspencroft/simulation/groups.py
@@ -25,27 +25,27 @@
     async def written(self) -> set[str]:
         """The services of the plan as its primary holds it."""
         await self.scene.until(lambda: bool(self.scene.leader(0)), 12, "led")
-        return set(self.scene.nodes[self.scene.leader(0)].hosts[0].copy.view.document["services"])
+        return set(self.scene.nodes[self.scene.leader(0)].group_replicas[0].copy.view.document["services"])
 
-    def record(self, pair: int) -> replica_set.ReplicaSet | None:
+    def record(self, group_id: int) -> replica_set.ReplicaSet | None:
         """The newest record of a group that any node knows."""
         known = [
-            own.ring.holdings[pair]
+            own.failure_detector.records[group_id]
             for name, own in self.scene.nodes.items()
-            if self.scene.alive(name) and pair in own.ring.holdings
+            if self.scene.alive(name) and group_id in own.failure_detector.records
         ]
         return max(known, key=lambda one: one.epoch, default=None)
 
-    def members(self, pair: int) -> list[str]:
+    def members(self, group_id: int) -> list[str]:
         """The nodes of a group's newest record, the primary first."""
-        return [one.address.split(":")[0] for one in self.record(pair).members()]
+        return [one.address.split(":")[0] for one in self.record(group_id).members()]
 
     def whole(self) -> bool:
         """Whether every group is served with as many members as it is to have."""
-        leaders = {pair: self.scene.leader(pair) for pair in range(3)}
+        leaders = {group_id: self.scene.leader(group_id) for group_id in range(3)}
         return all(
-            name and len(self.record(pair).members()) >= self.scene.nodes[name].goal(pair)
-            for pair, name in leaders.items()
+            name and len(self.record(group_id).members()) >= self.scene.nodes[name].goal(group_id)
+            for group_id, name in leaders.items()
         )
 
     async def ask_node(self, name: str, work: collections.abc.Coroutine):
--- a/aspencroft/simulation/guarantees_test.py
+++ b/aspencroft/simulation/guarantees_test.py
@@ -107,7 +107,7 @@
             for number in range(8):
                 group.create_task(helper(number))
             await asyncio.sleep(0.3)
-            leaders = {one.leader(pair) for pair in (1, 2)} - {""}
+            leaders = {one.leader(group_id) for group_id in (1, 2)} - {""}
             for victim in sorted(leaders):
                 one.kill(victim)
                 await asyncio.sleep(4)
@@ -202,7 +202,7 @@
             if response.status_code == 200:
                 kept[name] = response.json()["revision"]
             await one.until(one.ready, 12, "ready")
-        document = one.nodes[one.leader(0)].hosts[0].copy.view.document["services"]
+        document = one.nodes[one.leader(0)].group_replicas[0].copy.view.document["services"]
         assert all(name in document for name in kept) and len(kept) >= 3, (kept, sorted(document))
 
     guarantees.play(9, acts)
@@ -214,13 +214,13 @@
         for number in range(3):
             await asyncio.sleep(4)
             leader = one.leader(0)
-            backup = one.nodes[leader].hosts[0].known.backups[0].address.split(":")[0]
+            backup = one.nodes[leader].group_replicas[0].known.backups[0].address.split(":")[0]
             one.wire.cut([leader], [backup])
             response = await stage.client.put(f"http://edge-0/plan/services/extra-{number}", json={"kind": "plain"})
             one.power_off(leader)
             one.wire.heal()
             await one.until(one.ready, 12, "ready")
-            document = one.nodes[one.leader(0)].hosts[0].copy.view.document["services"]
+            document = one.nodes[one.leader(0)].group_replicas[0].copy.view.document["services"]
             if response.status_code == 200:
                 acknowledged += 1
                 assert f"extra-{number}" in document
@@ -243,13 +243,13 @@
                 group.create_task(signal(number))
                 await asyncio.sleep(0.02 + 0.05 * one.chance.random())
                 if number % 6 == 3:
-                    pair = 1 + number // 6 % 2
-                    held = one.nodes[one.leader(pair) or one.leader(3 - pair)].hosts[pair]
-                    if held.claimed():
+                    group_id = 1 + number // 6 % 2
+                    held = one.nodes[one.leader(group_id) or one.leader(3 - group_id)].group_replicas[group_id]
+                    if held.has_lease():
                         without = one.loop.create_task(
                             held.ballot(
                                 lambda standing: replica_set.ReplicaSet(
-                                    standing.pair, standing.epoch + 1, standing.primary, ()
+                                    standing.group_id, standing.epoch + 1, standing.primary, ()
                                 )
                             ),
                             context=one.loop.context_of(held.address.split(":")[0]),
@@ -275,7 +275,9 @@
             answers = await asyncio.gather(
                 *[
                     one.loop.create_task(
-                        own.hosts[0].submit(control_state.ReadPlan(control_state.NEVER), clock.seconds(1)),
+                        own.group_replicas[0].submit(
+                            control_state.ReadResources(control_state.NEVER), clock.seconds(1)
+                        ),
                         context=context,
                     )
                     for _ in range(3)
@@ -322,7 +324,7 @@
                     break
                 await asyncio.sleep(1)
             leader = one.leader(0)
-            backup = one.nodes[leader].hosts[0].known.backups[0].address.split(":")[0]
+            backup = one.nodes[leader].group_replicas[0].known.backups[0].address.split(":")[0]
             if number % 3 == 0:
                 one.power_off(leader)
                 assert one.disks[leader].lose_last() > 0
@@ -343,11 +345,13 @@
                 await asyncio.sleep(3.5)
                 one.start(leader)
             await one.until(one.ready, 12, "back in service")
-            document = one.nodes[one.leader(0)].hosts[0].copy.view.document
+            document = one.nodes[one.leader(0)].group_replicas[0].copy.view.document
             assert name in document["services"], (number, response.json())
             noted = await stage.ask("edge-1", "supervisor", "second", program=program, after=1)
             assert noted.ran == "done", (number, noted)
-            taken += sum(held.counts["taken at start"] for own in one.nodes.values() for held in own.hosts.values())
+            taken += sum(
+                held.counts["taken at start"] for own in one.nodes.values() for held in own.group_replicas.values()
+            )
         assert taken >= 3, taken
 
     for seed in (29, 30):
@@ -371,7 +375,7 @@
         async with asyncio.TaskGroup() as group:
             for number, node in enumerate(["edge-0", "core-1", "storage-2"]):
                 group.create_task(operator(f"o{number}", node))
-        held = one.nodes[one.leader(0)].hosts[0].copy.view.document["services"]["till-counter"]["size"]
+        held = one.nodes[one.leader(0)].group_replicas[0].copy.view.document["services"]["till-counter"]["size"]
         assert held == sum(won.values()) >= 8
 
     guarantees.play(11, acts)
@@ -454,15 +458,17 @@
     async def acts(stage: guarantees.Stage) -> None:
         one = stage.scene
         for _ in range(2):
-            epochs = {pair: one.nodes[one.leader(pair)].hosts[pair].known.epoch for pair in range(3)}
+            epochs = {
+                group_id: one.nodes[one.leader(group_id)].group_replicas[group_id].known.epoch for group_id in range(3)
+            }
             for name in one.cores:
                 one.kill(name)
             for name in one.cores:
                 one.start(name)
             await asyncio.sleep(3)
             await one.until(one.ready, 12, "ready")
-            for pair, epoch in epochs.items():
-                assert one.nodes[one.leader(pair)].hosts[pair].known.epoch >= epoch
+            for group_id, epoch in epochs.items():
+                assert one.nodes[one.leader(group_id)].group_replicas[group_id].known.epoch >= epoch
         noted = await stage.ask("edge-0", "till-lock", {"name": "k"}, operation="k")
         assert noted.ran == "done"
 
@@ -477,7 +483,7 @@
 
             def held() -> bool:
                 return any(
-                    one.alive(name) and own.duties.get("residency") and own.duties["residency"].held()
+                    one.alive(name) and own.singleton_roles.get("residency") and own.singleton_roles["residency"].held()
                     for name, own in one.nodes.items()
                 )
 
@@ -485,14 +491,14 @@
             holder = next(
                 name
                 for name, own in one.nodes.items()
-                if one.alive(name) and own.duties.get("residency") and own.duties["residency"].held()
+                if one.alive(name) and own.singleton_roles.get("residency") and own.singleton_roles["residency"].held()
             )
             began, before = one.loop.time(), sum(worker.counts["reports read"] for worker in one.world.models)
             for number in range(20):
                 await stage.ask("edge-0", "shopper", f"x calls stock now {number}", program=f"p{len(holders)}-{number}")
             read = sum(worker.counts["reports read"] for worker in one.world.models) - before
             assert read <= 1 + (one.loop.time() - began) / residency.PROBE.total_seconds()
-            holders.append((holder, one.nodes[holder].duties["residency"].epoch))
+            holders.append((holder, one.nodes[holder].singleton_roles["residency"].epoch))
             one.kill(holder)
         assert holders[0][0] != holders[1][0] and holders[1][1] > holders[0][1]
         orders = sum(worker.counts["orders"] for worker in one.world.models)
@@ -506,12 +512,12 @@
 def test_a_backup_that_lost_power_is_replaced_though_only_reads_arrive():
     async def acts(stage: guarantees.Stage) -> None:
         one = stage.scene
-        for pair in (0, 1):
-            lost = one.nodes[one.leader(pair)].hosts[pair].known.backups[0].address
+        for group_id in (0, 1):
+            lost = one.nodes[one.leader(group_id)].group_replicas[group_id].known.backups[0].address
 
             def replaced() -> bool:
-                leader = one.leader(pair)
-                backups = one.nodes[leader].hosts[pair].known.backups if leader else ()
+                leader = one.leader(group_id)
+                backups = one.nodes[leader].group_replicas[group_id].known.backups if leader else ()
                 return bool(backups) and all(backup.address != lost for backup in backups)
 
             one.power_off(lost.split(":")[0])
--- a/aspencroft/simulation/keeping_test.py
+++ b/aspencroft/simulation/keeping_test.py
@@ -12,7 +12,7 @@
     folders = [
         host.copy.folder
         for own in one.nodes.values()
-        for host in own.hosts.values()
+        for host in own.group_replicas.values()
         if host.known is not None and host.me() in host.known.members()
     ]
     return sum(path.read_bytes().count(text) for folder in folders for path in folder.rglob("*.dat"))
@@ -74,8 +74,8 @@
         await asyncio.sleep(18.5)
         noted = await stage.ask("edge-1", "brief", "next", program="p59", after=1)
         assert noted.ran == "done", noted
-        for pair in (1, 2):
-            victim = one.leader(pair)
+        for group_id in (1, 2):
+            victim = one.leader(group_id)
             one.kill(victim)
             await one.until(one.formed, 12, "formed")
             one.start(victim)
@@ -88,7 +88,9 @@
         for number in range(160):
             await stage.ask("edge-0", "till-lock", {"name": f"s{number}"}, operation=f"s{number}")
         await asyncio.sleep(1)
-        held = [host.copy.view for own in one.nodes.values() for pair, host in own.hosts.items() if pair]
+        held = [
+            host.copy.view for own in one.nodes.values() for group_id, host in own.group_replicas.items() if group_id
+        ]
         assert all(not set(view.programs) & set(programs) for view in held if view.operations)
         assert on_disks(one, b"long first") == 0, on_disks(one, b"long first")
 
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -203,7 +203,7 @@
 )
 
 
-def group_run(how: str, pair: int, seed: int, losses: int) -> float:
+def group_run(how: str, group_id: int, seed: int, losses: int) -> float:
     """Seconds until a group is served again after a fault, on five cores that are the witnesses.
 
     Counted from the restart where
@@ -216,7 +216,7 @@
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
         await one.until(one.formed, 30, "formed")
         await asyncio.sleep(6 + one.chance.random())
-        old, began = one.leader(pair), one.loop.time()
+        old, began = one.leader(group_id), one.loop.time()
         if how in ("blackout", "lost disk", "lost machine"):
             for name in one.names():
                 one.power_off(name)
@@ -230,10 +230,10 @@
             took.append(await one.until(one.formed, 20, "formed"))
             return
         if how == "backup":
-            silent = one.nodes[old].hosts[pair].known.backups[-1]
+            silent = one.nodes[old].group_replicas[group_id].known.backups[-1]
             one.power_off(silent.address.split(":")[0])
-            held = one.nodes[old].hosts[pair]
-            await one.until(lambda: silent not in held.known.backups and one.leader(pair) == old, 15, "served")
+            held = one.nodes[old].group_replicas[group_id]
+            await one.until(lambda: silent not in held.known.backups and one.leader(group_id) == old, 15, "served")
         else:
             if how.startswith("cut"):
                 left = [old, next(name for name in one.cores if name != old)]
@@ -243,7 +243,7 @@
                 one.loop.freeze(old)
             else:
                 getattr(one, how)(old)
-            await one.until(lambda: one.leader(pair) not in ("", old), 15, "led by another")
+            await one.until(lambda: one.leader(group_id) not in ("", old), 15, "led by another")
         took.append(one.loop.time() - began)
 
     simulated_cluster.play(
@@ -265,14 +265,14 @@
     """
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         work = {
-            (how, pair): [pool.submit(group_run, how, pair, seed, losses) for seed in range(1, 1 + seeds)]
+            (how, group_id): [pool.submit(group_run, how, group_id, seed, losses) for seed in range(1, 1 + seeds)]
             for how in GROUP_FAULTS
-            for pair in (0, 1)
-            if not (how.startswith("cut") and pair)
+            for group_id in (0, 1)
+            if not (how.startswith("cut") and group_id)
         }
-        for (how, pair), rows in work.items():
+        for (how, group_id), rows in work.items():
             print(
-                f"{how}, {'talk' if pair else 'control'} group: {spread([row.result() for row in rows])} s",
+                f"{how}, {'talk' if group_id else 'control'} group: {spread([row.result() for row in rows])} s",
                 flush=True,
             )
 
@@ -363,12 +363,15 @@
                 if noted.ran == "done":
                     took.append(one.loop.time() - began)
 
-            before = sum(held.counts["batches"] for own in one.nodes.values() for held in own.hosts.values())
+            before = sum(held.counts["batches"] for own in one.nodes.values() for held in own.group_replicas.values())
             async with asyncio.TaskGroup() as group:
                 for number in range(100):
                     group.create_task(signal(number))
                     await asyncio.sleep(0.02)
-            batches = sum(held.counts["batches"] for own in one.nodes.values() for held in own.hosts.values()) - before
+            batches = (
+                sum(held.counts["batches"] for own in one.nodes.values() for held in own.group_replicas.values())
+                - before
+            )
             batched.append(200 / max(1, batches))
 
         for seed in range(1, 1 + seeds):
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -48,7 +48,7 @@
             raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN)
         return proposer.Chosen(self.number, self.value)
 
-    async def claim(self, chosen: proposer.Chosen, _, claimant: str, length):
+    async def request_lease(self, chosen: proposer.Chosen, _, lease_holder: str, length):
         """As ``electorate.Electorate.claim``."""
         started = clock.now()
         self.lengths.append(length)
@@ -56,7 +56,7 @@
             await clock.sleep(proposer.ASK)
             return None, b"", False
         await clock.sleep(clock.seconds(0.001))
-        standing = chosen.value == self.value and str(self.standing().primary) == claimant
+        standing = chosen.value == self.value and str(self.standing().primary) == lease_holder
         return (
             (started + length if standing else None),
             (self.value if chosen.value != self.value else b""),
@@ -73,9 +73,9 @@
         self.folders = {name: folder / name for name in self.names}
         self.copies = copies
         self.goal = goal
-        self.hosts: dict[str, group_replica.GroupReplica] = {}
+        self.group_replicas: dict[str, group_replica.GroupReplica] = {}
         self.silent: set[str] = set()
-        self.emptied: set[str] = set()
+        self.drained: set[str] = set()
         self.gone: set[str] = set()
         self.heard: list[tuple[str, object]] = []
         self.register: Register | None = None
@@ -90,9 +90,9 @@
         """Open all copies and put the first ones into the first record."""
         for name in self.names:
             await self.open_host(name)
-        first = [self.hosts[name].me() for name in self.names[:members]]
+        first = [self.group_replicas[name].me() for name in self.names[:members]]
         self.register = Register(replica_set.ReplicaSet(0, 1, first[0], tuple(first[1:])))
-        for one in self.hosts.values():
+        for one in self.group_replicas.values():
             one.proposer = self.register
             one.learn(self.register.standing())
 
@@ -115,7 +115,7 @@
         await held.open()
         around = group_state.GroupPolicy(
             self.candidates,
-            self.emptied.__contains__,
+            self.drained.__contains__,
             lambda _: None,
             lambda _: False,
             self.copies,
@@ -125,12 +125,12 @@
         )
         host = group_replica.GroupReplica(held, self, None, name, AREAS[place % 3], around)
         host.proposer = self.register
-        self.hosts[name] = host
+        self.group_replicas[name] = host
 
     def stop(self, name: str) -> None:
         """A node's process ends at once; its disk stays."""
         self.silent.add(name)
-        self.hosts[name].leading = False
+        self.group_replicas[name].leading = False
         self.runs.pop(name).cancel()
 
     async def wipe(self, name: str, back_after: float) -> None:
@@ -139,15 +139,15 @@
         self.folders[name] = self.folder / f"{name} {self.starts}"
         await clock.sleep(clock.seconds(back_after))
         await self.open_host(name)
-        self.hosts[name].learn(self.register.standing())
+        self.group_replicas[name].learn(self.register.standing())
         self.silent.discard(name)
         self.run(name)
 
     async def reopened(self, name: str) -> group_replica.GroupReplica:
         """What a node's process would find on its disk, were it started once more beside the one that runs."""
-        running = self.hosts[name]
+        running = self.group_replicas[name]
         await self.open_host(name)
-        found, self.hosts[name] = self.hosts[name], running
+        found, self.group_replicas[name] = self.group_replicas[name], running
         return found
 
     async def tell_records(self) -> None:
@@ -155,18 +155,21 @@
         while True:
             standing = self.register.standing()
             await clock.sleep(record_recovery.UNHEARD)
-            for name, host in self.hosts.items():
+            for name, host in self.group_replicas.items():
                 if name not in self.silent:
                     host.learn(standing)
 
     def leader(self) -> str:
         """The node that serves the group, or nothing."""
-        return next((name for name, one in self.hosts.items() if one.claimed() and one.why == "serving"), "")
+        return next(
+            (name for name, one in self.group_replicas.items() if one.has_lease() and one.status_reason == "serving"),
+            "",
+        )
 
     def run(self, *names: str) -> None:
         """Let nodes be what the record says."""
         for name in names:
-            self.runs[name] = asyncio.ensure_future(self.hosts[name].run())
+            self.runs[name] = asyncio.ensure_future(self.group_replicas[name].run())
             self.tasks.append(self.runs[name])
 
     def candidates(self) -> tuple[replica_placement.Candidate, ...]:
@@ -177,7 +180,7 @@
             if name not in self.gone
         )
 
-    async def ask(self, address: str, message, within):
+    async def request(self, address: str, message, within):
         """As ``link.Link.ask``."""
         self.heard.append((address, message))
         self.before_step()
@@ -185,7 +188,7 @@
         if address in self.silent:
             await clock.sleep(within)
             raise result.RequestError(result.ResultCode.UNREACHABLE, result.Ran.UNKNOWN, address)
-        one = self.hosts[address]
+        one = self.group_replicas[address]
         handler = asyncio.ensure_future(self.deliver(one, message))
         self.handlers.add(handler)
         try:
@@ -198,7 +201,7 @@
             raise result.RequestError(result.ResultCode.INTERNAL, result.Ran.UNKNOWN, repr(error)) from None
         finally:
             self.handlers.discard(handler)
-        if address in self.silent or self.hosts[address] is not one:
+        if address in self.silent or self.group_replicas[address] is not one:
             raise result.RequestError(result.ResultCode.UNREACHABLE, result.Ran.UNKNOWN, address)
         return reply
 
@@ -213,13 +216,13 @@
                 return await one.repair(message)
             case messages.BeginRepair():
                 return await one.begin_repair(message)
-            case messages.SnapshotPart():
-                return one.take_snapshot_part(message)
+            case messages.SnapshotChunk():
+                return one.receive_snapshot_chunk(message)
             case messages.InstallSnapshot():
                 return await one.install_snapshot(message)
-            case messages.Fetch():
+            case messages.FetchLog():
                 return await one.fetch(message)
-            case messages.Ask():
+            case messages.ReplicaSetQuery():
                 return one.stands(message)
         return await one.appoint(message)
 
@@ -228,18 +231,20 @@
         began = clock.now()
         while not condition():
             late = (clock.now() - began).total_seconds() > within
-            assert not late, {name: (one.why, one.known) for name, one in self.hosts.items()}
+            assert not late, {name: (one.status_reason, one.known) for name, one in self.group_replicas.items()}
             await clock.sleep(clock.seconds(0.01))
         return (clock.now() - began).total_seconds()
 
     async def write(self, name: str, to: str = "n0:1", within: float = 5.0):
         """Write a service through a node."""
         body = f'{{"services": {{"{name}": {{"kind": "plain"}}}}}}'
-        return await self.hosts[to].submit(control_state.WritePlan("merge", "", "", body, None), clock.seconds(within))
+        return await self.group_replicas[to].submit(
+            control_state.WriteResources("merge", "", "", body, None), clock.seconds(within)
+        )
 
     def same(self, *names: str) -> bool:
         """Whether nodes' copies are the same."""
-        return len({self.hosts[name].copy.last() for name in names}) == 1
+        return len({self.group_replicas[name].copy.last() for name in names}) == 1
 
 
 def play(folder: pathlib.Path, count: int, acts, members: int = 2, copies: int = 2, goal: int = 2) -> None:
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -236,9 +236,9 @@
         ("simulation/plans_test.py::test_a_conditional_write_whose_frames_come_twice_is_not_refused_for_itself",),
     ),
     Mutation(
-        "all pairs share acceptors",
+        "all group_ids share acceptors",
         "gateway/path.py",
-        "        key = (pair, one.turns())\n",
+        "        key = (group_id, one.turns())\n",
         "        key = (1, True)\n",
         ("simulation/calls_test.py::test_a_pair_without_a_primary_holds_up_none_but_its_own",),
     ),
@@ -377,8 +377,8 @@
     Mutation(
         "a primary that hears nothing goes on claiming",
         "replication/primary.py",
-        "            end, newest, answered = await own.proposer.claim(\n                used, own.pair, str(own.me()), clock.ZERO if failed else witness.LEASE\n            )\n",
-        "            end, newest, answered = await own.proposer.claim(used, own.pair, str(own.me()), witness.LEASE)\n",
+        "            end, newest, answered = await own.proposer.request_lease(\n                used, own.group_id, str(own.me()), clock.ZERO if failed else witness.LEASE\n            )\n",
+        "            end, newest, answered = await own.proposer.request_lease(used, own.group_id, str(own.me()), witness.LEASE)\n",
         ("replication/primary_test.py",),
     ),
     Mutation(
@@ -424,7 +424,7 @@
         ("replication/primary_test.py",),
     ),
     Mutation(
-        "emptied members go before others hold the copy",
+        "drained members go before others hold the copy",
         "replication/record_changes.py",
         "    return copies <= staying < members\n",
         "    return staying < members\n",
@@ -438,10 +438,10 @@
         ("replication/backup_test.py",),
     ),
     Mutation(
-        "a machine counts as emptied at once",
+        "a machine counts as drained at once",
         "node/node.py",
-        "        return reply.emptied and len(members) >= self.settings.copies and all(one.address != address for one in members)\n",
-        "        return reply.emptied\n",
+        "        return reply.drained and len(members) >= self.settings.copies and all(one.address != address for one in members)\n",
+        "        return reply.drained\n",
         ("node/node_test.py::test_emptying_a_machine_completes_and_nothing_is_lost",),
     ),
     Mutation(
@@ -610,7 +610,7 @@
     Mutation(
         "a drain order is checked against whatever plan the node has",
         "node/drain_order.py",
-        "            await self.newest_plan(end)\n            if self.ordered",
+        "            await self.newest_configuration(end)\n            if self.ordered",
         "            if self.ordered",
         ("node/drain_order_test.py",),
     ),
@@ -737,7 +737,7 @@
     Mutation(
         "seeds of newer settings are not used to join",
         "cli/settings_reload.py",
-        "        self.node.ring.seeds = merged.seeds\n",
+        "        self.node.failure_detector.seeds = merged.seeds\n",
         "",
         ("cli/settings_reload_test.py",),
     ),
@@ -834,8 +834,8 @@
     Mutation(
         "patience ends also for a copy whose repair broke off",
         "replication/log_shipping.py",
-        "        if own.copy.incomplete():\n            own.why",
-        "        if False:\n            own.why",
+        "        if own.copy.incomplete():\n            own.status_reason",
+        "        if False:\n            own.status_reason",
         (
             "replication/snapshot_transfer_test.py::test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged",
         ),
@@ -900,7 +900,7 @@
     Mutation(
         "a large plan goes to a child as one message",
         "distribution/relay.py",
-        ' if len(whole.body) <= plan_transfer.PART_BYTES else ""\n',
+        ' if len(whole.body) <= configuration_transfer.PART_BYTES else ""\n',
         "\n",
         ("distribution/plan_transfer_test.py::test_a_child_that_was_away_for_any_number_of_changes_catches_up",),
     ),
@@ -915,7 +915,7 @@
     ),
     Mutation(
         "parts of two plans are mixed",
-        "distribution/plan_transfer.py",
+        "distribution/configuration_transfer.py",
         "        if part.digest != self.digest:\n",
         "        if self.digest == NO_DIGEST:\n",
         ("distribution/plan_transfer_test.py::test_parts_of_two_plans_are_not_mixed",),
@@ -946,7 +946,7 @@
         "../platform/operator_api.py",
         "        condition = condition_of(request)\n        return await take(configuration.whole(condition, await body_of(request)))",
         "        condition, body = condition_of(request), await body_of(request)\n"
-        "        if len(body) > own.relay.plan.limits.body_bytes:\n"
+        "        if len(body) > own.relay.configuration.limits.body_bytes:\n"
         "            raise result.RequestError(result.ResultCode.TOO_LARGE)\n"
         "        return await take(configuration.whole(condition, body))",
         ("platform_check/operator_api_test.py",),
@@ -1152,14 +1152,14 @@
     Mutation(
         "a new primary is the root before its first read",
         "node/node.py",
-        "            except result.RequestError:\n                await clock.sleep(STEP / 5)\n            else:\n                if not self.relay.root and held.claimed():\n                    self.relay.become_root()\n",
-        "            except result.RequestError:\n                await clock.sleep(STEP / 5)\n            if not self.relay.root and held.claimed():\n                self.relay.become_root()\n",
+        "            except result.RequestError:\n                await clock.sleep(STEP / 5)\n            else:\n                if not self.relay.root and held.has_lease():\n                    self.relay.become_root()\n",
+        "            except result.RequestError:\n                await clock.sleep(STEP / 5)\n            if not self.relay.root and held.has_lease():\n                self.relay.become_root()\n",
         ("node/root_test.py",),
     ),
     Mutation(
         "a core says from its own view that a machine is in service",
         "node/drain_order.py",
-        "        if self.ordered(name) is None:\n            await self.newest_plan(end)\n",
+        "        if self.ordered(name) is None:\n            await self.newest_configuration(end)\n",
         "",
         ("node/root_test.py",),
     ),
--- a/aspencroft/simulation/plans_test.py
+++ b/aspencroft/simulation/plans_test.py
@@ -96,7 +96,7 @@
         response = await stage.client.put("http://edge-1/plan", json=document)
         assert response.status_code == 200 and response.json()["changed"] == 3000
         for name in one.names():
-            assert len(one.nodes[name].relay.plan.lane_routes) == 3000 + len(one.mix.document["routes"])
+            assert len(one.nodes[name].relay.configuration.lane_routes) == 3000 + len(one.mix.document["routes"])
         before = resources.check_one.cache_info().misses
         whole = sum(own.relay.counts["whole plans"] for own in one.nodes.values())
         response = await stage.client.put(
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -141,7 +141,7 @@
         more, works = [], []
         if place.role == settings.EDGE:
             edge = path.Path(own, back)
-            own.stories = edge.stories
+            own.traces = edge.traces
             self.edge_paths[name] = edge
             more, works = callers.handlers(edge), [edge.run]
         else:
@@ -183,7 +183,7 @@
 
         async def whole() -> None:
             own.stopping.set()
-            own.ring.leave()
+            own.failure_detector.leave()
             async with asyncio.TaskGroup() as group:
                 if name in self.edge_paths:
                     group.create_task(self.edge_paths[name].drain())
@@ -208,8 +208,11 @@
         """The state of all nodes, for a failed run."""
         return {
             name: {
-                "pairs": {pair: (held.why, str(held.known), held.claimed()) for pair, held in own.hosts.items()},
-                "seat": own.seat.why,
+                "pairs": {
+                    group_id: (held.status_reason, str(held.known), held.has_lease())
+                    for group_id, held in own.group_replicas.items()
+                },
+                "seat": own.witness_bootstrap.status_reason,
                 "plan": own.relay.revision.text(),
                 "current": own.relay.current(),
             }
@@ -221,17 +224,17 @@
         """Whether a node's process runs."""
         return self.loop.lives.get(name, 0) > 0
 
-    def leader(self, pair: int) -> str:
-        """The node that may act as a pair's primary now, or nothing."""
+    def leader(self, group_id: int) -> str:
+        """The node that may act as a group's primary now, or nothing."""
         for name, own in self.nodes.items():
-            if self.alive(name) and name not in self.loop.frozen and pair in own.hosts:
-                if own.hosts[pair].claimed() and own.hosts[pair].why == "serving":
+            if self.alive(name) and name not in self.loop.frozen and group_id in own.group_replicas:
+                if own.group_replicas[group_id].has_lease() and own.group_replicas[group_id].status_reason == "serving":
                     return name
         return ""
 
     def formed(self) -> bool:
         """Whether all pairs are served."""
-        return all(self.leader(pair) for pair in range(3))
+        return all(self.leader(group_id) for group_id in range(3))
 
     def ready(self) -> bool:
         """Whether all pairs are served and all living edges hold a current plan."""
--- a/aspencroft/simulation/surfaces_test.py
+++ b/aspencroft/simulation/surfaces_test.py
@@ -1,4 +1,4 @@
-"""Bad input at every surface: what back ends, the platform, callers, operators and fellows may send."""
+"""Bad input at every surface: what back ends, the platform, callers, operators and peers may send."""
 
 import asyncio
 import datetime
@@ -46,7 +46,10 @@
         for number in range(12):
             noted = await stage.ask(one.edges[number % 2], "shopper", "x", program=f"after-{number}")
             assert noted.ran == "done", noted
-        assert any(own.duties.get("residency") and own.duties["residency"].held() for own in one.nodes.values())
+        assert any(
+            own.singleton_roles.get("residency") and own.singleton_roles["residency"].held()
+            for own in one.nodes.values()
+        )
 
     for seed in (41, 42):
         guarantees.play(seed, acts)
--- a/aspencroft/simulation/voters.py
+++ b/aspencroft/simulation/voters.py
@@ -27,7 +27,7 @@
         self.before: collections.abc.Callable[[int], None] = lambda step: None
         self.lost: collections.abc.Callable[[str, object], bool] = lambda address, message: False
 
-    async def ask(self, address: str, message, within):
+    async def request(self, address: str, message, within):
         """As ``connections.Link.ask``."""
         self.steps += 1
         self.before(self.steps)
@@ -39,7 +39,7 @@
         await clock.sleep(DELAY)
         return reply
 
-    def tell(self, address: str, message) -> None:
+    def notify(self, address: str, message) -> None:
         """As ``connections.Link.tell``."""
         if address not in self.down and not self.lost(address, message):
             asyncio.get_running_loop().create_task(self.deliver(self.voters[address], message))
@@ -52,7 +52,7 @@
             case replica_set.Accept():
                 return await voter.accept(message)
             case replica_set.LeaseRequest():
-                return await voter.claim(message)
+                return await voter.renew_lease(message)
             case replica_set.WitnessStateRequest():
                 return voter.survey()
             case replica_set.VoterSetChosen():
--- a/aspencroft/tracing/trace.py
+++ b/aspencroft/tracing/trace.py
@@ -43,13 +43,13 @@
 class Told:
     """What a node knows of a request: its own story, and what another edge gave it to keep."""
 
-    stories: tuple[Trace, ...]
+    traces: tuple[Trace, ...]
 
 
-def joined(stories: list[Trace]) -> list[Trace]:
+def joined(traces: list[Trace]) -> list[Trace]:
     """One story for each node that told one: the longest."""
     best: dict[str, Trace] = {}
-    for one in stories:
+    for one in traces:
         if one.node not in best or len(one.lines) > len(best[one.node].lines):
             best[one.node] = one
     return [best[node] for node in sorted(best)]
--- a/aspencroft/tracing/trace_test.py
+++ b/aspencroft/tracing/trace_test.py
@@ -6,7 +6,7 @@
 
 
 def test_stories_are_bounded():
-    stories = trace.Traces("n:1")
+    traces = trace.Traces("n:1")
     for number in range(trace.MOST + 10):
-        stories.add(f"r{number}", "chat", datetime.timedelta(), "accepted")
-    assert len(stories.held) == trace.MOST and "r0" not in stories.held
+        traces.add(f"r{number}", "chat", datetime.timedelta(), "accepted")
+    assert len(traces.held) == trace.MOST and "r0" not in traces.held
--- a/aspencroft/transport/connections.py
+++ b/aspencroft/transport/connections.py
@@ -1,4 +1,4 @@
-"""The node's links: one task for each fellow and each accepted connection."""
+"""The node's links: one task for each peer and each accepted connection."""
 
 import asyncio
 import collections
@@ -14,7 +14,7 @@
 from aspencroft.runtime import clock, environment, supervision
 from aspencroft.transport import codec, frame
 
-LOG = logbook.Logger("link")
+LOG = logbook.Logger("transport.connections")
 WAITING = 1024
 SERVED_AT_ONCE = 512
 CONNECT = clock.seconds(1)
@@ -201,7 +201,7 @@
             places.release()
 
     def queue(self, address: str, one: frame.Frame) -> Fellow:
-        """Put a frame into a fellow's bounded queue; refused at once when it is full."""
+        """Put a frame into a peer's bounded queue; refused at once when it is full."""
         data = encoded(one)
         peer = self.peers.get(address)
         if peer is None:
@@ -216,14 +216,14 @@
         peer.outward.put_nowait((one.way, data))
         return peer
 
-    def tell(self, address: str, message, epoch: int = 0) -> None:
+    def notify(self, address: str, message, epoch: int = 0) -> None:
         """Send without awaiting an answer; it may be lost."""
         try:
             self.queue(address, frame.Frame(frame.TELL, 0, epoch, message))
         except result.RequestError:
             self.counts["tells lost"] += 1
 
-    async def ask(self, address: str, message, within: datetime.timedelta, epoch: int = 0):
+    async def request(self, address: str, message, within: datetime.timedelta, epoch: int = 0):
         """Send and await the answer; a Refusal when there is none in time."""
         if address == self.address:
             return await self.server.answer(message)
--- a/aspencroft/transport/stored_bytes_test.py
+++ b/aspencroft/transport/stored_bytes_test.py
@@ -40,10 +40,7 @@
 
 
 class FullValues:
-    """Values in which every field holds something: no two numbers, texts or bytes are the same.
-
-    Example: ``FullValues(20).value(int)``
-    """
+    """Values in which every field holds something: no two numbers, texts or bytes are the same."""
 
     items = 2
     present = True
@@ -52,10 +49,7 @@
         self.next = itertools.count(number * 1000 + 1)
 
     def value(self, shape, depth: int = 0):
-        """A value of a field's type.
-
-        Example: ``FullValues(20).value(tuple[str, ...])``
-        """
+        """A value of a field's type."""
         origin = typing.get_origin(shape)
         if origin is tuple:
             inner = typing.get_args(shape)[0]
@@ -106,19 +100,13 @@
 
 
 def samples_of(number: int, record_type: type) -> list[str]:
-    """The samples of a kind; one where it has no fields.
-
-    Example: ``samples_of(2, frame.Ping) == ["0002"]``
-    """
+    """The samples of a kind; one where it has no fields."""
     values = (FullValues(number).value(record_type), SpareValues(number).value(record_type))
     return list(dict.fromkeys(codec.tagged(one).hex() for one in values))
 
 
 def add_missing() -> None:
-    """Write samples for kinds that have none, and leave all others as they are.
-
-    Example: ``add_missing()``
-    """
+    """Write samples for kinds that have none, and leave all others as they are."""
     kinds = registered()
     samples = {int(number): row for number, row in SAMPLES.items()}
     for number in kinds.keys() - samples.keys():
--- a/aspencroft/workers/list_reader.py
+++ b/aspencroft/workers/list_reader.py
@@ -9,12 +9,12 @@
 from aspencroft.configuration import control_state
 from aspencroft.distribution import updates
 from aspencroft.errors import result
-from aspencroft.leadership import duty
+from aspencroft.leadership import singleton_role
 from aspencroft.node import node, settings, timing_check
 from aspencroft.proxy import instance, instances
 from aspencroft.runtime import clock, supervision
 
-LOG = logbook.Logger("workers")
+LOG = logbook.Logger("workers.list_reader")
 TOPIC, READ = "workers", "workers read"
 PERIOD = clock.seconds(0.6)
 CALM_PERIOD = timing_check.WORKER_LIST_PERIOD
@@ -118,10 +118,10 @@
         self.cost = cost
         self.period = period
         self.calm_period = max(period, calm_period)
-        self.duty = duty.Duty(
-            "workers", own.address, own.incarnation, lambda: own.ring.peers, own.submit, settings.CORE
+        self.duty = singleton_role.SingletonRole(
+            "workers", own.address, own.incarnation, lambda: own.failure_detector.peers, own.submit, settings.CORE
         )
-        own.duties["workers"] = self.duty
+        own.singleton_roles["workers"] = self.duty
         self.shown: frozenset | None = None
         self.changed = clock.ZERO
         self.revision = control_state.NEVER
@@ -180,14 +180,14 @@
 
     async def publish(self, topic: str, body: str) -> control_state.Revision | None:
         """Give a topic's new state to the root of the relay tree; its revision if the root took it."""
-        holders = self.node.ring.holdings.get(0)
+        holders = self.node.failure_detector.records.get(0)
         if holders is None or not self.duty.held():
             return None
         known = self.node.relay.topics.get(topic)
         number = max(self.duty.epoch * EPOCH_UNIT, known.revision.number if known else 0, self.revision.number) + 1
-        one = updates.News(topic, control_state.Revision(self.duty.epoch, number), None, body)
+        one = updates.Update(topic, control_state.Revision(self.duty.epoch, number), None, body)
         try:
-            await self.node.link.ask(holders.primary.address, updates.Publish(one), clock.seconds(1))
+            await self.node.link.request(holders.primary.address, updates.Publish(one), clock.seconds(1))
         except result.RequestError as refusal:
             LOG.info("publishing {}: {}", topic, refusal)
             return None
@@ -211,8 +211,8 @@
         self.instances = known
         self.lister = lister
         self.cost = cost
-        self.taken: updates.News | None = None
-        self.counted: updates.News | None = None
+        self.taken: updates.Update | None = None
+        self.counted: updates.Update | None = None
         self.next_read = clock.ZERO
         self.refused = 0
         self.counts = {"own list reads": 0}
@@ -269,7 +269,7 @@
             age, now = self.instances.age(), clock.now()
             if now < self.next_read or (age is not None and age < STALE):
                 continue
-            nodes = max(1, len(self.node.ring.live()))
+            nodes = max(1, len(self.node.failure_detector.live()))
             self.counts["own list reads"] += 1
             try:
                 found = await self.lister()
--- a/aspencroft/workers/list_reader_test.py
+++ b/aspencroft/workers/list_reader_test.py
@@ -242,8 +242,8 @@
 def test_edges_that_begin_before_any_reader_read_once_each_as_soon_as_they_have_the_plan():
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
         await one.until(one.formed, 30, "formed")
-        write = control_state.WritePlan("merge", "", "", '{"services": {"a": {"kind": "plain"}}}', None)
-        await one.loop.create_task(one.nodes["core-0"].write_plan(write), context=one.loop.context_of("core-0"))
+        write = control_state.WriteResources("merge", "", "", '{"services": {"a": {"kind": "plain"}}}', None)
+        await one.loop.create_task(one.nodes["core-0"].write_resources(write), context=one.loop.context_of("core-0"))
         await one.until(one.ready, 30, "ready")
         platform = Platform(one)
         for name in one.edges:
