--- a/aspencroft/benchmarks/catchup.py
+++ b/aspencroft/benchmarks/catchup.py
@@ -69,51 +69,51 @@
 
 async def take(one: replica.Replica, command) -> tuple[replica.Entry, ...]:
     """Have a command decided and appended, as a primary would."""
-    events, _ = one.view.decide(command, clock.now(), 1)
+    events, _ = one.state_machine.decide(command, clock.now(), 1)
     place = one.last().sequence
     entries = tuple(replica.Entry(1, place + n, codec.tagged(event)) for n, event in enumerate(events, 1))
     await one.append(entries)
     return entries
 
 
-async def member_run(folder: pathlib.Path, make_view, commands: list) -> str:
+async def member_run(folder: pathlib.Path, make_state_machine, commands: list) -> str:
     """Let one member take commands while another is away, then bring that one up; a line of the table."""
     those = members.Members(folder, 2, 2, 2)
     await those.begin(2)
     for one in those.group_replicas.values():
-        one.copy.make_view = make_view
-        one.copy.refold()
+        one.replica.make_state_machine = make_state_machine
+        one.replica.rebuild_state()
     own, peer = those.group_replicas["n0:1"], those.group_replicas["n1:1"]
     own.has_lease = lambda: True
-    first = await take(own.copy, commands[0])
-    await peer.copy.append(first)
+    first = await take(own.replica, commands[0])
+    await peer.replica.append(first)
     most = 0
     for command in commands[1:]:
-        await take(own.copy, command)
+        await take(own.replica, command)
         await clock.sleep(clock.seconds(1))
-        await own.copy.compact()
-        most = max(most, folder_bytes(own.copy.folder))
+        await own.replica.compact()
+        most = max(most, folder_bytes(own.replica.folder))
     began, real = clock.now(), time.process_time()
     mark = await own.log_shipping.repair_from(peer.me(), peer.compare(messages.Compare(0, 1)))
     took, real = (clock.now() - began).total_seconds(), time.process_time() - real
-    assert mark == own.copy.last() and peer.copy.view.snapshot() == own.copy.view.snapshot()
+    assert mark == own.replica.last() and peer.replica.state_machine.snapshot() == own.replica.state_machine.snapshot()
     sizes = [len(codec.pack(message)) for _, message in those.heard]
-    again = replica.Replica(peer.copy.environment, peer.copy.folder, 0, make_view)
+    again = replica.Replica(peer.replica.environment, peer.replica.folder, 0, make_state_machine)
     opening = time.process_time()
     await again.open()
     opening = time.process_time() - opening
     assert again.last() == mark
-    state = len(own.copy.view.snapshot())
+    state = len(own.replica.state_machine.snapshot())
     return (
         f"{len(sizes)} | {sum(sizes) / 1000:.0f} | {max(sizes) / 1000:.0f} | {took:.3f} | {real * 1000:.0f} | "
-        f"{opening * 1000:.0f} | {state / 1000:.0f} | {most / 1000:.0f} | {folder_bytes(own.copy.folder) / 1000:.0f}"
+        f"{opening * 1000:.0f} | {state / 1000:.0f} | {most / 1000:.0f} | {folder_bytes(own.replica.folder) / 1000:.0f}"
     )
 
 
-def member(make_view, commands: list) -> str:
+def member(make_state_machine, commands: list) -> str:
     """A run in simulated time, in a folder of its own."""
     with tempfile.TemporaryDirectory() as folder, asyncio.Runner(loop_factory=loop.SimLoop) as runner:
-        return runner.run(member_run(pathlib.Path(folder), make_view, commands))
+        return runner.run(member_run(pathlib.Path(folder), make_state_machine, commands))
 
 
 class RelayLink:
@@ -146,7 +146,7 @@
     link.parent, child = relay_of("a:1"), relay_of("b:1")
     for number in range(1, changes + 2):
         for event in view.decide(orders(routes, number), clock.now(), 1)[0]:
-            view.fold(event)
+            view.apply(event)
         link.parent.take_committed(view.read_plan(link.parent.revision))
         if number == 1:
             await child.pull("a:1")
--- a/aspencroft/benchmarks/configuration_changes.py
+++ b/aspencroft/benchmarks/configuration_changes.py
@@ -55,7 +55,7 @@
 def taken(view: control_state.ControlState, command) -> None:
     """Decide a command and fold its events."""
     for event in view.decide(command, NOW, 1)[0]:
-        view.fold(event)
+        view.apply(event)
 
 
 def run(count: int, hosts: int) -> dict:
--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -147,10 +147,10 @@
                 "control: decide the whole, ms",
                 lambda: view.decide(control_state.WriteResources("whole", "", "", body, None), clock.ZERO, 1),
             )
-            timer("control: fold the whole, ms", lambda: [view.fold(event) for event in events])
+            timer("control: fold the whole, ms", lambda: [view.apply(event) for event in events])
             small = control_state.WriteResources("merge", "", "", json.dumps(patch), None)
             events, _ = timer("control: decide one route, ms", lambda: view.decide(small, clock.ZERO, 1))
-            timer("control: fold one route, ms", lambda: [view.fold(event) for event in events])
+            timer("control: fold one route, ms", lambda: [view.apply(event) for event in events])
             timer("control: picture, ms", view.snapshot)
             table_of = typed.route_table
             hosts = [
@@ -249,7 +249,7 @@
             attempt = f"p{number}-t{turn}"
             begin = begun(f"p{number}", attempt, previous)
             for event in held.decide(begin, now)[0]:
-                held.fold(event)
+                held.apply(event)
             ending = entry.EndTurn(
                 f"p{number}",
                 "s",
@@ -261,7 +261,7 @@
                 "i-1",
             )
             for event in held.decide(ending, now)[0]:
-                held.fold(event)
+                held.apply(event)
             previous = attempt
     return held
 
--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -285,12 +285,12 @@
         self.claims[command.duty] = now + ROLE_LEASE
         return (taken,), taken
 
-    def fold(self, event) -> None:
+    def apply(self, event) -> None:
         """Take an event in."""
         if isinstance(event, RoleAcquired):
             self.duties[event.duty] = event
         elif isinstance(event, ConfigurationTaken):
-            self.configuration.fold(event.taken, event.kept, event.orders)
+            self.configuration.apply(event.taken, event.kept, event.orders)
             self.fold_changes(event.changed)
         else:
             self.fold_changes(event)
@@ -325,7 +325,7 @@
         """No clock events here."""
         return ()
 
-    def rest_clocks(self) -> None:
+    def reset_clocks(self) -> None:
         """This node is the primary no more: claims that it saw renewed count for nothing if it is one again."""
         self.claims = {}
 
--- a/aspencroft/configuration/control_state_test.py
+++ b/aspencroft/configuration/control_state_test.py
@@ -13,7 +13,7 @@
     body = json.dumps({"services": {"a": {"kind": "plain"}}})
     events, reply = control.decide(control_module.WriteResources("merge", "", "", body, control_module.NEVER), now, 2)
     for event in events:
-        control.fold(event)
+        control.apply(event)
     assert reply.revision == control_module.Revision(2, 1)
     try:
         control.decide(
--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -210,7 +210,7 @@
                 found.append(Order(group, tuple(labels)))
         return tuple(found)
 
-    def fold(self, taken: taken_orders.Taken, kept: tuple[Kept, ...], orders: tuple[Order, ...]) -> None:
+    def apply(self, taken: taken_orders.Taken, kept: tuple[Kept, ...], orders: tuple[Order, ...]) -> None:
         """Take in a configuration that was decided."""
         self.version = taken.version
         self.taken.add(taken)
--- a/aspencroft/configuration/operator_configuration_test.py
+++ b/aspencroft/configuration/operator_configuration_test.py
@@ -42,33 +42,33 @@
     """The control group's view as a primary uses it, and as a copy that folds the same events."""
 
     def __init__(self):
-        self.view, self.follower = control_state.ControlState(), control_state.ControlState()
+        self.state_machine, self.follower = control_state.ControlState(), control_state.ControlState()
 
     def apply(self, command):
         """The reply, or the refusal's result; nothing may change by a refusal or a repeat."""
-        before = self.view.snapshot()
+        before = self.state_machine.snapshot()
         command = codec.untagged(codec.tagged(command))
         try:
-            events, reply = self.view.decide(command, NOW, 3)
+            events, reply = self.state_machine.decide(command, NOW, 3)
         except result.RequestError as refusal:
-            assert self.view.snapshot() == before
+            assert self.state_machine.snapshot() == before
             return refusal.result
-        assert self.view.snapshot() == before
+        assert self.state_machine.snapshot() == before
         for event in events:
-            self.view.fold(event)
-            self.follower.fold(codec.untagged(codec.tagged(event)))
-        assert self.follower.snapshot() == self.view.snapshot()
+            self.state_machine.apply(event)
+            self.follower.apply(codec.untagged(codec.tagged(event)))
+        assert self.follower.snapshot() == self.state_machine.snapshot()
         return reply
 
     def restart(self) -> None:
         """Both copies anew from a snapshot."""
-        shown = self.view.snapshot()
-        for name in ("view", "follower"):
+        shown = self.state_machine.snapshot()
+        for name in ("state_machine", "follower"):
             fresh = control_state.ControlState()
             fresh.restore(shown)
             setattr(self, name, fresh)
-        assert self.view.snapshot() == shown
-        assert (self.view.index.places, self.view.index.uses) == (
+        assert self.state_machine.snapshot() == shown
+        assert (self.state_machine.index.places, self.state_machine.index.uses) == (
             self.follower.index.places,
             self.follower.index.uses,
         )
@@ -76,7 +76,7 @@
     def items(self) -> dict[str, list[tuple[str, str]]]:
         """Labels and words of each list, in order."""
         found: dict[str, list] = {}
-        for one in self.view.configuration.read().items:
+        for one in self.state_machine.configuration.read().items:
             found.setdefault(one.group, []).append((one.label, one.text))
         return found
 
@@ -170,25 +170,25 @@
         for _ in range(40):
             command = drawn(chance, model, said)
             said.append(command)
-            wanted, before = model.apply(command), store.view.revision
+            wanted, before = model.apply(command), store.state_machine.revision
             reply = store.apply(command)
             if isinstance(wanted, set):
                 assert reply in wanted, (seed, reply, wanted, command)
                 seen[reply] += 1
             else:
                 assert reply.again == (wanted == "again"), (seed, reply, wanted, command)
-                assert (store.view.revision == before) == reply.again
+                assert (store.state_machine.revision == before) == reply.again
                 seen[wanted] += 1
-            assert store.view.configuration.version == model.version
+            assert store.state_machine.configuration.version == model.version
             found: dict[str, list] = {}
             for one in model.items:
                 found.setdefault(one.group, []).append((one.label, one.text))
             assert store.items() == found, seed
             for kind in ("services", "http_routes"):
-                assert store.view.document.get(kind, {}) == {
+                assert store.state_machine.document.get(kind, {}) == {
                     one.name: json.loads(one.spec) for one in model.items if one.kind == kind
                 }
-            assert resources.check(store.view.document) == ()
+            assert resources.check(store.state_machine.document) == ()
             if chance.random() < 0.1:
                 store.restart()
     assert (
@@ -211,9 +211,12 @@
     store.apply(order(4, 0, [service("s"), route("a", "/", "s")]))
     body = json.dumps({"machines": {"m": {"emptied": True}}, "services": {"other": {"kind": "plain"}}})
     assert store.apply(control_state.WriteResources("merge", "", "", body, None)).changed == 2
-    assert store.view.configuration.version == 4
+    assert store.state_machine.configuration.version == 4
     assert store.apply(order(6, 4, [service("s")])).changed == 1
-    assert store.view.document["machines"] == {"m": {"emptied": True}} and "other" in store.view.document["services"]
+    assert (
+        store.state_machine.document["machines"] == {"m": {"emptied": True}}
+        and "other" in store.state_machine.document["services"]
+    )
     assert store.apply(control_state.WriteResources("delete", "services", "s", "", None)).changed == 1
     assert store.apply(order(7, 6, [service("s")])).changed == 1, "what is stated comes back"
 
@@ -259,21 +262,21 @@
             shown = json.loads(
                 json.dumps(
                     {
-                        "plan": store.view.document,
-                        "revisions": store.view.revisions,
-                        "version": store.view.configuration.version,
+                        "plan": store.state_machine.document,
+                        "revisions": store.state_machine.revisions,
+                        "version": store.state_machine.configuration.version,
                     }
                 )
             )
-            held.append((store.view.revision, shown, resources.of(shown["plan"], shown["version"])))
+            held.append((store.state_machine.revision, shown, resources.of(shown["plan"], shown["version"])))
             command = drawn(chance, model, [])
             if isinstance(store.apply(command), operator_configuration.Applied):
                 model.apply(command)
             if chance.random() < 0.05:
                 store.restart()
             for revision, shown, typed in held[-6:]:
-                read = store.view.read_plan(revision)
-                assert read.revision == store.view.revision
+                read = store.state_machine.read_plan(revision)
+                assert read.revision == store.state_machine.revision
                 if read.document:
                     shown = json.loads(read.document)
                     typed = resources.of(shown["plan"], shown["version"])
@@ -282,11 +285,11 @@
                     shown = resources.merge(shown, patch)
                     typed = resources.after(typed, shown["plan"], patch["plan"], shown["version"])
                 assert shown == {
-                    "plan": store.view.document,
-                    "revisions": store.view.revisions,
+                    "plan": store.state_machine.document,
+                    "revisions": store.state_machine.revisions,
                     "version": model.version,
                 }
-                whole = resources.of(store.view.document, model.version)
+                whole = resources.of(store.state_machine.document, model.version)
                 assert (typed.services, typed.http_routes, typed.version) == (
                     whole.services,
                     whole.http_routes,
@@ -313,14 +316,14 @@
             looked["walks"] += 1
             return super().values()
 
-    store.view.document["http_routes"] = Watched(store.view.document["http_routes"])
-    store.view.index.routes = Watched(store.view.index.routes)
-    store.view.index.places = Watched(store.view.index.places)
-    events, reply = store.view.decide(
+    store.state_machine.document["http_routes"] = Watched(store.state_machine.document["http_routes"])
+    store.state_machine.index.routes = Watched(store.state_machine.index.routes)
+    store.state_machine.index.places = Watched(store.state_machine.index.places)
+    events, reply = store.state_machine.decide(
         order(2, 1, [route("r7", "/new/", "s")], [operator_configuration.Label("routes here", "r9")]), NOW, 1
     )
-    store.view.fold(events[0])
-    read = store.view.read_plan(control_state.Revision(3, 1))
+    store.state_machine.apply(events[0])
+    read = store.state_machine.read_plan(control_state.Revision(3, 1))
     assert reply.changed == 2 and len(read.steps) == 1 and len(read.steps[0].patch) < 500 and not looked
 
 
@@ -344,13 +347,13 @@
         )
     )
     shown = {
-        "plan": json.loads(json.dumps(store.view.document)),
-        "revisions": dict(store.view.revisions),
+        "plan": json.loads(json.dumps(store.state_machine.document)),
+        "revisions": dict(store.state_machine.revisions),
         "version": 1,
     }
-    typed, before = resources.of(shown["plan"], 1), store.view.revision
+    typed, before = resources.of(shown["plan"], 1), store.state_machine.revision
     store.apply(order(2, 1, [route("a", "/", "s")], []))
-    patch = json.loads(store.view.read_plan(before).steps[0].patch)
+    patch = json.loads(store.state_machine.read_plan(before).steps[0].patch)
     shown = resources.merge(shown, patch)
     assert typed.http_routes["a"].rank == 3
     assert resources.after(typed, shown["plan"], patch["plan"], 2).http_routes["a"].rank == 0
--- a/aspencroft/configuration/orders_stateful_test.py
+++ b/aspencroft/configuration/orders_stateful_test.py
@@ -72,7 +72,7 @@
             assert command.condition == self.version() < command.version
             assert not names_a_missing_service(command)
             self.log.append(codec.tagged(events[0]))
-            self.state.fold(codec.untagged(self.log[-1]))
+            self.state.apply(codec.untagged(self.log[-1]))
             self.register.append(command)
         self.pending.append((command, reply))
 
@@ -107,7 +107,7 @@
         events, _ = self.state.decide(control_state.WriteResources("merge", "", "", body, None), None, self.epoch)
         for event in events:
             self.log.append(codec.tagged(event))
-            self.state.fold(event)
+            self.state.apply(event)
 
     @hypothesis.stateful.rule()
     def all_members_hold_it(self):
@@ -136,7 +136,7 @@
         self.state = control_state.ControlState()
         self.state.restore(snapshot)
         for entry in self.log[place:]:
-            self.state.fold(codec.untagged(entry))
+            self.state.apply(codec.untagged(entry))
 
     @hypothesis.stateful.rule()
     def draw_snapshot(self):
--- a/aspencroft/configuration/taken_orders_test.py
+++ b/aspencroft/configuration/taken_orders_test.py
@@ -63,7 +63,7 @@
     orders = [order(number + 1, number, [service("s", f"words {number}")]) for number in range(3000)]
     for command in orders:
         events, _ = view.decide(command, None, 3)
-        view.fold(events[0])
+        view.apply(events[0])
     fresh = control_state.ControlState()
     fresh.restore(view.snapshot())
     for command in orders:
@@ -86,7 +86,7 @@
     assert store.apply(order(6, 6, [service("s", "other")])) is result.ResultCode.REVISION_DIFFERS
     assert store.apply(order(26, 22, [service("s", "other")])) is result.ResultCode.REVISION_DIFFERS
     with pytest.raises(result.RequestError) as caught:
-        store.view.decide(orders[0], None, 3)
+        store.state_machine.decide(orders[0], None, 3)
     assert caught.value.ran is result.Ran.UNKNOWN and caught.value.result.status >= 500
 
 
--- a/aspencroft/node/memory_report.py
+++ b/aspencroft/node/memory_report.py
@@ -53,7 +53,7 @@
     def groups(self) -> tuple[GroupMemory, ...]:
         """What each replica on this node holds."""
         return tuple(
-            GroupMemory(group, held.status_reason, held.copy.memory(), held.incoming.size)
+            GroupMemory(group, held.status_reason, held.replica.memory(), held.incoming.size)
             for group, held in self.group_replicas.items()
         )
 
--- a/aspencroft/node/memory_report_test.py
+++ b/aspencroft/node/memory_report_test.py
@@ -34,7 +34,7 @@
     """A node's part in a group."""
 
     status_reason: str
-    copy: FakeCopy
+    replica: FakeCopy
     incoming: FakeIncoming
 
 
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -338,9 +338,9 @@
         copies = tuple(
             replica_set.ReplicaReport(
                 group_id,
-                self.group_replica(group_id).copy.identity,
-                self.group_replica(group_id).copy.record,
-                self.group_replica(group_id).copy.last().sequence,
+                self.group_replica(group_id).replica.identity,
+                self.group_replica(group_id).replica.record,
+                self.group_replica(group_id).replica.last().sequence,
             )
             for group_id in self.group_replicas
         )
@@ -438,7 +438,7 @@
         started = clock.now()
         held = self.group_replica(0)
         if held.has_lease():
-            await held.copy.view.look_ahead(message.write)
+            await held.replica.state_machine.look_ahead(message.write)
         written = await held.submit(message.write, message.within)
         confirm = self.settings.confirm
         try:
@@ -574,7 +574,7 @@
             await self.witness.start(self.settings.witnesses == settings.CORE and self.settings.first_start)
             self.proposer.learn(self.witness.known.voter_set)
             for held in self.group_replicas.values():
-                await held.copy.open()
+                await held.replica.open()
             self.opened = True
             works = {
                 "samples": self.tell_samples,
@@ -587,7 +587,7 @@
             }
             works.update({f"pair {group_id}": held.run for group_id, held in self.group_replicas.items()})
             works.update(
-                {f"pictures {group_id}": held.copy.write_snapshots for group_id, held in self.group_replicas.items()}
+                {f"pictures {group_id}": held.replica.write_snapshots for group_id, held in self.group_replicas.items()}
             )
             if 0 in self.group_replicas:
                 works.update({"root": self.root, "reseat": self.witness_changes.run})
@@ -635,7 +635,7 @@
                     "aspencroft_pair_serving", held.has_lease() and held.status_reason == "serving", pair=str(group_id)
                 )
             )
-            found.append(sample.sample("aspencroft_pair_entries", held.copy.last().sequence, pair=str(group_id)))
+            found.append(sample.sample("aspencroft_pair_entries", held.replica.last().sequence, pair=str(group_id)))
         return [*found, *self.memory.samples()]
 
     def samples(self) -> tuple[sample.Sample, ...]:
@@ -725,8 +725,8 @@
                 str(group_id): {
                     "why": held.status_reason,
                     "claimed": held.has_lease(),
-                    "sequence": held.copy.last().sequence,
-                    "disk": held.copy.condition.value,
+                    "sequence": held.replica.last().sequence,
+                    "disk": held.replica.condition.value,
                     **held.counts,
                 }
                 for group_id, held in self.group_replicas.items()
--- a/aspencroft/platform_check/configuration_test.py
+++ b/aspencroft/platform_check/configuration_test.py
@@ -103,16 +103,16 @@
     """A control group's view, spoken to in the operator's documents."""
 
     def __init__(self):
-        self.view = control_state.ControlState()
+        self.state_machine = control_state.ControlState()
 
     def take(self, command):
         """The reply, or the refusal's result."""
         try:
-            events, reply = self.view.decide(command, NOW, 1)
+            events, reply = self.state_machine.decide(command, NOW, 1)
         except result.RequestError as refusal:
             return refusal.result
         for event in events:
-            self.view.fold(event)
+            self.state_machine.apply(event)
         return reply
 
     def put(self, condition: int, document: dict):
@@ -125,13 +125,13 @@
 
     def get(self) -> dict:
         """GET."""
-        return configuration.document_of(self.view.configuration.read())
+        return configuration.document_of(self.state_machine.configuration.read())
 
 
 def test_a_configuration_means_what_the_platforms_pages_say():
     operator = Operator()
     assert operator.put(0, sample(7)).changed == 5
-    typed = resources.of(operator.view.document, operator.view.configuration.version)
+    typed = resources.of(operator.state_machine.document, operator.state_machine.configuration.version)
     turns, split = (typed.route_table.match("A.example:80", path) for path in ("/one/x", "/two/"))
     assert (turns.kind, turns.timeout, turns.aim, turns.gap, turns.keep) == (
         "stream",
@@ -185,7 +185,7 @@
     operator = Operator()
     bare = {"name": "r", "host": "h", "path-prefix": "/", "target-service": "s", "target-gap-ms": None}
     assert operator.put(0, {"config-revision": 1, "route-list": [bare], "service-list": [{"name": "s"}]}).changed == 2
-    typed = resources.of(operator.view.document)
+    typed = resources.of(operator.state_machine.document)
     assert typed.http_routes["r"].kind == http_route.NON_IDEMPOTENT and typed.http_routes["r"].attempts == 1
     assert typed.limits.body_bytes == 4 << 20 and typed.limits.header_bytes == 16384
     assert operator.get() == {"config-revision": 1, "route-list": [bare], "service-list": [{"name": "s"}]}
@@ -218,7 +218,7 @@
         },
     )
     assert operator.put(0, document).changed == 3
-    typed = resources.of(operator.view.document)
+    typed = resources.of(operator.state_machine.document)
     assert (
         typed.http_routes["r-1"].attempts,
         typed.http_routes["r-1"].rank,
@@ -277,7 +277,7 @@
     ):
         operator = Operator()
         operator.put(0, sample(5))
-        before = operator.view.snapshot()
+        before = operator.state_machine.snapshot()
         assert (
             operator.put(
                 5,
@@ -285,7 +285,7 @@
             )
             is result.ResultCode.PLAN_INVALID
         ), change
-        assert operator.view.snapshot() == before
+        assert operator.state_machine.snapshot() == before
         if "route-list" in change:
             items = {"config-revision": 9, "upsert-items": {"route-list": change["route-list"]}}
             assert operator.patch(5, items) is result.ResultCode.PLAN_INVALID, change
@@ -358,8 +358,8 @@
     operator.put(0, document)
     assert canonical(operator.get()) == canonical(document) and list(operator.get()) == list(document)
     again = control_state.ControlState()
-    again.restore(operator.view.snapshot())
-    operator.view = again
+    again.restore(operator.state_machine.snapshot())
+    operator.state_machine = again
     assert canonical(operator.get()) == canonical(document)
     turned = sample(4, **{"route-list": document["route-list"][::-1], "service-list": [PLAIN, MODEL]})
     assert operator.put(3, turned).changed == 0
@@ -491,8 +491,8 @@
                 assert canonical(operator.get()) == canonical(current), seed
             if chance.random() < 0.1:
                 fresh = control_state.ControlState()
-                fresh.restore(operator.view.snapshot())
-                operator.view = fresh
+                fresh.restore(operator.state_machine.snapshot())
+                operator.state_machine = fresh
     assert min(seen.values()) > 150 and len(seen) == 5, seen
 
 
--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -30,7 +30,7 @@
             self.watched, own.heard = own.known.primary, clock.now()
         own.status_reason = "backup"
         standing = own.known
-        await own.copy.persist_record(standing)
+        await own.replica.persist_record(standing)
         silence = PRIMARY_SILENCE + standing.backups.index(own.me()) * TURN
         pause = own.heard + silence - clock.now()
         while own.known == standing:
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -62,8 +62,8 @@
         lease and the silence after which a backup takes over.
         """
         self.patience_end = clock.now() + PATIENCE
-        if self.copy.record is not None:
-            self.learn(self.copy.record)
+        if self.replica.record is not None:
+            self.learn(self.replica.record)
         while True:
             self.changed.clear()
             standing = self.known
@@ -94,7 +94,7 @@
                 async with clock.limit(RELEASE_AFTER):
                     await self.changed.wait()
             except TimeoutError:
-                if clock.now() - max(began, self.heard) >= RELEASE_AFTER and self.copy.holds_state():
+                if clock.now() - max(began, self.heard) >= RELEASE_AFTER and self.replica.holds_state():
                     await self.release()
 
     async def release(self) -> None:
@@ -117,7 +117,7 @@
             members = stands.record.members()
             unneeded = len(members) >= self.around.copies and all(one.address != self.address for one in members)
             if unneeded and self.known == standing == stands.record and not self.incoming.size:
-                await self.copy.release()
+                await self.replica.release()
                 self.counts["released"] += 1
 
     async def submit(self, command, within: datetime.timedelta):
@@ -135,13 +135,13 @@
     async def fetch(self, message: messages.FetchLog) -> messages.FetchedLog:
         """As a member of the same record: what this copy holds beyond that of one that just started."""
         async with self.lock:
-            if message.identity != self.copy.identity:
+            if message.identity != self.replica.identity:
                 return messages.FetchedLog(None, (), True)
-            if self.copy.incomplete():
+            if self.replica.incomplete():
                 raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="this copy is being repaired")
             if self.known is None or message.record.epoch != self.known.epoch or self.me() not in self.known.members():
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not a member of that record")
-            return messages.FetchedLog(*self.copy.ahead_of(message.last, log_shipping.MEND_BYTES), False)
+            return messages.FetchedLog(*self.replica.ahead_of(message.last, log_shipping.MEND_BYTES), False)
 
     async def append(self, message: messages.Append) -> messages.Appended:
         """As backup: take entries that follow the last one; refuse lower epochs."""
@@ -150,41 +150,41 @@
                 self.learn(message.record)
             if message.record.epoch < self.known.epoch or self.me() not in self.known.backups:
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=f"epoch {self.known.epoch} stands")
-            await self.copy.persist_record(self.known)
+            await self.replica.persist_record(self.known)
             self.heard = clock.now()
-            fresh = self.copy.beyond(message.previous, message.entries)
+            fresh = self.replica.beyond(message.previous, message.entries)
             self.unsure = False
             if fresh:
-                await self.copy.append(fresh)
-                self.copy.begin_snapshot()
-            return messages.Appended(self.copy.last())
+                await self.replica.append(fresh)
+                self.replica.begin_snapshot()
+            return messages.Appended(self.replica.last())
 
     def compare(self, message: messages.Compare) -> messages.Compared:
         """Identity and range digests of this copy."""
-        return messages.Compared(self.copy.identity, self.copy.marks())
+        return messages.Compared(self.replica.identity, self.replica.marks())
 
     async def repair(self, message: messages.Repair) -> messages.Appended:
         """As candidate or backup: become like the primary's copy."""
         async with self.lock:
             self.check_repair(message)
-            await self.copy.persist_record(message.record)
+            await self.replica.persist_record(message.record)
             self.heard = clock.now()
-            last = await self.copy.repair(message.through, message.snapshot, message.entries)
+            last = await self.replica.repair(message.through, message.snapshot, message.entries)
             self.unsure = False
             return messages.Appended(last)
 
     def check_repair(self, message: RepairStep) -> None:
         """Refuse what is not from the primary of the newest record, or meant for another copy."""
         self.learn(message.record)
-        if self.leading or message.identity != self.copy.identity or message.record.epoch < self.known.epoch:
+        if self.leading or message.identity != self.replica.identity or message.record.epoch < self.known.epoch:
             raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not to be mended by that")
 
     async def begin_repair(self, message: messages.BeginRepair) -> replica_set.Acknowledged:
         """As candidate or backup: from now on this copy is not whole before it holds the goal."""
         async with self.lock:
             self.check_repair(message)
-            await self.copy.persist_record(message.record)
-            await self.copy.begin_repair(replica.RepairGoal(message.goal.sequence, message.goal.digest))
+            await self.replica.persist_record(message.record)
+            await self.replica.begin_repair(replica.RepairGoal(message.goal.sequence, message.goal.digest))
             return replica_set.Acknowledged()
 
     def receive_snapshot_chunk(self, message: messages.SnapshotChunk) -> messages.SnapshotProgress:
@@ -197,13 +197,13 @@
         """As candidate or backup: become what the parts of a snapshot show; asked again, say that it was done."""
         async with self.lock:
             self.check_repair(message)
-            if self.copy.digest_at(message.sequence) != message.digest:
+            if self.replica.digest_at(message.sequence) != message.digest:
                 snapshot = self.incoming.whole(message)
-                await self.copy.persist_record(message.record)
-                await self.copy.repair(message.sequence, snapshot, ())
+                await self.replica.persist_record(message.record)
+                await self.replica.repair(message.sequence, snapshot, ())
             self.heard, self.unsure = clock.now(), False
             self.incoming.forget()
-            return messages.Appended(self.copy.last())
+            return messages.Appended(self.replica.last())
 
     async def appoint(self, message: messages.ReplicaSetNotice) -> replica_set.Acknowledged:
         """Hear at once of a record that names this node."""
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -61,7 +61,7 @@
         area: str,
         around: GroupPolicy,
     ):
-        self.copy = held
+        self.replica = held
         self.group_id = held.group_id
         self.link = links
         self.proposer = voters
@@ -97,7 +97,7 @@
 
     def me(self) -> replica_set.ReplicaId:
         """This node's member name in the group."""
-        return replica_set.ReplicaId(self.address, self.copy.identity)
+        return replica_set.ReplicaId(self.address, self.replica.identity)
 
     def learn(self, fresh: replica_set.ReplicaSet) -> None:
         """Hear of a replica set from anywhere; only a newer epoch counts."""
@@ -126,7 +126,7 @@
 
     def check_disk(self) -> None:
         """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead."""
-        if self.copy.stalled():
+        if self.replica.stalled():
             raise DiskStalled(f"group {self.group_id}: a write has not come back for long")
 
     def staying(self) -> tuple[replica_set.ReplicaId, ...]:
@@ -164,7 +164,7 @@
             chosen = await self.proposer.change(self.group_id, str(self.me()), change)
             fresh = proposer.replica_set_of(chosen.value)
             if self.me() in fresh.members():
-                await self.copy.persist_record(fresh)
+                await self.replica.persist_record(fresh)
             if fresh.primary == self.me():
                 self.chosen, self.chosen_record = chosen, fresh
             self.learn(fresh)
--- a/aspencroft/replication/interrupted_write_test.py
+++ b/aspencroft/replication/interrupted_write_test.py
@@ -37,7 +37,11 @@
     """Whether a process that starts on this disk holds what this one holds."""
     again = made(one.environment.disk)
     await again.open()
-    return (again.last(), again.view.snapshot(), again.entries) == (one.last(), one.view.snapshot(), one.entries)
+    return (again.last(), again.state_machine.snapshot(), again.entries) == (
+        one.last(),
+        one.state_machine.snapshot(),
+        one.entries,
+    )
 
 
 def run(scene) -> None:
@@ -79,14 +83,14 @@
         await other.open()
         await one.append(entries(one, 3, "a:1"))
         await other.append(entries(other, 8, "b:1"))
-        before = one.last(), one.view.snapshot()
+        before = one.last(), one.state_machine.snapshot()
         machine.space = space
         refused = False
         try:
             await one.repair(0, None, tuple(other.entries))
         except OSError as error:
             refused = True
-            assert error.errno == errno.ENOSPC and (one.last(), one.view.snapshot()) == before
+            assert error.errno == errno.ENOSPC and (one.last(), one.state_machine.snapshot()) == before
         machine.space = None
         assert await same_after_start(one)
         await one.repair(0, None, tuple(other.entries))
@@ -156,7 +160,7 @@
     async def acts(those: members.Members) -> None:
         those.run(*those.names)
         await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        machine = those.group_replicas["n1:1"].copy.environment.disk
+        machine = those.group_replicas["n1:1"].replica.environment.disk
         for number in range(20):
             machine.delay = 0.05
             writing = asyncio.ensure_future(those.write(f"s{number}"))
@@ -176,7 +180,7 @@
 
 async def same_copy_after_start(those: members.Members, name: str) -> bool:
     """Whether a process that starts on a member's disk holds what that member holds."""
-    held = those.group_replicas[name].copy
+    held = those.group_replicas[name].replica
     again = replica.Replica(held.environment, held.folder, held.group_id, control_state.ControlState)
     await again.open()
     return (again.last(), again.entries) == (held.last(), held.entries)
@@ -188,7 +192,7 @@
         those.run(*those.names)
         await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("a")
-        machine = those.group_replicas["n0:1"].copy.environment.disk
+        machine = those.group_replicas["n0:1"].replica.environment.disk
         if trouble == "full":
             machine.space = 0
         else:
@@ -221,14 +225,14 @@
         those.run(*those.names)
         own = those.group_replicas["n0:1"]
         await those.until(lambda: own.status_reason == "serving")
-        own.copy.environment.disk.stall()
+        own.replica.environment.disk.stall()
         those.register.refusing = True
         hanging = asyncio.ensure_future(those.write("b", within=1))
-        await those.until(lambda: own.has_lease() and own.copy.write_began is not None)
+        await those.until(lambda: own.has_lease() and own.replica.write_began is not None)
         assert await those.until(lambda: not own.has_lease()) < 4
         await clock.sleep(clock.seconds(5))
         assert not own.has_lease()
-        own.copy.environment.disk.resume()
+        own.replica.environment.disk.resume()
         those.register.refusing = False
         await asyncio.gather(hanging, return_exceptions=True)
         await those.until(
@@ -252,7 +256,7 @@
             await asyncio.sleep(1)
             used = sum(path.stat().st_size for path in tmp_path.rglob("*") if path.is_file())
             most = max(most, used)
-        assert len(one.view.snapshot()) < 500
+        assert len(one.state_machine.snapshot()) < 500
         assert most < 700_000 and len(one.entries) < 2 * replica.RESTED_ENTRIES
         drawing.cancel()
 
@@ -344,7 +348,7 @@
         fresh = made(disk.SimDisk(folder / "fresh", random.Random(3)))
         await fresh.open()
         await fresh.repair(again.snapshot.sequence, again.snapshot, tuple(again.entries))
-        assert fresh.view.snapshot() == again.view.snapshot()
+        assert fresh.state_machine.snapshot() == again.state_machine.snapshot()
         return ended
 
     async def scenes() -> None:
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -30,10 +30,10 @@
         message = messages.Append(standing, last, entries)
         async with supervision.Group() as group:
             if entries:
-                group.create_task(self.own.copy.write_entries(entries))
+                group.create_task(self.own.replica.write_entries(entries))
             sent = {one: group.create_task(self.send(one, message)) for one in standing.backups}
             await self.patience.wait_for(sent.values())
-        last_here = self.own.copy.last()
+        last_here = self.own.replica.last()
         return tuple(one for one, task in sent.items() if task.cancelled() or task.result() != last_here)
 
     async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> replica.LogPosition | None:
@@ -71,14 +71,14 @@
                     self.lost.add(peer)
                 return False
             await own.link.request(peer.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
-            return await self.repair_from(peer, compared) == own.copy.last()
+            return await self.repair_from(peer, compared) == own.replica.last()
         except result.RequestError as refusal:
             LOG.info("pair {}: mending {}: {}", own.group_id, peer.address, refusal)
             return False
 
     async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> replica.LogPosition:
         """Send what the peer lacks behind the last range on which the digests agree; its newest entry then."""
-        held = self.own.copy
+        held = self.own.replica
         agreeing = [mark.sequence for mark in compared.marks if held.digest_at(mark.sequence) == mark.digest]
         snapshot = None if agreeing else held.snapshot
         through = max(agreeing, default=held.snapshot.sequence)
@@ -112,13 +112,13 @@
         their copies, or once patience is over. False while one is still waited for.
         """
         own = self.own
-        if not own.unsure and not own.copy.incomplete():
+        if not own.unsure and not own.replica.incomplete():
             return True
         others = [one for one in own.known.members() if one != own.me()]
         async with supervision.Group() as group:
             asked = [group.create_task(self.take_from(one)) for one in others]
         told = [task.result() for task in asked]
-        if own.copy.incomplete():
+        if own.replica.incomplete():
             own.status_reason = "waits for a member that holds what this copy lacks since a repair broke off"
             return False
         if True in told or told.count(None) == len(told) or clock.now() >= own.patience_end:
@@ -132,19 +132,19 @@
         own = self.own
         try:
             while True:
-                message = messages.FetchLog(own.known, own.copy.last(), peer.identity)
+                message = messages.FetchLog(own.known, own.replica.last(), peer.identity)
                 reply = await own.link.request(peer.address, message, group_state.REPLY)
                 if reply.lost:
                     return None
                 if reply.snapshot is None and not reply.entries:
                     return True
                 async with own.lock:
-                    if own.copy.last() != message.last:
+                    if own.replica.last() != message.last:
                         continue
                     LOG.warning("pair {}: {} held more than this disk", own.group_id, peer.address)
                     own.counts["taken at start"] += 1
                     through = message.last.sequence if reply.snapshot is None else reply.snapshot.sequence
-                    await own.copy.repair(through, reply.snapshot, reply.entries)
+                    await own.replica.repair(through, reply.snapshot, reply.entries)
         except result.RequestError as refusal:
             LOG.info("pair {}: comparing with {}: {}", own.group_id, peer.address, refusal)
             return False
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -89,7 +89,7 @@
         """Claim, make the backups agree, then serve until deposed."""
         own = self.own
         own.status_reason = "claiming"
-        await own.copy.persist_record(own.known)
+        await own.replica.persist_record(own.known)
         if own.chosen is None or proposer.replica_set_of(own.chosen.value) != own.known:
             await own.ballot(lambda standing: standing)
             if own.known.primary != own.me():
@@ -108,7 +108,7 @@
             own.lease_end = clock.ZERO
             own.chosen = None
             self.abandon()
-            own.copy.settle_view()
+            own.replica.settle_view()
 
     def abandon(self) -> None:
         """Nobody is left without an answer when the primary is deposed."""
@@ -165,9 +165,9 @@
         own = self.own
         while True:
             await clock.sleep(BEAT)
-            own.copy.view.limit_payload(own.around.payload_limit())
+            own.replica.state_machine.limit_payload(own.around.payload_limit())
             if own.has_lease() and own.known.backups and not self.submissions.full():
-                for command in own.copy.view.due(clock.now(), own.around.gone):
+                for command in own.replica.state_machine.due(clock.now(), own.around.gone):
                     if not self.submissions.full():
                         self.submissions.put_nowait(
                             Submission(
@@ -299,7 +299,7 @@
                         result.RequestError(result.ResultCode.NO_BACKUP, retry=group_state.COME_BACK),
                     )
             return
-        last = own.copy.last()
+        last = own.replica.last()
         entries = self.decide(batch, standing, last, held_back)
         if not entries:
             self.answer(held_back)
@@ -313,7 +313,7 @@
             own.counts["entries"] += len(entries)
             if entries:
                 own.committed.set()
-                own.copy.begin_snapshot()
+                own.replica.begin_snapshot()
         else:
             self.agreed = None
             if failed:
@@ -339,7 +339,7 @@
                 )
                 continue
             try:
-                events, reply = own.copy.view.decide(waiting.command, clock.now(), standing.epoch)
+                events, reply = own.replica.state_machine.decide(waiting.command, clock.now(), standing.epoch)
             except result.RequestError as refusal:
                 events, reply = (), refusal
             except Exception as error:
@@ -347,7 +347,7 @@
                 events, reply = (), result.RequestError(result.ResultCode.INTERNAL, detail=repr(error))
             for event in events:
                 entries.append(replica.Entry(standing.epoch, last.sequence + len(entries) + 1, codec.tagged(event)))
-                own.copy.fold(entries[-1], event)
+                own.replica.apply(entries[-1], event)
             held_back.append(Decided(waiting, reply))
         return tuple(entries)
 
--- a/aspencroft/replication/primary_test.py
+++ b/aspencroft/replication/primary_test.py
@@ -98,7 +98,7 @@
 def test_a_copy_that_was_let_go_of_is_no_loss_nor_is_a_member_that_is_silent(tmp_path):
     async def acts(those: members.Members) -> None:
         own = those.group_replicas["n0:1"]
-        await those.group_replicas["n2:1"].copy.release()
+        await those.group_replicas["n2:1"].replica.release()
         assert await own.log_shipping.agree(own.known)
         assert not own.log_shipping.lost
         those.silent.add("n2:1")
@@ -217,14 +217,14 @@
         await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("a")
         own = those.group_replicas["n0:1"]
-        writes = own.copy.write_items
+        writes = own.replica.write_items
 
         async def failing(*values) -> None:
             await clock.sleep(clock.seconds(0.01))
-            own.copy.write_items = writes
+            own.replica.write_items = writes
             raise OSError("no space left on the device")
 
-        own.copy.write_items = failing
+        own.replica.write_items = failing
         try:
             await those.write("b")
             raise AssertionError("answered")
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -154,14 +154,14 @@
     state_entries: int
 
 
-class View(typing.Protocol):
+class StateMachine(typing.Protocol):
     """What a journal means: decides commands, folds events, draws snapshots of itself."""
 
     def decide(self, command, now, epoch: int) -> tuple[tuple, object]:
         """Events and reply for a command, or a RequestError."""
         ...
 
-    def fold(self, event) -> None:
+    def apply(self, event) -> None:
         """Take an event in."""
         ...
 
@@ -193,7 +193,7 @@
         """Become what a snapshot holds."""
         ...
 
-    def rest_clocks(self) -> None:
+    def reset_clocks(self) -> None:
         """Forget times that were counted as primary."""
         ...
 
@@ -216,12 +216,12 @@
         around: environment.Environment,
         folder: pathlib.Path,
         group_id: int,
-        make_view: collections.abc.Callable[[], View],
+        make_state_machine: collections.abc.Callable[[], StateMachine],
     ):
         self.environment = around
         self.folder = folder
         self.group_id = group_id
-        self.make_view = make_view
+        self.make_state_machine = make_state_machine
         self.kept: store.Store | None = None
         self.condition = store.Condition.EMPTY
         self.identity = ""
@@ -232,7 +232,7 @@
         self.entries: list[Entry] = []
         self.digests: list[bytes] = []
         self.held = 0
-        self.view = make_view()
+        self.state_machine = make_state_machine()
         self.writing = asyncio.Lock()
         self.drawing = False
         self.newest = 0
@@ -243,7 +243,7 @@
         self.sending = 0
         self.begun: tuple[LogPosition, int, collections.abc.Iterator[bytes]] | None = None
         self.wanted = asyncio.Event()
-        self.view_at = 0
+        self.applied_sequence = 0
 
     async def open(self) -> None:
         """Read the journal; an empty or damaged one is born anew under another identity.
@@ -281,7 +281,7 @@
         if not self.identity:
             self.identity = self.new_identity()
             await self.write(Identity(self.identity))
-        self.refold()
+        self.rebuild_state()
 
     async def load(self) -> tuple[store.Store, tuple[store.Item, ...], store.Condition]:
         """What the disk holds; tried again while the disk refuses, as there is nothing to be done without it."""
@@ -303,16 +303,16 @@
         self.held -= sum(len(entry.body) + OF_AN_ENTRY for entry in self.entries[places])
         del self.entries[places], self.digests[places]
 
-    def refold(self) -> None:
+    def rebuild_state(self) -> None:
         """Make the view anew from snapshot and entries; the snapshot shares the view's bytes from then on."""
-        self.view = self.make_view()
+        self.state_machine = self.make_state_machine()
         if self.snapshot.pieces:
-            self.view.restore(self.take_snapshot_body())
-            self.snapshot = dataclasses.replace(self.snapshot, pieces=tuple(self.view.snapshot_parts()))
+            self.state_machine.restore(self.take_snapshot_body())
+            self.snapshot = dataclasses.replace(self.snapshot, pieces=tuple(self.state_machine.snapshot_parts()))
             self.snapshot_size = self.snapshot.size()
         for entry in self.entries:
-            self.view.fold(codec.untagged(entry.body))
-        self.view_at = self.last().sequence
+            self.state_machine.apply(codec.untagged(entry.body))
+        self.applied_sequence = self.last().sequence
 
     def take_snapshot_body(self) -> bytes:
         """The snapshot's bytes in one piece; its pieces are let go of, as the view is made anew from these bytes."""
@@ -320,17 +320,17 @@
         self.snapshot = dataclasses.replace(self.snapshot, pieces=())
         return body
 
-    def fold(self, entry: Entry, event) -> None:
+    def apply(self, entry: Entry, event) -> None:
         """Fold an entry's event into the view, which may run ahead of the entries while they are synced."""
-        self.view.fold(event)
-        self.view_at = entry.sequence
+        self.state_machine.apply(event)
+        self.applied_sequence = entry.sequence
 
     def settle_view(self) -> None:
         """At the end of a tenure: the view shows just the entries, and its clocks count for nothing."""
-        if self.view_at == self.last().sequence:
-            self.view.rest_clocks()
+        if self.applied_sequence == self.last().sequence:
+            self.state_machine.reset_clocks()
         else:
-            self.refold()
+            self.rebuild_state()
 
     def remember(self, entry: Entry) -> None:
         """Add an entry and its digest in memory."""
@@ -341,7 +341,11 @@
     def memory(self) -> ReplicaMemory:
         """What this replica holds in memory."""
         return ReplicaMemory(
-            self.snapshot_size, self.held, len(self.entries), self.view.payload_bytes(), self.view.size()
+            self.snapshot_size,
+            self.held,
+            len(self.entries),
+            self.state_machine.payload_bytes(),
+            self.state_machine.size(),
         )
 
     def last(self) -> LogPosition:
@@ -484,7 +488,7 @@
         """The steps of ``append``."""
         await self.write_and_remember(entries)
         for entry in entries:
-            self.fold(entry, codec.untagged(entry.body))
+            self.apply(entry, codec.untagged(entry.body))
 
     async def begin_repair(self, goal: RepairGoal) -> None:
         """Make it last that this copy is not whole before it holds a mark, unless it holds that already."""
@@ -517,7 +521,7 @@
     def longer_than(self, entries: int, size: int) -> bool:
         """Whether the entries are more than so many or so many bytes, and than half of the state."""
         times = WHILE_SENDING if self.sending else 1
-        many = len(self.entries) >= times * max(entries, self.view.size() // 2)
+        many = len(self.entries) >= times * max(entries, self.state_machine.size() // 2)
         return many or self.held >= times * max(size, self.snapshot_size // 2)
 
     def begin_snapshot(self) -> bool:
@@ -527,12 +531,12 @@
         entries that come next, which are written meanwhile.
         """
         end = self.last()
-        if self.drawing or not self.grown() or not self.entries or self.view_at != end.sequence:
+        if self.drawing or not self.grown() or not self.entries or self.applied_sequence != end.sequence:
             return False
         if clock.now() < self.next_snapshot:
             return False
         self.drawing, self.meanwhile = True, []
-        self.begun = end, self.entries[-1].epoch, self.view.snapshot_parts()
+        self.begun = end, self.entries[-1].epoch, self.state_machine.snapshot_parts()
         self.wanted.set()
         return True
 
@@ -612,7 +616,7 @@
                 self.identity, self.goal = former, goal
                 raise
             self.replace_all(EMPTY_SNAPSHOT)
-        self.refold()
+        self.rebuild_state()
         allocator.return_free_pages()
 
     def new_identity(self) -> str:
@@ -630,11 +634,11 @@
         """The steps of ``repair``: the disk first, then memory, so that a failed write leaves both as they were."""
         if snapshot is None and through == self.last().sequence:
             await self.write_and_remember(entries)
-            if self.view_at == through:
+            if self.applied_sequence == through:
                 for entry in entries:
-                    self.fold(entry, codec.untagged(entry.body))
+                    self.apply(entry, codec.untagged(entry.body))
             else:
-                self.refold()
+                self.rebuild_state()
             return
         async with self.writing:
             base = self.snapshot if snapshot is None else as_drawn(snapshot)
@@ -650,7 +654,7 @@
             self.cut(slice(cut, None))
             for entry in entries:
                 self.remember(entry)
-        self.refold()
+        self.rebuild_state()
 
 
 def as_drawn(snapshot: Snapshot | EncodedSnapshot) -> EncodedSnapshot:
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -72,7 +72,7 @@
             )
             peer = replica_set.ReplicaId(one.address, compared.identity)
             mark = await self.log_shipping.repair_from(peer, compared)
-            same = mark == own.copy.last() if whole else own.copy.digest_at(mark.sequence) == mark.digest
+            same = mark == own.replica.last() if whole else own.replica.digest_at(mark.sequence) == mark.digest
             if not same:
                 own.doubt(one.address)
             return peer if same else None
--- a/aspencroft/replication/replica_changes_test.py
+++ b/aspencroft/replication/replica_changes_test.py
@@ -119,7 +119,7 @@
         await those.until(lambda: {one.address for one in those.register.standing().members()} == {"n2:1", "n3:1"})
         leader = those.register.standing().primary.address
         await those.until(lambda: those.group_replicas[leader].status_reason == "serving")
-        assert "a" in those.group_replicas[leader].copy.view.document["services"]
+        assert "a" in those.group_replicas[leader].replica.state_machine.document["services"]
 
     members.play(tmp_path, 4, acts)
 
--- a/aspencroft/replication/replica_memory_test.py
+++ b/aspencroft/replication/replica_memory_test.py
@@ -33,7 +33,7 @@
     body = random.Random(number).randbytes(INPUT_BYTES)
     end = entry.EndTurn(f"program-{number}", "", attempt, messages.DONE, body, b"out", 7, "worker")
     for command in (begin, end):
-        events, _ = one.view.decide(command, now, 1)
+        events, _ = one.state_machine.decide(command, now, 1)
         place = one.last().sequence
         numbered = enumerate(events, 1)
         await one.append(tuple(replica.Entry(1, place + later, codec.tagged(event)) for later, event in numbered))
@@ -56,7 +56,7 @@
         tracemalloc.reset_peak()
         await one.open()
         _, peak = tracemalloc.get_traced_memory()
-        return peak - before, one.view.payload_bytes()
+        return peak - before, one.state_machine.payload_bytes()
 
     sim_loop.SimLoop().run_until_complete(fill())
     tracemalloc.start()
--- a/aspencroft/replication/replica_moves_test.py
+++ b/aspencroft/replication/replica_moves_test.py
@@ -53,7 +53,7 @@
         await those.until(lambda: "n0:1" not in member_addresses(those) and len(member_addresses(those)) == 2, 40)
         leader = those.register.standing().primary.address
         await those.until(lambda: those.leader() == leader)
-        assert "a4" in those.group_replicas[leader].copy.view.document["services"]
+        assert "a4" in those.group_replicas[leader].replica.state_machine.document["services"]
 
     members.play(tmp_path, 5, acts)
 
@@ -143,17 +143,17 @@
     async def acts(those: members.Members) -> None:
         left = those.group_replicas["n1:1"]
         await recorded_out(those)
-        identity, held = left.copy.identity, stored_bytes(those.folders["n1:1"])
-        assert left.copy.holds_state()
-        took = await those.until(lambda: not left.copy.holds_state(), 30)
+        identity, held = left.replica.identity, stored_bytes(those.folders["n1:1"])
+        assert left.replica.holds_state()
+        took = await those.until(lambda: not left.replica.holds_state(), 30)
         assert took > group_replica.RELEASE_AFTER.total_seconds() / 2
-        assert left.copy.identity != identity
-        assert left.copy.memory().journal_entries == 0
+        assert left.replica.identity != identity
+        assert left.replica.memory().journal_entries == 0
         assert stored_bytes(those.folders["n1:1"]) < held
-        assert left.copy.view.document.get("services", {}) == {}
+        assert left.replica.state_machine.document.get("services", {}) == {}
         again = await those.reopened("n1:1")
-        assert again.copy.identity == left.copy.identity
-        assert not again.copy.holds_state()
+        assert again.replica.identity == left.replica.identity
+        assert not again.replica.holds_state()
 
     members.play(tmp_path, 4, acts)
 
@@ -162,7 +162,7 @@
     async def acts(those: members.Members) -> None:
         left = those.group_replicas["n1:1"]
         await recorded_out(those)
-        await those.until(lambda: not left.copy.holds_state(), 30)
+        await those.until(lambda: not left.replica.holds_state(), 30)
         those.stop("n2:1")
         those.stop("n3:1")
         those.gone.update(("n2:1", "n3:1"))
@@ -170,7 +170,7 @@
         await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("again")
         assert those.same("n0:1", "n1:1")
-        assert "a4" in left.copy.view.document["services"]
+        assert "a4" in left.replica.state_machine.document["services"]
 
     members.play(tmp_path, 4, acts)
 
@@ -181,7 +181,7 @@
         await recorded_out(those)
         those.silent.add(those.register.standing().primary.address)
         await clock.sleep(group_replica.RELEASE_AFTER * 2)
-        assert left.copy.holds_state()
+        assert left.replica.holds_state()
 
     members.play(tmp_path, 4, acts, copies=2)
 
@@ -191,7 +191,7 @@
         left = those.group_replicas["n1:1"]
         await serving(those)
         await left.release()
-        assert left.copy.holds_state()
+        assert left.replica.holds_state()
         assert those.same("n0:1", "n1:1")
 
     members.play(tmp_path, 4, acts)
@@ -202,9 +202,9 @@
         left = those.group_replicas["n1:1"]
         await serving(those)
         former = left.me()
-        await left.copy.release()
+        await left.replica.release()
         assert left.me() != former
-        message = messages.Append(those.register.standing(), those.group_replicas["n0:1"].copy.last(), ())
+        message = messages.Append(those.register.standing(), those.group_replicas["n0:1"].replica.last(), ())
         try:
             await left.append(message)
             raise AssertionError("it answered as the member that it was")
--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -57,7 +57,7 @@
 
 async def take(one: replica.Replica, command, now: datetime.timedelta) -> None:
     """Have a command decided by a copy's view and its events appended, as a primary would."""
-    events, _ = one.view.decide(command, now, 1)
+    events, _ = one.state_machine.decide(command, now, 1)
     place = one.last().sequence
     await one.append(
         tuple(replica.Entry(1, place + number, codec.tagged(event)) for number, event in enumerate(events, 1))
@@ -89,7 +89,7 @@
 
 def same(one: replica.Replica, other: replica.Replica) -> bool:
     """Whether two copies show the same."""
-    return (one.last(), one.view.snapshot()) == (other.last(), other.view.snapshot())
+    return (one.last(), one.state_machine.snapshot()) == (other.last(), other.state_machine.snapshot())
 
 
 def test_many_turns_take_bounded_memory_and_disk_and_a_start_finds_them_all(tmp_path, monkeypatch):
@@ -107,10 +107,10 @@
                 await turn(one, 15 * second + number, now)
                 now += clock.seconds(1 / 15)
                 most_held = max(most_held, one.held)
-            for command in one.view.due(now, lambda edge: False):
+            for command in one.state_machine.due(now, lambda edge: False):
                 await take(one, command, now)
             await one.compact()
-            live = one.view.ledger.bytes
+            live = one.state_machine.ledger.bytes
             assert one.held == sum(len(each.body) + replica.OF_AN_ENTRY for each in one.entries)
             assert one.held < max(replica.COMPACT_BYTES, one.snapshot_size // 2) or live < replica.COMPACT_BYTES
             assert one.snapshot_size == one.snapshot.size() and one.meanwhile is None
@@ -146,7 +146,7 @@
         again = made(tmp_path / "a", disk)
         await again.open()
         for each in (one, again):
-            inputs = {id(kept.turn.input) for kept in each.view.ledger.turns.values()}
+            inputs = {id(kept.turn.input) for kept in each.state_machine.ledger.turns.values()}
             assert len(inputs) == 100 and inputs <= {id(piece) for piece in each.snapshot.pieces}
 
     run(scene())
@@ -238,12 +238,12 @@
         one = made(tmp_path / "a", Disk(tmp_path, random.Random(2)))
         await one.open()
         await fill(one, range(10))
-        through, before = one.entries[5].sequence, one.view.snapshot()
+        through, before = one.entries[5].sequence, one.state_machine.snapshot()
         await one.compact()
         for wrong in (through, one.last().sequence + 1):
             with pytest.raises(result.RequestError):
                 await one.repair(wrong, None, (replica.Entry(9, wrong + 1, codec.tagged(entry.FindTurn("x"))),))
-        assert one.view.snapshot() == before and one.last().sequence == 20
+        assert one.state_machine.snapshot() == before and one.last().sequence == 20
 
     run(scene())
 
@@ -255,9 +255,9 @@
         one = made(tmp_path / "a", Disk(tmp_path, random.Random(2)))
         await one.open()
         await fill(one, range(3))
-        events, _ = one.view.decide(entry.ClaimKey("k", "a", b"", WITHIN, KEEP, "e"), clock.seconds(9), 1)
+        events, _ = one.state_machine.decide(entry.ClaimKey("k", "a", b"", WITHIN, KEEP, "e"), clock.seconds(9), 1)
         ahead = replica.Entry(1, one.last().sequence + 1, codec.tagged(events[0]))
-        one.fold(ahead, events[0])
+        one.apply(ahead, events[0])
         await one.compact()
         assert one.snapshot is replica.EMPTY_SNAPSHOT
         await one.write(ahead)
@@ -330,7 +330,7 @@
         await one.compact()
         assert one.snapshot.sequence
         await fill(one, range(40, 80))
-        before = one.view.snapshot()
+        before = one.state_machine.snapshot()
         disk.cut_at = disk.counts["syncs"] + later
         try:
             await one.compact()
@@ -341,7 +341,9 @@
         disk.power_loss()
         again = made(folder / "a", disk)
         await again.open()
-        assert again.view.snapshot() == before and again.last() == one.last() and again.identity == one.identity
+        assert (
+            again.state_machine.snapshot() == before and again.last() == one.last() and again.identity == one.identity
+        )
         await fill(again, range(80, 90))
         last = made(folder / "a", disk)
         await last.open()
@@ -370,7 +372,7 @@
         assert not one.entries and disk.lose_last() == 1
         again = made(tmp_path / "a", disk)
         await again.open()
-        assert again.last() == replica.LogPosition(0, replica.NO_DIGEST) and again.view.size() == 0
+        assert again.last() == replica.LogPosition(0, replica.NO_DIGEST) and again.state_machine.size() == 0
         assert (again.identity, again.record) == (one.identity, one.record)
         snapshot, entries = one.ahead_of(again.last(), 1 << 20)
         await again.repair(snapshot.sequence, snapshot, entries)
@@ -386,7 +388,7 @@
         await one.open()
         await fill(one, range(5))
         end = one.last()
-        await one.write(replica.Snapshot(1, end.sequence, end.digest, one.view.snapshot()))
+        await one.write(replica.Snapshot(1, end.sequence, end.digest, one.state_machine.snapshot()))
         again = made(tmp_path / "a", disk)
         await again.open()
         assert same(one, again) and not again.entries and again.snapshot.sequence == end.sequence
--- a/aspencroft/replication/second_loss_test.py
+++ b/aspencroft/replication/second_loss_test.py
@@ -102,7 +102,7 @@
     before = len(traffic.acknowledged)
     await those.until(lambda: len(traffic.acknowledged) > before + 2, 8)
     leader = those.leader()
-    services = those.group_replicas[leader].copy.view.document["services"]
+    services = those.group_replicas[leader].replica.state_machine.document["services"]
     assert set(traffic.acknowledged[:-1]) <= set(services), (step, second)
     return late[0]
 
--- a/aspencroft/replication/snapshot_transfer.py
+++ b/aspencroft/replication/snapshot_transfer.py
@@ -91,7 +91,7 @@
     def transfer_of(self, snapshot: replica.EncodedSnapshot) -> Transfer:
         """The transfer of this very snapshot; a later try or another receiver takes it up under the same number."""
         if self.current is None or self.current.snapshot is not snapshot:
-            number = self.own.copy.environment.randomness.getrandbits(62) + 1
+            number = self.own.replica.environment.randomness.getrandbits(62) + 1
             self.current = Transfer(number, snapshot)
         return self.current
 
@@ -101,14 +101,14 @@
         Snapshots of this copy are held back meanwhile, so that the entries behind this one are there to be sent next.
         """
         transfer = self.transfer_of(snapshot)
-        self.own.copy.sending += 1
+        self.own.replica.sending += 1
         try:
             await self.send_parts(peer, transfer)
             return await self.install(peer, transfer)
         finally:
-            self.own.copy.sending -= 1
-            if not self.own.copy.sending:
-                self.current = None if self.own.copy.snapshot is not snapshot else self.current
+            self.own.replica.sending -= 1
+            if not self.own.replica.sending:
+                self.current = None if self.own.replica.snapshot is not snapshot else self.current
 
     async def send_parts(self, peer: replica_set.ReplicaId, transfer: Transfer) -> None:
         """Send what the member does not hold of a transfer yet."""
--- a/aspencroft/replication/snapshot_transfer_test.py
+++ b/aspencroft/replication/snapshot_transfer_test.py
@@ -34,7 +34,7 @@
 
 async def begun(those: members.Members, count: int = 60, more: int = 30) -> replica.Replica:
     """A primary with a snapshot and entries behind it."""
-    held = those.group_replicas["n0:1"].copy
+    held = those.group_replicas["n0:1"].replica
     await held.append(entries(held, count))
     await held.compact()
     assert held.snapshot.sequence == count
@@ -68,14 +68,14 @@
         sizes = [len(codec.pack(message)) for _, message in those.heard]
         assert max(sizes) < 4500, max(sizes)
         again = replica.Replica(
-            those.group_replicas["n1:1"].copy.environment,
-            those.group_replicas["n1:1"].copy.folder,
+            those.group_replicas["n1:1"].replica.environment,
+            those.group_replicas["n1:1"].replica.folder,
             0,
             control_state.ControlState,
         )
         await again.open()
         assert again.last() == held.last() and not again.incomplete()
-        assert again.view.snapshot() == held.view.snapshot()
+        assert again.state_machine.snapshot() == held.state_machine.snapshot()
 
     members.play(tmp_path, 2, acts)
 
@@ -85,7 +85,7 @@
     async def acts(those: members.Members) -> None:
         held = await begun(those)
         peer = those.group_replicas["n1:1"]
-        await peer.copy.append(entries(peer.copy, 5, size=10))
+        await peer.replica.append(entries(peer.replica, 5, size=10))
         real, count = those.deliver, [0]
 
         async def handle(one, message):
@@ -103,21 +103,21 @@
             interrupted = True
         count[0] = broken
         assert interrupted == (those.silent == {"n1:1"})
-        if interrupted and peer.copy.last() != held.last():
-            again = replica.Replica(peer.copy.environment, peer.copy.folder, 0, control_state.ControlState)
+        if interrupted and peer.replica.last() != held.last():
+            again = replica.Replica(peer.replica.environment, peer.replica.folder, 0, control_state.ControlState)
             await again.open()
-            assert again.last() == peer.copy.last()
+            assert again.last() == peer.replica.last()
             if broken > 1:
-                assert peer.copy.incomplete() and again.incomplete()
+                assert peer.replica.incomplete() and again.incomplete()
                 peer.patience_end, peer.unsure = clock.ZERO, False
                 those.silent.add("n0:1")
                 assert not await peer.log_shipping.made_sure()
         those.silent.clear()
         sent = len(those.heard)
-        assert await mended(those) == held.last() and not peer.copy.incomplete()
+        assert await mended(those) == held.last() and not peer.replica.incomplete()
         parts = [one for _, one in those.heard if isinstance(one, messages.SnapshotChunk) and one.body]
         assert len(parts) <= held.snapshot.size() // 1000 + 6, (len(parts), sent)
-        assert peer.copy.view.snapshot() == held.view.snapshot()
+        assert peer.replica.state_machine.snapshot() == held.state_machine.snapshot()
 
     members.play(tmp_path, 2, acts)
 
@@ -126,13 +126,13 @@
     async def acts(those: members.Members) -> None:
         held = await begun(those)
         peer = those.group_replicas["n1:1"]
-        before = peer.copy.last(), peer.copy.view.snapshot()
+        before = peer.replica.last(), peer.replica.state_machine.snapshot()
         known, size = those.group_replicas["n0:1"].known, held.snapshot.size()
         end = messages.InstallSnapshot(
-            known, peer.copy.identity, 5, 1, held.snapshot.sequence, held.snapshot.digest, size
+            known, peer.replica.identity, 5, 1, held.snapshot.sequence, held.snapshot.digest, size
         )
         body = held.snapshot.body
-        part = messages.SnapshotChunk(known, peer.copy.identity, 5, 0, body[:4000])
+        part = messages.SnapshotChunk(known, peer.replica.identity, 5, 0, body[:4000])
         assert peer.receive_snapshot_chunk(part).held == 4000
         assert peer.receive_snapshot_chunk(part).held == 4000
         for wrong in (end, dataclasses.replace(end, transfer=6), dataclasses.replace(end, identity="another")):
@@ -142,7 +142,7 @@
         assert peer.receive_snapshot_chunk(dataclasses.replace(part, transfer=6, body=body)).held == size
         with pytest.raises(result.RequestError):
             await peer.install_snapshot(end)
-        assert (peer.copy.last(), peer.copy.view.snapshot()) == before
+        assert (peer.replica.last(), peer.replica.state_machine.snapshot()) == before
         done = await peer.install_snapshot(dataclasses.replace(end, transfer=6))
         assert done == await peer.install_snapshot(dataclasses.replace(end, transfer=6))
         assert done.last.digest == held.snapshot.digest
@@ -153,7 +153,7 @@
 def test_parts_of_a_transfer_that_ended_are_forgotten(tmp_path, small):
     async def acts(those: members.Members) -> None:
         peer = those.group_replicas["n1:1"]
-        part = messages.SnapshotChunk(those.group_replicas["n0:1"].known, peer.copy.identity, 5, 0, b"x" * 4000)
+        part = messages.SnapshotChunk(those.group_replicas["n0:1"].known, peer.replica.identity, 5, 0, b"x" * 4000)
         peer.receive_snapshot_chunk(part)
         await clock.sleep(snapshot_transfer.FORGOTTEN_AFTER * 1.1)
         assert not peer.incoming.parts
@@ -170,8 +170,8 @@
         held = await begun(those)
         peer, third = those.group_replicas["n1:1"], those.group_replicas["n2:1"]
         for one in (peer, third):
-            await one.copy.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries[:-1]))
-        await peer.copy.append(entries(peer.copy, 1, size=1))
+            await one.replica.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries[:-1]))
+        await peer.replica.append(entries(peer.replica, 1, size=1))
         real = those.deliver
 
         async def handle(one, message):
@@ -183,16 +183,16 @@
         those.deliver = handle
         with pytest.raises(result.RequestError):
             await mended(those)
-        assert peer.copy.last().sequence < held.last().sequence - 1
+        assert peer.replica.last().sequence < held.last().sequence - 1
         those.silent.add("n2:1")
         peer.patience_end = clock.ZERO
         await peer.following.take_over(peer.known)
         assert those.register.standing().primary.address == "n0:1"
         those.silent.discard("n2:1")
-        await third.copy.append((held.entries[-1],))
+        await third.replica.append((held.entries[-1],))
         await peer.following.take_over(peer.known)
         assert those.register.standing().primary.address == "n1:1"
-        assert peer.copy.last() == third.copy.last()
+        assert peer.replica.last() == third.replica.last()
 
     members.play(tmp_path, 3, acts, members=3)
 
@@ -206,13 +206,13 @@
         peer = those.group_replicas["n1:1"]
         acknowledged = held.last().sequence - differing
         count = acknowledged - held.snapshot.sequence
-        await peer.copy.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries[:count]))
-        await peer.copy.append(entries(peer.copy, differing, size=1))
+        await peer.replica.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries[:count]))
+        await peer.replica.append(entries(peer.replica, differing, size=1))
         least, real = [], those.deliver
 
         async def deliver(one, message):
             reply = await real(one, message)
-            least.append(one.copy.last().sequence)
+            least.append(one.replica.last().sequence)
             return reply
 
         those.deliver = deliver
@@ -226,11 +226,11 @@
     async def acts(those: members.Members) -> None:
         held = await begun(those)
         peer = those.group_replicas["n1:1"]
-        await peer.copy.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries))
-        await peer.copy.begin_repair(replica.RepairGoal(held.last().sequence + 3, b"12345678"))
-        assert peer.copy.incomplete()
-        assert await mended(those) == held.last() and not peer.copy.incomplete()
-        again = replica.Replica(peer.copy.environment, peer.copy.folder, 0, control_state.ControlState)
+        await peer.replica.repair(held.snapshot.sequence, held.snapshot, tuple(held.entries))
+        await peer.replica.begin_repair(replica.RepairGoal(held.last().sequence + 3, b"12345678"))
+        assert peer.replica.incomplete()
+        assert await mended(those) == held.last() and not peer.replica.incomplete()
+        again = replica.Replica(peer.replica.environment, peer.replica.folder, 0, control_state.ControlState)
         await again.open()
         assert not again.incomplete()
 
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -64,7 +64,7 @@
 async def take(one: replica.Replica, *commands) -> None:
     """Have commands decided and their events appended, as a primary would."""
     for command in commands:
-        events, _ = one.view.decide(command, NOW, EPOCH)
+        events, _ = one.state_machine.decide(command, NOW, EPOCH)
         last = one.last().sequence
         await one.append(
             tuple(replica.Entry(EPOCH, last + place, codec.tagged(event)) for place, event in enumerate(events, 1))
@@ -223,7 +223,7 @@
     assert [kept.epoch for kept in one.entries] == [3] * len(kinds)
     assert [kept.sequence for kept in one.entries] == list(range(snapshot[1] + 1, last[0] + 1))
     assert [int.from_bytes(kept.body[:2], "big") for kept in one.entries] == kinds
-    assert hashlib.sha256(one.view.snapshot()).hexdigest() == state
+    assert hashlib.sha256(one.state_machine.snapshot()).hexdigest() == state
     assert records(folder) == before
 
 
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -153,10 +153,10 @@
             command.outcome
         )
 
-    def fold(self, event) -> None:
+    def apply(self, event) -> None:
         """Take an event in."""
         if type(event) in ledger.EVENTS:
-            self.ledger.fold(event)
+            self.ledger.apply(event)
         elif isinstance(event, messages.TurnOpened):
             known = self.programs.get(event.program) or messages.Program(
                 event.program, event.lane, event.budget, 0, event.keep, (), ()
@@ -217,10 +217,10 @@
                 break
         return (*found, *self.ledger.due(now, gone))
 
-    def rest_clocks(self) -> None:
+    def reset_clocks(self) -> None:
         """This node is the primary no more: what it saw when counts for nothing if it is one again."""
         self.touched, self.opened, self.noted, self.looked = {}, {}, {}, iter(())
-        self.ledger.rest_clocks()
+        self.ledger.reset_clocks()
 
     def snapshot(self) -> bytes:
         """All of it as bytes."""
--- a/aspencroft/sessions/lane_sessions_test.py
+++ b/aspencroft/sessions/lane_sessions_test.py
@@ -44,7 +44,7 @@
                 assert [(one.input, one.output) for one in reply.past] == plain[helper]
                 under_way[helper] = (go, f"in {go}")
             for event in events:
-                talk.fold(event)
+                talk.apply(event)
             if chance.random() < 0.2:
                 again = talk_module.Talk()
                 again.restore(talk.snapshot())
@@ -57,7 +57,7 @@
     talk, now = talk_module.Talk(), clock.ZERO
     claim = messages.ClaimOperation("key", "void", "go 1", b"d", clock.seconds(5), clock.ZERO)
     events, reply = talk.decide(claim, now, 1)
-    talk.fold(events[0])
+    talk.apply(events[0])
     assert reply.mine
     _, second = talk.decide(dataclasses.replace(claim, go="go 2"), now, 1)
     assert not second.mine and second.outcome == ""
@@ -77,8 +77,8 @@
 def test_the_looks_at_a_large_pair_are_bounded_and_reach_everything():
     talk, now = talk_module.Talk(), clock.seconds(5)
     for number in range(3 * talk_module.LOOKS):
-        talk.fold(messages.OperationClaimed(f"k{number}", "void", "go", b"", clock.seconds(1), clock.ZERO))
-    talk.fold(messages.TurnOpened("p", "", 0, "chat", "go", 1, 9, clock.ZERO, clock.seconds(1), "edge"))
+        talk.apply(messages.OperationClaimed(f"k{number}", "void", "go", b"", clock.seconds(1), clock.ZERO))
+    talk.apply(messages.TurnOpened("p", "", 0, "chat", "go", 1, 9, clock.ZERO, clock.seconds(1), "edge"))
     assert talk.due(now, lambda edge: edge == "edge")[0].go == "go"
     for _ in range(9):
         assert len(talk.due(now, lambda edge: False)) == 0
@@ -90,5 +90,5 @@
         for command in due:
             if isinstance(command, messages.ForgetOperation):
                 seen.add(command.key)
-                talk.fold(messages.OperationForgotten(command.key))
+                talk.apply(messages.OperationForgotten(command.key))
     assert len(seen) == 3 * talk_module.LOOKS
--- a/aspencroft/sessions/ledger.py
+++ b/aspencroft/sessions/ledger.py
@@ -59,9 +59,9 @@
         self.most_bytes = MOST_BYTES
         self.time = clock.ZERO
         self.ended_at: dict[str, datetime.timedelta] = {}
-        self.rest_clocks()
+        self.reset_clocks()
 
-    def rest_clocks(self) -> None:
+    def reset_clocks(self) -> None:
         """This node is the primary no more: what it saw when counts for nothing if it is one again."""
         self.active: dict[str, datetime.timedelta] = {}
         self.answered: dict[str, datetime.timedelta] = {}
@@ -300,7 +300,7 @@
 
     # -- events --------------------------------------------------------------------------------
 
-    def fold(self, event) -> None:
+    def apply(self, event) -> None:
         """Take an event of EVENTS in."""
         EVENTS[type(event)](self, event)
 
--- a/aspencroft/sessions/ledger_test.py
+++ b/aspencroft/sessions/ledger_test.py
@@ -48,7 +48,7 @@
     """Decide and fold a command; its reply."""
     events, reply = book.decide(command, now)
     for event in events:
-        book.fold(codec.untagged(codec.tagged(event)))
+        book.apply(codec.untagged(codec.tagged(event)))
     return codec.untagged(codec.tagged(reply))
 
 
@@ -455,8 +455,8 @@
                 if isinstance(event, entry.Forget):
                     plain.forget(event, now)
                     seen["forgotten"] += 1
-                book.fold(event)
-                follower.fold(codec.untagged(codec.tagged(event)))
+                book.apply(event)
+                follower.apply(codec.untagged(codec.tagged(event)))
             return reply
 
         for step in range(400):
@@ -481,7 +481,7 @@
                 if chance.random() < 0.5:
                     book = taken_over(book)
                 else:
-                    book.rest_clocks()
+                    book.reset_clocks()
                 book.due(now, lambda edge: False)
                 plain.start_clocks(now)
                 seen["takeovers"] += 1
@@ -636,7 +636,7 @@
     book = ledger.Ledger()
     take(book, begin("a"), START)
     take(book, end("a", messages.UNKNOWN), START)
-    book.fold(entry.Forget(("p",), (), (), (), ()))
+    book.apply(entry.Forget(("p",), (), (), (), ()))
     take(book, end("a"), START)
     take(book, begin("b", "a"), START)
     take(book, end("b"), START)
@@ -999,10 +999,10 @@
 def test_the_looks_at_a_large_ledger_are_bounded_and_reach_everything():
     book, now, many = ledger.Ledger(), START, 3 * ledger.LOOKS
     for number in range(many):
-        book.fold(entry.KeyClaimed(f"k{number}", f"a{number}", WITHIN, MINUTE, "e"))
-        book.fold(entry.KeyClosed(f"k{number}", f"a{number}", messages.DONE, 200, (), b""))
+        book.apply(entry.KeyClaimed(f"k{number}", f"a{number}", WITHIN, MINUTE, "e"))
+        book.apply(entry.KeyClosed(f"k{number}", f"a{number}", messages.DONE, 200, (), b""))
     for number in range(2 * ledger.MOST_DUE):
-        book.fold(entry.KeyClaimed(f"o{number}", f"o{number}", WITHIN, MINUTE, "lost"))
+        book.apply(entry.KeyClaimed(f"o{number}", f"o{number}", WITHIN, MINUTE, "lost"))
     assert len(book.due(now, lambda edge: edge == "lost")) == ledger.MOST_DUE
     assert len(book.noted) <= ledger.LOOKS + 2 * ledger.MOST_DUE
     for _ in range(9):
@@ -1023,7 +1023,7 @@
 def test_a_round_of_looks_starts_some_seconds_after_the_one_before():
     book, now = ledger.Ledger(), START
     for attempt, wait in (("a", 0), ("b", 0.5), ("c", 1), ("d", 1.5)):
-        book.fold(entry.TurnEnded(attempt, messages.NOT_RUN, b"", b"", 0, ""))
+        book.apply(entry.TurnEnded(attempt, messages.NOT_RUN, b"", b"", 0, ""))
         assert book.due(now + ledger.ROUND * wait, lambda edge: False) == ()
     assert book.stopped == {"a": now, "b": now + ledger.ROUND, "c": now + ledger.ROUND}
 
@@ -1179,8 +1179,8 @@
     for command in (begin("a", edge="lost"), claim("c")):
         events, _ = view.decide(command, START, 1)
         for event in events:
-            view.fold(event)
+            view.apply(event)
     assert view.size() == 3
     assert [type(one) for one in view.due(START, lambda edge: edge == "lost")] == [entry.EndTurn]
-    view.rest_clocks()
+    view.reset_clocks()
     assert not view.ledger.begun and not view.ledger.noted
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -211,7 +211,7 @@
                 raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN)
         found, reply = self.ledger.decide(command, clock.now())
         for event in found:
-            self.ledger.fold(event)
+            self.ledger.apply(event)
         return reply
 
     def take_over(self, gone: str = "") -> None:
@@ -225,7 +225,7 @@
         """Decide what the clock asks for."""
         for command in self.ledger.due(clock.now(), lambda edge: edge == gone):
             for event in self.ledger.decide(command, clock.now())[0]:
-                self.ledger.fold(event)
+                self.ledger.apply(event)
 
 
 class Scene:
--- a/aspencroft/simulation/campaign.py
+++ b/aspencroft/simulation/campaign.py
@@ -94,7 +94,7 @@
             watching.cancel()
         self.told.extend(await self.asking.still_kept())
         await self.scene.until(lambda: bool(self.scene.leader(0)), RETURN, "led")
-        self.document = self.scene.nodes[self.scene.leader(0)].group_replicas[0].copy.view.document
+        self.document = self.scene.nodes[self.scene.leader(0)].group_replicas[0].replica.state_machine.document
         for _ in range(4):
             await self.operators.read()
 
--- a/aspencroft/simulation/groups.py
+++ b/aspencroft/simulation/groups.py
@@ -25,7 +25,7 @@
     async def written(self) -> set[str]:
         """The services of the plan as its primary holds it."""
         await self.scene.until(lambda: bool(self.scene.leader(0)), 12, "led")
-        return set(self.scene.nodes[self.scene.leader(0)].group_replicas[0].copy.view.document["services"])
+        return set(self.scene.nodes[self.scene.leader(0)].group_replicas[0].replica.state_machine.document["services"])
 
     def record(self, group_id: int) -> replica_set.ReplicaSet | None:
         """The newest record of a group that any node knows."""
--- a/aspencroft/simulation/guarantees_test.py
+++ b/aspencroft/simulation/guarantees_test.py
@@ -202,7 +202,7 @@
             if response.status_code == 200:
                 kept[name] = response.json()["revision"]
             await one.until(one.ready, 12, "ready")
-        document = one.nodes[one.leader(0)].group_replicas[0].copy.view.document["services"]
+        document = one.nodes[one.leader(0)].group_replicas[0].replica.state_machine.document["services"]
         assert all(name in document for name in kept) and len(kept) >= 3, (kept, sorted(document))
 
     guarantees.play(9, acts)
@@ -220,7 +220,7 @@
             one.power_off(leader)
             one.wire.heal()
             await one.until(one.ready, 12, "ready")
-            document = one.nodes[one.leader(0)].group_replicas[0].copy.view.document["services"]
+            document = one.nodes[one.leader(0)].group_replicas[0].replica.state_machine.document["services"]
             if response.status_code == 200:
                 acknowledged += 1
                 assert f"extra-{number}" in document
@@ -345,7 +345,7 @@
                 await asyncio.sleep(3.5)
                 one.start(leader)
             await one.until(one.ready, 12, "back in service")
-            document = one.nodes[one.leader(0)].group_replicas[0].copy.view.document
+            document = one.nodes[one.leader(0)].group_replicas[0].replica.state_machine.document
             assert name in document["services"], (number, response.json())
             noted = await stage.ask("edge-1", "supervisor", "second", program=program, after=1)
             assert noted.ran == "done", (number, noted)
@@ -375,7 +375,11 @@
         async with asyncio.TaskGroup() as group:
             for number, node in enumerate(["edge-0", "core-1", "storage-2"]):
                 group.create_task(operator(f"o{number}", node))
-        held = one.nodes[one.leader(0)].group_replicas[0].copy.view.document["services"]["till-counter"]["size"]
+        held = (
+            one.nodes[one.leader(0)]
+            .group_replicas[0]
+            .replica.state_machine.document["services"]["till-counter"]["size"]
+        )
         assert held == sum(won.values()) >= 8
 
     guarantees.play(11, acts)
--- a/aspencroft/simulation/keeping_test.py
+++ b/aspencroft/simulation/keeping_test.py
@@ -10,7 +10,7 @@
 def on_disks(one: simulated_cluster.SimulatedCluster, text: bytes) -> int:
     """How often a text is found in the copies of the pairs' members; one that is a member no more keeps its last."""
     folders = [
-        host.copy.folder
+        host.replica.folder
         for own in one.nodes.values()
         for host in own.group_replicas.values()
         if host.known is not None and host.me() in host.known.members()
@@ -89,7 +89,10 @@
             await stage.ask("edge-0", "till-lock", {"name": f"s{number}"}, operation=f"s{number}")
         await asyncio.sleep(1)
         held = [
-            host.copy.view for own in one.nodes.values() for group_id, host in own.group_replicas.items() if group_id
+            host.replica.state_machine
+            for own in one.nodes.values()
+            for group_id, host in own.group_replicas.items()
+            if group_id
         ]
         assert all(not set(view.programs) & set(programs) for view in held if view.operations)
         assert on_disks(one, b"long first") == 0, on_disks(one, b"long first")
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -244,7 +244,7 @@
 
     def same(self, *names: str) -> bool:
         """Whether nodes' copies are the same."""
-        return len({self.group_replicas[name].copy.last() for name in names}) == 1
+        return len({self.group_replicas[name].replica.last() for name in names}) == 1
 
 
 def play(folder: pathlib.Path, count: int, acts, members: int = 2, copies: int = 2, goal: int = 2) -> None:
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -132,7 +132,7 @@
     Mutation(
         "a started member does not ask the other one",
         "replication/log_shipping.py",
-        "        if not own.unsure and not own.copy.incomplete():\n            return True\n",
+        "        if not own.unsure and not own.replica.incomplete():\n            return True\n",
         "        return True\n",
         (
             "simulation/guarantees_test.py::test_a_disk_that_lost_just_its_last_synced_value_loses_nothing_that_was_acknowledged",
@@ -825,7 +825,7 @@
     Mutation(
         "a copy whose repair broke off may lead",
         "replication/log_shipping.py",
-        "        if not own.unsure and not own.copy.incomplete():\n            return True\n",
+        "        if not own.unsure and not own.replica.incomplete():\n            return True\n",
         "        if not own.unsure:\n            return True\n",
         (
             "replication/snapshot_transfer_test.py::test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged",
@@ -834,7 +834,7 @@
     Mutation(
         "patience ends also for a copy whose repair broke off",
         "replication/log_shipping.py",
-        "        if own.copy.incomplete():\n            own.status_reason",
+        "        if own.replica.incomplete():\n            own.status_reason",
         "        if False:\n            own.status_reason",
         (
             "replication/snapshot_transfer_test.py::test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged",
