--- a/aspencroft/benchmarks/repair.py
+++ b/aspencroft/benchmarks/repair.py
@@ -13,13 +13,13 @@
 import defopt
 import logbook
 
-from aspencroft.benchmarks import hollow, slopes, virtual
+from aspencroft.benchmarks import slopes, virtual, virtual_cluster
 from aspencroft.runtime import clock
 from aspencroft.sessions import entry, messages
 
 GROUP = 1
 AT_ONCE = 64
-SHAPE = hollow.Shape(nodes=14, cores=3, storages=4, regions=1, zones=3)
+SHAPE = virtual_cluster.Shape(nodes=14, cores=3, storages=4, regions=1, zones=3)
 
 
 class Longest(virtual.VirtualLoop):
@@ -48,9 +48,9 @@
         return time.thread_time()
 
 
-async def fill(fleet: hollow.Fleet, turns: int, size: int, chance: random.Random) -> None:
+async def fill(cluster: virtual_cluster.VirtualCluster, turns: int, size: int, chance: random.Random) -> None:
     """Begin and end so many turns, each of a program of its own, from an edge."""
-    own = fleet.nodes["edge-0:1"]
+    own = cluster.nodes["edge-0:1"]
     numbers = iter(range(turns))
     life = own.incarnation_id()
 
@@ -91,42 +91,44 @@
             group.create_task(work(), context=virtual.context_of(own.address))
 
 
-def served(fleet: hollow.Fleet, without: str) -> bool:
+def served(cluster: virtual_cluster.VirtualCluster, without: str) -> bool:
     """Whether the group is served with all its copies, none of them on a node."""
-    for own in fleet.nodes.values():
+    for own in cluster.nodes.values():
         held = own.group_replicas.get(GROUP)
         if held is not None and held.has_lease() and held.status_reason == "serving":
             names = [one.address for one in held.known.members()]
-            return len(names) > 1 and without not in names and all(name in fleet.nodes for name in names)
+            return len(names) > 1 and without not in names and all(name in cluster.nodes for name in names)
     return False
 
 
 async def whole(turns: int, size: int, seed: int, folder: pathlib.Path, timer: slopes.Clock) -> None:
     """Fill a group, lose its backup, its primary, and start one again; figures go to the clock."""
-    fleet = hollow.Fleet(SHAPE, folder)
-    loop = fleet.loop
-    for name in fleet.roles:
-        fleet.start(name)
-    if await fleet.until(lambda: served(fleet, ""), 60) < 0:
+    cluster = virtual_cluster.VirtualCluster(SHAPE, folder)
+    loop = cluster.loop
+    for name in cluster.roles:
+        cluster.start(name)
+    if await cluster.until(lambda: served(cluster, ""), 60) < 0:
         raise RuntimeError("the group did not form")
-    holders = [one.address for one in fleet.nodes["edge-0:1"].failure_detector.records[GROUP].members()]
-    before = hollow.Books.of(fleet)
-    await fill(fleet, turns, size, random.Random(seed))
-    after = hollow.Books.of(fleet)
+    holders = [one.address for one in cluster.nodes["edge-0:1"].failure_detector.records[GROUP].members()]
+    before = virtual_cluster.Counters.of(cluster)
+    await fill(cluster, turns, size, random.Random(seed))
+    after = virtual_cluster.Counters.of(cluster)
     for name, address in (("primary", holders[0]), ("backup", holders[1])):
         timer.note(
             f"commits: {name}, ms a turn",
-            1000 * (after.booked[address] - before.booked.get(address, 0.0)) / turns,
+            1000 * (after.processor_seconds[address] - before.processor_seconds.get(address, 0.0)) / turns,
         )
     await asyncio.sleep(3)
     for name, place in (("backup lost", 1), ("primary lost", 0)):
-        victim = fleet.nodes["edge-0:1"].failure_detector.records[GROUP].members()[place].address
+        victim = cluster.nodes["edge-0:1"].failure_detector.records[GROUP].members()[place].address
         loop.longest.clear()
-        before = hollow.Books.of(fleet)
-        fleet.kill(victim, True)
-        took = await fleet.until(lambda: served(fleet, victim), 120)
-        after = hollow.Books.of(fleet)
-        spent = {own: after.booked.get(own, 0.0) - before.booked.get(own, 0.0) for own in fleet.nodes}
+        before = virtual_cluster.Counters.of(cluster)
+        cluster.kill(victim, True)
+        took = await cluster.until(lambda: served(cluster, victim), 120)
+        after = virtual_cluster.Counters.of(cluster)
+        spent = {
+            own: after.processor_seconds.get(own, 0.0) - before.processor_seconds.get(own, 0.0) for own in cluster.nodes
+        }
         sent = sum(one.sent_bytes for one in after.traffic.values()) - sum(
             one.sent_bytes for one in before.traffic.values()
         )
@@ -134,10 +136,10 @@
         timer.note(f"{name}: processor of the two that did most, s", sum(sorted(spent.values())[-2:]))
         timer.note(f"{name}: longest hold of a loop, ms", 1000 * max(loop.longest.values()))
         timer.note(f"{name}: bytes sent by all, KB", sent / 1000)
-        fleet.start(victim)
+        cluster.start(victim)
         await asyncio.sleep(8)
         timer.note(f"{name}: its restart from the disk, longest hold, ms", 1000 * loop.longest.get(victim, 0.0))
-    await fleet.end()
+    await cluster.end()
 
 
 def repair(*, turns: list[int] = (100, 1000, 5000, 20_000), size: int = 1000, repeats: int = 3, seed: int = 1) -> None:
--- a/aspencroft/benchmarks/wire.py
+++ b/aspencroft/benchmarks/wire.py
@@ -1,4 +1,4 @@
-"""Streams between hollow nodes of one process: delays by distance, cuts, silent losses, counted bytes."""
+"""Streams between nodes of one process: delays by distance, cuts, silent losses, counted bytes."""
 
 import asyncio
 import collections
@@ -120,7 +120,7 @@
 
 
 class Wire:
-    """All streams of a hollow fleet."""
+    """All streams of a virtual cluster."""
 
     def __init__(self, distance: Distance, zones: dict[str, str]):
         self.loop = asyncio.get_running_loop()
@@ -158,7 +158,7 @@
 
 
 class Network:
-    """The network as one hollow node sees it."""
+    """The network as one node sees it."""
 
     def __init__(self, wire: Wire, address: str):
         self.wire = wire
--- a/aspencroft/cli/fleet.py
+++ b/aspencroft/cli/fleet.py
@@ -15,10 +15,8 @@
 
 import defopt
 import httpx
-import logbook
 import uvicorn
 
-import aspencroft.benchmarks.hollow as hollows
 from aspencroft.cli import daemon, local_cluster
 from aspencroft.emulator import backend, caller, shape, world
 from aspencroft.runtime import clock
@@ -503,66 +501,6 @@
         sys.exit(1)
 
 
-def hollow(
-    *,
-    nodes: int = 64,
-    cores: int = 5,
-    storages: int = 6,
-    regions: int = 7,
-    zones: int = 28,
-    far: float = 0.04,
-    currency: float = 4,
-    seed: int = 1,
-    cold: bool = False,
-    idle: float = 20,
-    writes: int = 5,
-    kill: int = 0,
-    power: int = 0,
-    restart: int = 0,
-    leader: int = 0,
-    zone: int = 0,
-    cut: float = 0,
-    profile: str = "",
-) -> None:
-    """Run a hollow fleet in this process on a clock that leaps over idle time, hurt it, and print what it cost as JSON.
-
-    Its nodes are real: membership, links and frames, relay, witnesses, seats and claims,
-    groups with their disks on storage nodes
-    (in a temporary folder, without syncs), duties' claims; there is no traffic, no HTTP and no worker.
-    Times are virtual and repeat
-    exactly for a seed; processor times are real. The acts follow each other in the order of the options below.
-
-    :param nodes: how many nodes in all, edges are what is left: 8 to 2000
-    :param cores: of them on the core: 3 to 200
-    :param storages: of them with disks: 2 to 200
-    :param regions: into how many regions they are spread: 1 to 64
-    :param zones: into how many zones, each in a region: 1 to 512
-    :param far: one-way delay between regions in seconds: 0 to 1
-    :param currency: seconds for which a node may act on a configuration without renewal: 0.5 to 60
-    :param seed: of the choices and of each node's chance
-    :param cold: form from the seeds alone instead of with the tables that a join would give
-    :param idle: virtual seconds of idling that are measured: 0 to 3600
-    :param writes: changes of the configuration, one after another: 0 to 1000
-    :param kill: edges whose processes are killed at once, and started again
-    :param power: edges whose machines are lost without a word, and started again
-    :param restart: edges restarted in a planned way, one after another
-    :param leader: how often the control primary's machine is lost: 0 to 3
-    :param zone: 1 to lose a whole zone, and start it again
-    :param cut: virtual seconds for which a region is cut off: 0 to 3600
-    :param profile: a file for the profile of the idle part, which makes processor times some three times longer
-    """
-    shape_given = hollows.Shape(nodes, cores, storages, regions, zones, far, seed, not cold, currency)
-    acts = hollows.Acts(idle, writes, kill, power, restart, leader, zone, cut, profile)
-    faults = shape_given.faults() or acts.faults(shape_given)
-    if faults:
-        sys.exit("\n".join(faults))
-    logging.disable(logging.CRITICAL)
-    with logbook.NullHandler().applicationbound():
-        told = hollows.run(shape_given, acts, hollows.progress())
-    print(json.dumps(told, indent=1))
-    sys.exit(1 if "wrong" in told else 0)
-
-
 def judge_again(history: str) -> None:
     """Judge a history that an earlier run wrote.
 
@@ -575,4 +513,4 @@
 
 def main() -> None:
     """The command's entry."""
-    defopt.run({"start": start, "drive": drive, "judge": judge_again, "hollow": hollow})
+    defopt.run({"start": start, "drive": drive, "judge": judge_again})
--- a/aspencroft/layers_test.py
+++ b/aspencroft/layers_test.py
@@ -30,7 +30,6 @@
 )
 UPWARDS = {
     ("alerts.alerts", "node.node"),
-    ("cli.fleet", "benchmarks.hollow"),
     ("cli.fleet", "simulation.oracle"),
     ("cli.fleet", "simulation.register"),
     ("configuration.alert_expression", "alerts.sample"),
--- a/aspencroft/runtime/environment.py
+++ b/aspencroft/runtime/environment.py
@@ -17,8 +17,6 @@
 if typing.TYPE_CHECKING:
     import httpx
 
-CHUNK_LIMIT = 1 << 20
-
 
 class Channel(typing.Protocol):
     """One byte stream to a peer."""
