--- a/aspencroft/benchmarks/real.py
+++ b/aspencroft/benchmarks/real.py
@@ -12,7 +12,7 @@
 
 import defopt
 
-from aspencroft.cli import fleet
+from aspencroft.cli import local_cluster_command
 
 TICK = os.sysconf("SC_CLK_TCK")
 OFFSET = 4000
@@ -27,7 +27,7 @@
     return (int(fields[11]) + int(fields[12])) / TICK
 
 
-async def measured(drive: fleet.Drive, seconds: float) -> dict:
+async def measured(drive: local_cluster_command.Drive, seconds: float) -> dict:
     """Processor share of each role's processes over so many seconds, and their memory."""
     place = drive.yard
     before = {number: used(one.pid) for number, one in place.processes.items()}
@@ -70,7 +70,11 @@
     async def whole() -> list[dict]:
         rows = []
         with tempfile.TemporaryDirectory(prefix="aspencroft-real-") as folder:
-            drive = fleet.Drive(fleet.place_of(folder, offset, False), fleet.mix_of(deployment), random.Random(seed))
+            drive = local_cluster_command.Drive(
+                local_cluster_command.place_of(folder, offset, False),
+                local_cluster_command.mix_of(deployment),
+                random.Random(seed),
+            )
             try:
                 await drive.begin()
                 await asyncio.sleep(10)
--- a/aspencroft/cli/cplane.py
+++ b/aspencroft/cli/control_program.py
@@ -1,4 +1,4 @@
-"""The control plane's program: holds pairs, witnesses, relays news, competes for duties."""
+"""The program of a control-plane node: hosts replicas, votes as a witness, relays, runs for singleton roles."""
 
 import defopt
 
@@ -12,20 +12,24 @@
 
 
 def build(own: node.Node) -> tuple:
-    """Handlers, works and drain of a control-plane node."""
+    """HTTP handlers, background tasks and the drain of a control-plane node."""
 
-    async def nothing_under_way() -> None:
+    async def nothing_to_drain() -> None:
         await clock.sleep(clock.ZERO)
 
-    back = adapter.Adapter(own.environment, own.outside)
+    worker_adapter = adapter.Adapter(own.environment, own.outside)
     return (
         [],
-        [residency.Residency(own, back).run, machine_power.Rest(own, back).run, alerts.Alerts(own).run],
-        nothing_under_way,
+        [
+            residency.Residency(own, worker_adapter).run,
+            machine_power.Rest(own, worker_adapter).run,
+            alerts.Alerts(own).run,
+        ],
+        nothing_to_drain,
     )
 
 
-def cplane(
+def control(
     settings: str = "",
     *,
     address: str = "",
@@ -37,7 +41,7 @@
     workers: str = "",
     log: str = "",
 ) -> None:
-    """Be a control-plane node.
+    """Run a control-plane node.
 
     :param settings: settings file (TOML); flags overrule it
     :param address: this node's link address, host:port
@@ -47,7 +51,7 @@
     :param role: core or storage
     :param data: data folder, if the machine has a disk
     :param workers: URL of the platform's list of workers
-    :param log: file that the log ring is written out to
+    :param log: file for log lines, written from the first warning on
     """
     flags = {
         "address": address,
@@ -64,4 +68,4 @@
 
 def main() -> None:
     """The command's entry."""
-    defopt.run(cplane)
+    defopt.run(control)
--- a/aspencroft/cli/dplane.py
+++ b/aspencroft/cli/edge_program.py
@@ -1,4 +1,4 @@
-"""The data plane's program: takes callers' requests and sends them on to workers."""
+"""The program of an edge node: takes callers' requests and forwards them to workers."""
 
 import defopt
 
@@ -9,14 +9,14 @@
 
 
 def build(own: node.Node) -> tuple:
-    """Handlers, works and drain of a data-plane node."""
-    back = adapter.Adapter(own.environment, own.outside)
-    edge = path.Path(own, back)
-    own.traces = edge.traces
-    return callers.handlers(edge), [edge.run], edge.drain
+    """HTTP handlers, background tasks and the drain of an edge node."""
+    worker_adapter = adapter.Adapter(own.environment, own.outside)
+    request_path = path.Path(own, worker_adapter)
+    own.traces = request_path.traces
+    return callers.handlers(request_path), [request_path.run], request_path.drain
 
 
-def dplane(
+def edge(
     settings: str = "",
     *,
     address: str = "",
@@ -27,7 +27,7 @@
     workers: str = "",
     log: str = "",
 ) -> None:
-    """Serve callers on a data-plane node.
+    """Run an edge node, which serves callers.
 
     :param settings: settings file (TOML); flags overrule it
     :param address: this node's link address, host:port
@@ -36,7 +36,7 @@
     :param seeds: link addresses of three other processes
     :param data: data folder, if the machine has a disk
     :param workers: URL of the platform's list of workers
-    :param log: file that the log ring is written out to
+    :param log: file for log lines, written from the first warning on
     """
     flags = {
         "address": address,
@@ -53,4 +53,4 @@
 
 def main() -> None:
     """The command's entry."""
-    defopt.run(dplane)
+    defopt.run(edge)
--- a/aspencroft/cli/local_cluster.py
+++ b/aspencroft/cli/local_cluster.py
@@ -83,13 +83,14 @@
     def start(self, number: int) -> None:
         """Start one node's process."""
         self.write_settings(number)
-        program = "dplane" if self.roles[number] == "edge" else "cplane"
+        command = "edge" if self.roles[number] == "edge" else "control"
         with open(self.place(number) / "output.txt", "ab") as output:
             self.processes[number] = subprocess.Popen(
                 [
                     sys.executable,
-                    "-c",
-                    f"from aspencroft.cli import entry; entry.{program}()",
+                    "-m",
+                    "aspencroft",
+                    command,
                     str(self.place(number) / "node.toml"),
                 ],
                 stdout=output,
--- a/aspencroft/cli/fleet.py
+++ b/aspencroft/cli/local_cluster_command.py
@@ -6,6 +6,7 @@
 import dataclasses
 import json
 import logging
+import os
 import pathlib
 import random
 import shutil
@@ -494,15 +495,15 @@
     if wrong:
         print(
             f"{len(wrong)} things that must never happen; history in {path}; "
-            f"repeat: fleet drive --deployment {deployment} "
+            f"repeat: {os.path.basename(sys.argv[0])} drive --deployment {deployment} "
             f"--seconds {seconds} --rate {rate} --seed {seed} --every {every} --faults {' '.join(faults)}",
             file=sys.stderr,
         )
         sys.exit(1)
 
 
-def judge_again(history: str) -> None:
-    """Judge a history that an earlier run wrote.
+def check(history: str) -> None:
+    """Check a history that an earlier run wrote.
 
     :param history: the file
     """
@@ -512,5 +513,10 @@
 
 
 def main() -> None:
-    """The command's entry."""
-    defopt.run({"start": start, "drive": drive, "judge": judge_again})
+    """Run the subcommand of ``aspencroft cluster`` that the arguments name."""
+    defopt.run({"start": start, "drive": drive, "check": check})
+
+
+def fleet() -> None:
+    """The old command ``fleet``, whose ``judge`` is ``check``."""
+    defopt.run({"start": start, "drive": drive, "judge": check})
--- a/aspencroft/cli/fleet_test.py
+++ b/aspencroft/cli/local_cluster_command_test.py
@@ -1,9 +1,9 @@
-"""Tests of ``aspencroft.cli.fleet``."""
+"""Tests of ``aspencroft.cli.local_cluster_command``."""
 
 import dataclasses
 import json
 
-from aspencroft.cli import fleet
+from aspencroft.cli import local_cluster_command
 from aspencroft.emulator import caller
 
 
@@ -23,6 +23,6 @@
         "rolled": [],
         "runs": [],
     }
-    assert fleet.verdict(json.loads(json.dumps(history))) == []
-    assert len(fleet.verdict(json.loads(json.dumps({**history, "rolled": [(2.0, 4.0, "h:1")]})))) == 1
-    assert fleet.verdict({**history, "rolled": [(4.0, 5.0, "h:1")]}) == []
+    assert local_cluster_command.verdict(json.loads(json.dumps(history))) == []
+    assert len(local_cluster_command.verdict(json.loads(json.dumps({**history, "rolled": [(2.0, 4.0, "h:1")]})))) == 1
+    assert local_cluster_command.verdict({**history, "rolled": [(4.0, 5.0, "h:1")]}) == []
--- a/aspencroft/cli/acctl.py
+++ b/aspencroft/cli/operator_command.py
@@ -1,17 +1,23 @@
 """The operators' client: reads, writes and watches plan resources and what is observed."""
 
 import json
+import os
 import pathlib
 import sys
 
 import defopt
 import httpx
 
-TIMEOUT = 30
+TIMEOUT_S = 30
 
 
-def say(response: httpx.Response) -> int:
-    """Print an answer; zero for a good one."""
+def program_name() -> str:
+    """The command as it was called, for messages: ``aspencroft ctl``, or the old ``acctl``."""
+    return os.path.basename(sys.argv[0])
+
+
+def print_response(response: httpx.Response) -> int:
+    """Print a response's body; the exit code, 0 for a success."""
     try:
         print(json.dumps(response.json(), indent=1))
     except ValueError:
@@ -19,20 +25,20 @@
     return 0 if response.is_success else 1
 
 
-def body_of(file: str) -> bytes:
-    """A file's bytes, or standard input's for "-"."""
+def read_body(file: str) -> bytes:
+    """A file's bytes, or standard input's for "-"; ends the program when the file cannot be read."""
     if file == "-":
         return sys.stdin.buffer.read()
     try:
         return pathlib.Path(file).read_bytes()
     except OSError as error:
-        sys.exit(f"acctl: {error}")
+        sys.exit(f"{program_name()}: {error}")
 
 
-def conditions(revision: str) -> dict[str, str]:
+def precondition_headers(revision: str) -> dict[str, str]:
     """The header that makes a write conditional.
 
-    Example: ``conditions("3.17") == {"If-Match": '"3.17"'}``
+    Example: ``precondition_headers("3.17") == {"If-Match": '"3.17"'}``
     """
     return {"If-Match": f'"{revision}"'} if revision else {}
 
@@ -44,7 +50,9 @@
     :param resource: plan, KIND/NAME, status, or observed/keeps, observed/quiet, observed/alerts
     """
     inner = resource.count("/") == 1 and not resource.startswith("observed/")
-    return say(httpx.get(f"http://{node}/{'plan/' if inner else ''}{resource}", timeout=TIMEOUT, trust_env=False))
+    return print_response(
+        httpx.get(f"http://{node}/{'plan/' if inner else ''}{resource}", timeout=TIMEOUT_S, trust_env=False)
+    )
 
 
 def put(node: str, resource: str, file: str, *, revision: str = "") -> int:
@@ -56,12 +64,12 @@
     :param revision: write only if this is still the revision
     """
     path = resource if resource == "plan" else f"plan/{resource}"
-    return say(
+    return print_response(
         httpx.put(
             f"http://{node}/{path}",
-            content=body_of(file),
-            headers=conditions(revision),
-            timeout=TIMEOUT,
+            content=read_body(file),
+            headers=precondition_headers(revision),
+            timeout=TIMEOUT_S,
             trust_env=False,
         )
     )
@@ -74,12 +82,12 @@
     :param file: JSON file, or - for standard input
     :param revision: write only if this is still the plan's revision
     """
-    return say(
+    return print_response(
         httpx.patch(
             f"http://{node}/plan",
-            content=body_of(file),
-            headers=conditions(revision),
-            timeout=TIMEOUT,
+            content=read_body(file),
+            headers=precondition_headers(revision),
+            timeout=TIMEOUT_S,
             trust_env=False,
         )
     )
@@ -92,8 +100,10 @@
     :param resource: KIND/NAME
     :param revision: remove only if this is still its revision
     """
-    return say(
-        httpx.delete(f"http://{node}/plan/{resource}", headers=conditions(revision), timeout=TIMEOUT, trust_env=False)
+    return print_response(
+        httpx.delete(
+            f"http://{node}/plan/{resource}", headers=precondition_headers(revision), timeout=TIMEOUT_S, trust_env=False
+        )
     )
 
 
@@ -109,7 +119,7 @@
         return 0 if response.is_success else 1
 
 
-def screen(shown: dict, plan: dict, topics: dict) -> str:
+def status_screen(shown: dict, plan: dict, topics: dict) -> str:
     """The fleet's state as one node sees it, on one screen."""
     lines = [
         f"seen by {shown['address']} ({shown['role']}, {shown['area']}): plan {shown['plan']['revision']}"
@@ -150,19 +160,19 @@
 def status(node: str) -> int:
     """Show the fleet's state on one screen, as a node sees it.
 
-    Exits with 1 when the node's plan is not current or a pair has no backup.
+    Exits with 1 when the node's plan is not current or a replication group has no backup.
 
     :param node: any node's HTTP address, host:port
     """
     pages = {}
     for page in ("status", "plan", "observed/quiet", "observed/alerts"):
-        response = httpx.get(f"http://{node}/{page}", timeout=TIMEOUT, trust_env=False)
+        response = httpx.get(f"http://{node}/{page}", timeout=TIMEOUT_S, trust_env=False)
         if not response.is_success:
-            return say(response)
+            return print_response(response)
         pages[page] = response.json()
     shown = pages["status"]
     print(
-        screen(
+        status_screen(
             shown,
             pages["plan"]["plan"],
             {"quiet": pages["observed/quiet"]["quiet"], "alerts": pages["observed/alerts"]["alerts"]},
@@ -172,10 +182,10 @@
 
 
 def main() -> None:
-    """The command's entry."""
+    """Run the subcommand that the arguments name; a failed connection ends it with one line."""
     try:
         sys.exit(defopt.run([status, get, put, patch, delete, watch]))
     except httpx.HTTPError as error:
-        sys.exit(f"acctl: {error!r}")
+        sys.exit(f"{program_name()}: {error!r}")
     except KeyboardInterrupt:
         sys.exit(130)
--- a/aspencroft/cli/acwhy_test.py
+++ b/aspencroft/cli/trace_command_test.py
@@ -1,9 +1,9 @@
-"""Tests of ``aspencroft.cli.acwhy``."""
+"""Tests of ``aspencroft.cli.trace_command``."""
 
-import aspencroft.cli.acwhy as acwhy_module
+from aspencroft.cli import trace_command
 
 
-def test_a_story_reads_in_order():
+def test_a_trace_reads_in_order():
     shown = {
         "request": "r",
         "stories": [
@@ -17,5 +17,5 @@
             }
         ],
     }
-    text = acwhy_module.told(shown)
+    text = trace_command.trace_text(shown)
     assert text.index("taken in") < text.index("answered")
--- a/aspencroft/layers_test.py
+++ b/aspencroft/layers_test.py
@@ -3,6 +3,7 @@
 import grimp
 
 LAYERS = (
+    "__main__",
     "benchmarks",
     "platform_check",
     "simulation",
@@ -30,8 +31,8 @@
 )
 UPWARDS = {
     ("alerts.alerts", "node.node"),
-    ("cli.fleet", "simulation.oracle"),
-    ("cli.fleet", "simulation.register"),
+    ("cli.local_cluster_command", "simulation.oracle"),
+    ("cli.local_cluster_command", "simulation.register"),
     ("configuration.alert_expression", "alerts.sample"),
     ("consensus.witness_bootstrap", "replication.messages"),
     ("proxy.forwarder", "gateway.path"),
