--- a/aspencroft/benchmarks/real.py
+++ b/aspencroft/benchmarks/real.py
@@ -27,9 +27,9 @@
     return (int(fields[11]) + int(fields[12])) / TICK
 
 
-async def measured(drive: local_cluster_command.Drive, seconds: float) -> dict:
+async def measured(drive: local_cluster_command.ClusterRun, seconds: float) -> dict:
     """Processor share of each role's processes over so many seconds, and their memory."""
-    place = drive.yard
+    place = drive.cluster
     before = {number: used(one.pid) for number, one in place.processes.items()}
     began = drive.loop.time()
     await asyncio.sleep(seconds)
@@ -38,7 +38,7 @@
     for role in ("edge", "storage", "core"):
         numbers = place.numbers(role)
         shares = [100 * (used(place.processes[number].pid) - before[number]) / span for number in numbers]
-        sizes = [one.memory / 1e6 for one in place.taken() if one.role == role]
+        sizes = [one.memory / 1e6 for one in place.resource_use() if one.role == role]
         found[role] = {
             "processes": len(numbers),
             "processor, % of a core": [round(one, 2) for one in (min(shares), statistics.mean(shares), max(shares))],
@@ -70,16 +70,16 @@
     async def whole() -> list[dict]:
         rows = []
         with tempfile.TemporaryDirectory(prefix="aspencroft-real-") as folder:
-            drive = local_cluster_command.Drive(
-                local_cluster_command.place_of(folder, offset, False),
-                local_cluster_command.mix_of(deployment),
+            drive = local_cluster_command.ClusterRun(
+                local_cluster_command.prepare_cluster(folder, offset, False),
+                local_cluster_command.workload_of(deployment),
                 random.Random(seed),
             )
             try:
                 await drive.begin()
                 await asyncio.sleep(10)
                 for rate in rates:
-                    before = len(drive.asking.noted)
+                    before = len(drive.load_generator.noted)
                     ran = sum(drive.world.ran().values())
                     drive.over = False
                     task = asyncio.ensure_future(drive.traffic(rate)) if rate else None
@@ -88,7 +88,7 @@
                     drive.over = True
                     if task is not None:
                         await task
-                    row["calls a second"] = round((len(drive.asking.noted) - before) / (seconds + 3), 2)
+                    row["calls a second"] = round((len(drive.load_generator.noted) - before) / (seconds + 3), 2)
                     row["worker runs a second"] = round((sum(drive.world.ran().values()) - ran) / (seconds + 3), 2)
                     rows.append(row)
             finally:
--- a/aspencroft/cli/control_program.py
+++ b/aspencroft/cli/control_program.py
@@ -1,5 +1,7 @@
 """The program of a control-plane node: hosts replicas, votes as a witness, relays, runs for singleton roles."""
 
+import collections.abc
+
 import defopt
 
 from aspencroft.alerts import alerts
@@ -35,7 +37,7 @@
     address: str = "",
     http: str = "",
     area: str = "",
-    seeds: list[str] = (),
+    seeds: collections.abc.Sequence[str] = (),
     role: str = "",
     data: str = "",
     workers: str = "",
--- a/aspencroft/cli/daemon.py
+++ b/aspencroft/cli/daemon.py
@@ -1,4 +1,4 @@
-"""What both programs share: settings, the log ring, the HTTP server, signals, a graceful stop."""
+"""What both programs share: settings, the buffered log, the HTTP server, signals, graceful shutdown."""
 
 import asyncio
 import collections.abc
@@ -16,12 +16,12 @@
 from aspencroft.node import node, settings
 from aspencroft.runtime import allocator, boottime, clock, environment, supervision
 
-RING = 2000
-HAND_OVER = clock.seconds(4)
+LOG_BUFFER_LINES = 2000
+LEADERSHIP_TRANSFER_TIMEOUT = clock.seconds(4)
 LAST_WORDS = clock.seconds(0.3)
-SERVED = clock.seconds(2)
-ENDING = clock.seconds(3)
-STUCK = 70
+HTTP_SHUTDOWN_TIMEOUT = clock.seconds(2)
+CANCEL_TIMEOUT = clock.seconds(3)
+STUCK_EXIT_CODE = 70
 WAKE_BYTES = 4096
 LOG = logbook.Logger("cli.daemon")
 
@@ -30,7 +30,7 @@
     """uvicorn without its own signal handling: the daemon decides when to stop."""
 
     @contextlib.contextmanager
-    def capture_signals(self):
+    def capture_signals(self) -> collections.abc.Iterator[None]:
         """Leave signals alone."""
         yield
 
@@ -125,15 +125,18 @@
                 await stop.wait()
                 await hand_over_work(own, drain)
                 server.should_exit = True
-                await asyncio.wait([serving], timeout=SERVED.total_seconds())
+                await asyncio.wait([serving], timeout=HTTP_SHUTDOWN_TIMEOUT.total_seconds())
             left = await end([task for task in asyncio.all_tasks() if task is not asyncio.current_task()])
             if left:
-                LOG.error("did not end: {}", [task.get_stack() for task in left])
+                LOG.error(
+                    "shutdown: cancelled tasks did not end, exiting: {}",
+                    [task.get_stack() for task in left],
+                )
                 leave(left)
 
 
 async def hand_over_work(own: node.Node, drain: collections.abc.Callable) -> None:
-    """Tell the others that this node leaves, let what is under way end and others take its groups."""
+    """Announce that this node leaves, let its requests end and other nodes take over its replication groups."""
     own.stopping.set()
     own.failure_detector.leave()
     async with supervision.Group() as ending:
@@ -143,45 +146,48 @@
 
 
 def leave(left: list[asyncio.Task]) -> None:
-    """The last resort of a stop: say which tasks would not end, and leave with a code of its own.
+    """Exit at once with ``STUCK_EXIT_CODE``, after printing the stacks of the tasks that did not end.
 
     What must last was synced before it was answered, so nothing is lost.
     """
     for task in left:
         task.print_stack()
-    print(f"{len(left)} tasks did not end; leaving with code {STUCK}", file=sys.stderr)
+    print(f"{len(left)} tasks did not end; leaving with code {STUCK_EXIT_CODE}", file=sys.stderr)
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(STUCK)
+    os._exit(STUCK_EXIT_CODE)
 
 
 async def end(tasks: list[asyncio.Task]) -> list[asyncio.Task]:
-    """Cancel tasks once and let them end; those that did not in time are handed back."""
+    """Cancel tasks once and wait for them; returns those that did not end within ``CANCEL_TIMEOUT``."""
     for task in tasks:
         task.cancel()
     if tasks:
-        await asyncio.wait(tasks, timeout=ENDING.total_seconds())
+        await asyncio.wait(tasks, timeout=CANCEL_TIMEOUT.total_seconds())
     return [task for task in tasks if not task.done()]
 
 
 async def transfer_leadership(own: node.Node) -> None:
-    """Wait until this node leads no pair, or the time for it is over."""
-    end = clock.now() + HAND_OVER
+    """Wait until this node is primary of no replication group, at most ``LEADERSHIP_TRANSFER_TIMEOUT``."""
+    end = clock.now() + LEADERSHIP_TRANSFER_TIMEOUT
     while clock.now() < end and any(
         held.known is not None and held.known.primary == held.me() for held in own.group_replicas.values()
     ):
         await clock.sleep(LAST_WORDS / 4)
 
 
-def log_ring(place: settings.Settings) -> logbook.Handler:
-    """A ring of log lines in memory, written out once something goes wrong."""
+def buffered_log(place: settings.Settings) -> logbook.Handler:
+    """A handler that keeps the last ``LOG_BUFFER_LINES`` lines in memory and writes them out with the next warning.
+
+    They go to the file ``place.log``, or to standard error without one.
+    """
     if place.log is not None:
         place.log.parent.mkdir(parents=True, exist_ok=True)
         inner = logbook.FileHandler(str(place.log), level=logbook.DEBUG, delay=True)
     else:
         inner = logbook.StreamHandler(sys.stderr, level=logbook.DEBUG)
     return logbook.FingersCrossedHandler(
-        inner, action_level=logbook.WARNING, buffer_size=RING, pull_information=False, reset=True
+        inner, action_level=logbook.WARNING, buffer_size=LOG_BUFFER_LINES, pull_information=False, reset=True
     )
 
 
@@ -190,7 +196,7 @@
     flags: dict,
     build: collections.abc.Callable[[node.Node], tuple[list, list, collections.abc.Callable]],
 ) -> None:
-    """Check settings, then live; bad settings end the program with a clear line."""
+    """Run a node with a settings file, overruled by flags; bad settings end the program with one line."""
     given = {name: value for name, value in flags.items() if value}
     begin(settings_reload.SettingsSource(place_file, lambda: settings.read(place_file, given)), build)
 
@@ -199,7 +205,7 @@
     source: settings_reload.SettingsSource,
     build: collections.abc.Callable[[node.Node], tuple[list, list, collections.abc.Callable]],
 ) -> None:
-    """Live with the settings that a source gives; bad ones end the program with a clear line.
+    """Run a node with the settings of a source; bad ones end the program with one line.
 
     A stop that was asked for while the program was loaded ends it before anything is begun.
     """
@@ -218,10 +224,10 @@
         more, works, drain = build(own)
         await live(own, more, works, drain, reload)
 
-    with log_ring(place).applicationbound():
+    with buffered_log(place).applicationbound():
         try:
             with asyncio.Runner(loop_factory=boottime.BoottimeLoop) as runner:
                 runner.run(whole())
         except BaseException as error:
-            LOG.exception("the program ends")
+            LOG.exception("the program ends after an unhandled exception")
             sys.exit(f"ended by a fault: {error!r}")
--- a/aspencroft/cli/edge_program.py
+++ b/aspencroft/cli/edge_program.py
@@ -1,5 +1,7 @@
 """The program of an edge node: takes callers' requests and forwards them to workers."""
 
+import collections.abc
+
 import defopt
 
 from aspencroft.cli import daemon
@@ -22,7 +24,7 @@
     address: str = "",
     http: str = "",
     area: str = "",
-    seeds: list[str] = (),
+    seeds: collections.abc.Sequence[str] = (),
     data: str = "",
     workers: str = "",
     log: str = "",
--- a/aspencroft/cli/lazy_application.py
+++ b/aspencroft/cli/lazy_application.py
@@ -12,14 +12,14 @@
         self.application: collections.abc.Callable | None = None
         self.building = asyncio.Lock()
 
-    async def __call__(self, scope, receive, send) -> None:
+    async def __call__(self, scope: dict, receive: collections.abc.Callable, send: collections.abc.Callable) -> None:
         """Answer a request, after the application was built if this is the first one."""
-        if self.application is None:
-            await self.load()
-        await self.application(scope, receive, send)
+        application = self.application or await self.load()
+        await application(scope, receive, send)
 
-    async def load(self) -> None:
-        """Build the application, unless another request has done so meanwhile."""
+    async def load(self) -> collections.abc.Callable:
+        """Build the application, unless another request has done so meanwhile, and return it."""
         async with self.building:
             if self.application is None:
                 self.application = await asyncio.to_thread(self.build)
+            return self.application
--- a/aspencroft/cli/local_cluster.py
+++ b/aspencroft/cli/local_cluster.py
@@ -1,4 +1,4 @@
-"""A tool's part: sixteen real processes on this machine, their folders and signals, what they take of it."""
+"""Sixteen real processes on this machine: their folders, settings, signals and resource use."""
 
 import contextlib
 import dataclasses
@@ -16,13 +16,13 @@
 HOST = "127.0.0.1"
 AREAS = ("north", "middle", "south")
 ROLES = ("edge",) * 8 + ("storage",) * 3 + ("core",) * 5
-LINK, HTTP, PLATFORM, BACK = 7100, 7300, 7500, 7520
-STOPPED = 15.0
+LINK_PORT, HTTP_PORT, PLATFORM_PORT, WORKER_PORT = 7100, 7300, 7500, 7520
+STOP_TIMEOUT_S = 15.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Taken:
-    """What a process takes of the machine at one moment."""
+class ResourceUse:
+    """Resource use of a process at one moment; memory and disk in bytes."""
 
     number: int
     role: str
@@ -45,11 +45,11 @@
 
     def link(self, number: int) -> str:
         """A node's link address."""
-        return f"{HOST}:{LINK + self.offset + number}"
+        return f"{HOST}:{LINK_PORT + self.offset + number}"
 
     def http(self, number: int) -> str:
         """A node's HTTP address."""
-        return f"{HOST}:{HTTP + self.offset + number}"
+        return f"{HOST}:{HTTP_PORT + self.offset + number}"
 
     def numbers(self, role: str) -> list[int]:
         """The nodes of a role."""
@@ -59,13 +59,13 @@
         """The nodes whose process runs."""
         return [number for number, process in self.processes.items() if process.poll() is None]
 
-    def place(self, number: int) -> pathlib.Path:
+    def folder_of(self, number: int) -> pathlib.Path:
         """A node's folder."""
         return self.folder / f"node-{number}"
 
     def write_settings(self, number: int) -> None:
         """A node's settings file; storage nodes and two cores have a disk."""
-        folder, role = self.place(number), self.roles[number]
+        folder, role = self.folder_of(number), self.roles[number]
         folder.mkdir(parents=True, exist_ok=True)
         lines = [
             f'address = "{self.link(number)}"',
@@ -73,7 +73,7 @@
             f'area = "{self.areas[number]}"',
             f'role = "{role}"',
             f"seeds = {json.dumps([self.link(one) for one in self.seeds])}",
-            f'workers = "http://{HOST}:{PLATFORM + self.offset}/api/workers"',
+            f'workers = "http://{HOST}:{PLATFORM_PORT + self.offset}/api/workers"',
             f'log = "{folder / "ring.log"}"',
         ]
         if role == "storage" or number in (14, 15):
@@ -84,14 +84,14 @@
         """Start one node's process."""
         self.write_settings(number)
         command = "edge" if self.roles[number] == "edge" else "control"
-        with open(self.place(number) / "output.txt", "ab") as output:
+        with open(self.folder_of(number) / "output.txt", "ab") as output:
             self.processes[number] = subprocess.Popen(
                 [
                     sys.executable,
                     "-m",
                     "aspencroft",
                     command,
-                    str(self.place(number) / "node.toml"),
+                    str(self.folder_of(number) / "node.toml"),
                 ],
                 stdout=output,
                 stderr=output,
@@ -103,16 +103,16 @@
             os.kill(self.processes[number].pid, what)
 
     def kill(self, number: int) -> None:
-        """End a node's process without a word."""
+        """Kill a node's process by SIGKILL."""
         self.signal(number, signal.SIGKILL)
         self.processes[number].wait()
 
     def swap(self, number: int) -> int:
-        """A machine is gone for good; an empty one takes its part at a new address. The new number."""
+        """Replace a machine by an empty one at a new address; returns its number."""
         fresh = max(self.roles) + 1
         self.roles[fresh], self.areas[fresh] = self.roles.pop(number), self.areas[number]
         self.processes.pop(number, None)
-        shutil.rmtree(self.place(number) / "data", ignore_errors=True)
+        shutil.rmtree(self.folder_of(number) / "data", ignore_errors=True)
         return fresh
 
     def stop(self) -> dict[int, int]:
@@ -120,7 +120,7 @@
         for number in self.running():
             self.signal(number, signal.SIGCONT)
             self.signal(number, signal.SIGTERM)
-        codes, end = {}, time.monotonic() + STOPPED
+        codes, end = {}, time.monotonic() + STOP_TIMEOUT_S
         for number, process in self.processes.items():
             try:
                 codes[number] = process.wait(max(0.1, end - time.monotonic()))
@@ -129,16 +129,16 @@
                 codes[number] = process.wait()
         return codes
 
-    def taken(self) -> list[Taken]:
-        """What each running process takes now."""
+    def resource_use(self) -> list[ResourceUse]:
+        """Resource use of each running process."""
         found = []
         for number in self.running():
             home = pathlib.Path("/proc") / str(self.processes[number].pid)
             try:
                 status = dict(line.split(":", 1) for line in (home / "status").read_text().splitlines() if ":" in line)
-                data = self.place(number) / "data"
+                data = self.folder_of(number) / "data"
                 found.append(
-                    Taken(
+                    ResourceUse(
                         number,
                         self.roles[number],
                         int(status["VmRSS"].split()[0]) * 1024,
@@ -152,18 +152,18 @@
         return found
 
 
-async def states(client: httpx.AsyncClient, yard: LocalCluster) -> dict[int, dict]:
+async def fetch_statuses(client: httpx.AsyncClient, cluster: LocalCluster) -> dict[int, dict]:
     """The status page of each running node that answers."""
     found = {}
-    for number in yard.running():
+    for number in cluster.running():
         with contextlib.suppress(httpx.HTTPError, ValueError):
-            found[number] = (await client.get(f"http://{yard.http(number)}/status")).json()
+            found[number] = (await client.get(f"http://{cluster.http(number)}/status")).json()
     return found
 
 
-def whole(yard: LocalCluster, shown: dict[int, dict], plan_needed: bool) -> bool:
-    """Whether every running node answers, and as they say all pairs have two copies and a primary that serves."""
-    if len(shown) < len(yard.running()) or not shown:
+def is_serving(cluster: LocalCluster, shown: dict[int, dict], plan_needed: bool) -> bool:
+    """Whether every running node answers and reports each replication group with a backup and a primary that serves."""
+    if len(shown) < len(cluster.running()) or not shown:
         return False
     if plan_needed and not all(one["plan"]["current"] for one in shown.values()):
         return False
--- a/aspencroft/cli/local_cluster_command.py
+++ b/aspencroft/cli/local_cluster_command.py
@@ -1,7 +1,8 @@
-"""A tool: a local fleet of real processes with stand-ins, traffic, operators and faults, and the judge over it."""
+"""A local cluster of real processes with load, operators and a fault schedule, and the oracle that checks it."""
 
 import asyncio
 import collections
+import collections.abc
 import contextlib
 import dataclasses
 import json
@@ -23,7 +24,7 @@
 from aspencroft.runtime import clock
 from aspencroft.simulation import oracle, register
 
-READY = 60.0
+READY_TIMEOUT_S = 60.0
 FAULTS = (
     "kill",
     "leader",
@@ -42,8 +43,8 @@
 )
 
 
-async def serve(application, port: int) -> tuple[uvicorn.Server, asyncio.Task]:
-    """Serve a stand-in's pages on a port."""
+async def serve(application: collections.abc.Callable, port: int) -> tuple[uvicorn.Server, asyncio.Task]:
+    """Serve an emulated application on a port; returns once it listens."""
     server = daemon.Server(
         uvicorn.Config(
             application, host=local_cluster.HOST, port=port, log_config=None, access_log=False, lifespan="off"
@@ -55,71 +56,76 @@
     return server, task
 
 
-class Drive:
-    """A run of a local fleet: what is done to it, and all that callers, workers and operators saw."""
+class ClusterRun:
+    """A run of a local cluster: its load, its faults, and the history that callers, workers and operators saw."""
 
-    def __init__(self, place: local_cluster.LocalCluster, mix: shape.Shape, chance: random.Random):
-        self.yard = place
+    def __init__(self, cluster: local_cluster.LocalCluster, mix: shape.Shape, chance: random.Random):
+        self.cluster = cluster
         self.mix = mix
         self.chance = chance
         self.world = world.World(mix, random.Random(chance.random()))
         self.servers: dict[str, tuple[uvicorn.Server, asyncio.Task]] = {}
-        self.told: list[str] = []
-        self.done: list[str] = []
-        self.returned: list[float] = []
-        self.rolled: list[tuple[float, float, str]] = []
-        self.marked: dict[str, float] = {}
-        self.samples: list[list[local_cluster.Taken]] = []
-        self.programs = 0
+        self.violations: list[str] = []
+        self.injected_faults: list[str] = []
+        self.recovery_times_s: list[float] = []
+        self.planned_restarts: list[tuple[float, float, str]] = []
+        self.draining_since: dict[str, float] = {}
+        self.resource_samples: list[list[local_cluster.ResourceUse]] = []
+        self.programs_started = 0
         self.over = False
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The running loop, whose clock times all that is noted."""
+        """The running loop, whose clock times the history."""
         return asyncio.get_running_loop()
 
     def names(self) -> list[str]:
         """The HTTP addresses that operators may talk to."""
-        return [self.yard.http(number) for number in self.yard.running()]
+        return [self.cluster.http(number) for number in self.cluster.running()]
 
     async def begin(self) -> None:
-        """Start stand-ins and processes, wait until they know each other, write the plan."""
-        for place, one in enumerate(self.world.workers()):
-            port = local_cluster.BACK + self.yard.offset + place
+        """Start emulated workers and all processes, wait until they know each other, write the plan."""
+        for index, one in enumerate(self.world.workers()):
+            port = local_cluster.WORKER_PORT + self.cluster.offset + index
             self.world.addresses[one.name] = f"{local_cluster.HOST}:{port}"
             self.servers[one.name] = await serve(self.world.application(one), port)
-        self.servers[""] = await serve(self.world.platform(), local_cluster.PLATFORM + self.yard.offset)
+        self.servers[""] = await serve(self.world.platform(), local_cluster.PLATFORM_PORT + self.cluster.offset)
         self.client = httpx.AsyncClient(timeout=20, trust_env=False)
-        for number in list(self.yard.roles):
-            self.yard.start(number)
-        await self.until_whole(READY, plan_needed=False)
+        for number in list(self.cluster.roles):
+            self.cluster.start(number)
+        await self.wait_until_serving(READY_TIMEOUT_S, plan_needed=False)
         for _ in range(10):
-            response = await self.client.put(f"http://{self.yard.http(3)}/plan", json=self.mix.document)
+            response = await self.client.put(f"http://{self.cluster.http(3)}/plan", json=self.mix.document)
             if response.status_code == 200:
                 break
             await asyncio.sleep(1)
-        await self.until_whole(READY, plan_needed=True)
-        addresses = tuple(self.yard.http(number) for number in self.yard.numbers("edge"))
+        await self.wait_until_serving(READY_TIMEOUT_S, plan_needed=True)
+        addresses = tuple(self.cluster.http(number) for number in self.cluster.numbers("edge"))
         transport = httpx.AsyncHTTPTransport(limits=httpx.Limits(max_connections=None, max_keepalive_connections=64))
-        self.asking = caller.Caller(self.mix, addresses, transport, random.Random(self.chance.random()))
+        self.load_generator = caller.Caller(self.mix, addresses, transport, random.Random(self.chance.random()))
         self.operators = register.Operators(self, self.client, random.Random(self.chance.random()))
         await asyncio.sleep(1.5)
 
-    async def until_whole(self, within: float, plan_needed: bool) -> float:
-        """Wait until the whole fleet serves; seconds waited."""
+    async def is_serving(self, plan_needed: bool) -> bool:
+        """Whether the cluster serves by the status of all its nodes."""
+        statuses = await local_cluster.fetch_statuses(self.client, self.cluster)
+        return local_cluster.is_serving(self.cluster, statuses, plan_needed)
+
+    async def wait_until_serving(self, within: float, plan_needed: bool) -> float:
+        """Wait until the whole cluster serves; seconds waited. A time-out is recorded as a violation."""
         began = self.loop.time()
-        while not local_cluster.whole(self.yard, await local_cluster.states(self.client, self.yard), plan_needed):
+        while not await self.is_serving(plan_needed):
             if self.loop.time() - began > within:
-                self.told.append(f"service is not back within {within} s after {self.done[-1:]}")
+                self.violations.append(f"service is not back within {within} s after {self.injected_faults[-1:]}")
                 return within
             await asyncio.sleep(0.1)
         return self.loop.time() - began
 
     async def run(self, seconds: float, rate: float, faults: tuple[str, ...], every: float) -> None:
-        """Drive traffic and operators for so long, with a fault every so many seconds; then ask once more."""
+        """Generate load for ``seconds``, with a fault after every ``every`` seconds; then read the state once more."""
         end = self.loop.time() + seconds
         async with asyncio.TaskGroup() as group:
-            works = [self.traffic(rate), self.swing()] + (
+            works = [self.traffic(rate), self.drive_swing_lane()] + (
                 [self.operators.operate() for _ in range(2)] if faults else []
             )
             tasks = [group.create_task(work) for work in works]
@@ -128,131 +134,160 @@
                 await asyncio.sleep(min(every, max(0.0, end - self.loop.time())))
                 if faults and self.loop.time() < end:
                     kind = self.chance.choice(faults)
-                    self.done.append(f"{self.loop.time():.1f} {kind}")
-                    await self.fault(kind)
-                    self.returned.append(await self.until_whole(READY / 2, plan_needed=True))
+                    self.injected_faults.append(f"{self.loop.time():.1f} {kind}")
+                    await self.inject_fault(kind)
+                    self.recovery_times_s.append(await self.wait_until_serving(READY_TIMEOUT_S / 2, plan_needed=True))
             self.over = self.operators.over = True
             for task in tasks:
                 await task
             sampling.cancel()
-        self.told.extend(await self.asking.still_kept())
+        self.violations.extend(await self.load_generator.still_kept())
         for _ in range(4):
             await self.operators.read()
 
     async def traffic(self, rate: float) -> None:
-        """Programs and signals by the mix."""
+        """Start programs and signals of the workload, ``rate`` a second."""
         async with asyncio.TaskGroup() as group:
             while not self.over:
-                self.programs += 1
-                group.create_task(self.asking.one(f"{self.mix.name}-{self.programs}"))
+                self.programs_started += 1
+                group.create_task(self.load_generator.one(f"{self.mix.name}-{self.programs_started}"))
                 await asyncio.sleep(self.chance.expovariate(rate))
 
-    async def swing(self) -> None:
+    async def drive_swing_lane(self) -> None:
         """Signals on a lane whose services operators change."""
         number = 0
         while not self.over:
             number += 1
-            await self.asking.ask("swing", {"name": f"swing-{number}"})
+            await self.load_generator.ask("swing", {"name": f"swing-{number}"})
             await asyncio.sleep(0.5)
 
     async def sample(self) -> None:
-        """Note what the processes take, now and then."""
+        """Sample the resource use of the processes every 5 seconds."""
         while True:
-            self.samples.append(self.yard.taken())
+            self.resource_samples.append(self.cluster.resource_use())
             await asyncio.sleep(5)
 
-    async def fault(self, kind: str) -> None:
-        """Cause one kind of failure that one machine allows, and end it."""
-        place, chance = self.yard, self.chance
-        victim = chance.choice([number for number, role in place.roles.items() if role != "edge"])
-        storage = chance.choice(place.numbers("storage"))
-        long = 0.5 + 4 * chance.random()
+    async def inject_fault(self, kind: str) -> None:
+        """Inject one fault of a kind of ``FAULTS`` that a single machine may have, and end it."""
+        cluster, chance = self.cluster, self.chance
+        victim = chance.choice([number for number, role in cluster.roles.items() if role != "edge"])
+        storage = chance.choice(cluster.numbers("storage"))
+        outage_s = 0.5 + 4 * chance.random()
         if kind == "leader":
-            shown = await local_cluster.states(self.client, place)
-            leaders = [number for number, one in shown.items() if any(own["claimed"] for own in one["pairs"].values())]
+            statuses = await local_cluster.fetch_statuses(self.client, cluster)
+            leaders = [
+                number
+                for number, status in statuses.items()
+                if any(replica["claimed"] for replica in status["pairs"].values())
+            ]
             victim, kind = chance.choice(leaders or [victim]), chance.choice(["kill", "freeze"])
         if kind == "edge":
-            victim, kind = chance.choice(place.numbers("edge")), chance.choice(["kill", "freeze", "restart"])
-        if kind == "kill":
-            place.kill(victim)
-            await asyncio.sleep(long)
-            place.start(victim)
-        elif kind == "freeze":
-            place.signal(victim, signal.SIGSTOP)
-            await asyncio.sleep(2 * long)
-            place.signal(victim, signal.SIGCONT)
-        elif kind == "restart":
-            await self.restart(victim)
-        elif kind == "roll":
-            for number in chance.sample(sorted(place.roles), 4):
-                await self.restart(number)
-                await self.until_whole(READY / 2, plan_needed=True)
-        elif kind == "workers":
-            for one in self.world.workers():
-                one.faults = backend.Faults(0.2 * chance.random(), 0.1 * chance.random(), 0.1 * chance.random(), 0.3)
-            await asyncio.sleep(2 * long)
-            for one in self.world.workers():
-                one.faults = backend.Faults()
-        elif kind == "replace":
-            await self.replace_worker(chance.choice(self.world.models), long)
-        elif kind == "swap":
-            await self.until_whole(READY / 2, plan_needed=True)
-            place.kill(storage)
-            fresh = place.swap(storage)
-            await asyncio.sleep(long)
-            place.start(fresh)
-        elif kind == "wipe":
-            await self.until_whole(READY / 2, plan_needed=True)
-            place.kill(storage)
-            shutil.rmtree(place.place(storage) / "data", ignore_errors=True)
-            place.start(storage)
-        elif kind == "empty":
-            await self.empty(storage)
-        elif kind == "seeds":
-            await self.change_seeds()
-        elif kind == "all":
-            for number in place.running():
-                place.kill(number)
-            for number in list(place.roles):
-                place.start(number)
-        elif kind == "vanish":
-            async with asyncio.TaskGroup() as group:
-                for number in range(20):
-                    group.create_task(self.asking.vanish(f"vanish-{self.loop.time():.3f}-{number}"))
+            victim, kind = chance.choice(cluster.numbers("edge")), chance.choice(["kill", "freeze", "restart"])
+        injections: dict[str, collections.abc.Callable[[], collections.abc.Awaitable[None]]] = {
+            "kill": lambda: self.kill(victim, outage_s),
+            "freeze": lambda: self.freeze(victim, 2 * outage_s),
+            "restart": lambda: self.restart(victim),
+            "roll": self.roll_restarts,
+            "workers": lambda: self.fail_workers(2 * outage_s),
+            "replace": lambda: self.replace_worker(chance.choice(self.world.models), outage_s),
+            "swap": lambda: self.swap_machine(storage, outage_s),
+            "empty": lambda: self.drain_machine(storage),
+            "wipe": lambda: self.wipe_disk(storage),
+            "seeds": self.change_seeds,
+            "all": self.restart_all,
+            "vanish": self.vanish_callers,
+        }
+        await injections[kind]()
+
+    async def kill(self, number: int, outage_s: float) -> None:
+        """Kill a process, and start it again after the outage."""
+        self.cluster.kill(number)
+        await asyncio.sleep(outage_s)
+        self.cluster.start(number)
+
+    async def freeze(self, number: int, outage_s: float) -> None:
+        """Stop a process by SIGSTOP for the outage."""
+        self.cluster.signal(number, signal.SIGSTOP)
+        await asyncio.sleep(outage_s)
+        self.cluster.signal(number, signal.SIGCONT)
+
+    async def roll_restarts(self) -> None:
+        """Restart four nodes one after the other, each once the cluster serves."""
+        for number in self.chance.sample(sorted(self.cluster.roles), 4):
+            await self.restart(number)
+            await self.wait_until_serving(READY_TIMEOUT_S / 2, plan_needed=True)
+
+    async def fail_workers(self, outage_s: float) -> None:
+        """Have all workers fail a share of their requests for the outage."""
+        for worker in self.world.workers():
+            worker.faults = backend.Faults(
+                0.2 * self.chance.random(), 0.1 * self.chance.random(), 0.1 * self.chance.random(), 0.3
+            )
+        await asyncio.sleep(outage_s)
+        for worker in self.world.workers():
+            worker.faults = backend.Faults()
+
+    async def swap_machine(self, number: int, outage_s: float) -> None:
+        """Lose a storage machine for good; an empty one takes its place after the outage."""
+        await self.wait_until_serving(READY_TIMEOUT_S / 2, plan_needed=True)
+        self.cluster.kill(number)
+        fresh = self.cluster.swap(number)
+        await asyncio.sleep(outage_s)
+        self.cluster.start(fresh)
+
+    async def wipe_disk(self, number: int) -> None:
+        """Kill a storage node and start it at once with an empty disk."""
+        await self.wait_until_serving(READY_TIMEOUT_S / 2, plan_needed=True)
+        self.cluster.kill(number)
+        shutil.rmtree(self.cluster.folder_of(number) / "data", ignore_errors=True)
+        self.cluster.start(number)
+
+    async def restart_all(self) -> None:
+        """Kill all processes, then start them."""
+        for number in self.cluster.running():
+            self.cluster.kill(number)
+        for number in list(self.cluster.roles):
+            self.cluster.start(number)
+
+    async def vanish_callers(self) -> None:
+        """Have 20 callers drop their connections in the middle of a request."""
+        async with asyncio.TaskGroup() as group:
+            for number in range(20):
+                group.create_task(self.load_generator.vanish(f"vanish-{self.loop.time():.3f}-{number}"))
 
     async def restart(self, number: int) -> None:
         """A planned restart: SIGTERM, wait for the exit, start; nothing under way may be dropped."""
-        place, began = self.yard, self.loop.time()
-        place.signal(number, signal.SIGTERM)
-        process = place.processes[number]
-        while process.poll() is None and self.loop.time() - began < local_cluster.STOPPED:
+        cluster, began = self.cluster, self.loop.time()
+        cluster.signal(number, signal.SIGTERM)
+        process = cluster.processes[number]
+        while process.poll() is None and self.loop.time() - began < local_cluster.STOP_TIMEOUT_S:
             await asyncio.sleep(0.05)
         if process.poll() != 0:
-            self.told.append(
+            self.violations.append(
                 f"node {number} left a planned stop with {process.poll()} after {self.loop.time() - began:.1f} s"
             )
-            place.kill(number)
-        self.rolled.append((began, self.loop.time(), place.http(number)))
-        place.start(number)
-
-    async def replace_worker(self, one, long: float) -> None:
-        """A worker is marked as leaving, ends, and comes back anew."""
-        self.world.leaving.add(one.name)
-        self.marked[one.name] = self.loop.time()
-        await asyncio.sleep(3.5 + long)
-        server, task = self.servers[one.name]
+            cluster.kill(number)
+        self.planned_restarts.append((began, self.loop.time(), cluster.http(number)))
+        cluster.start(number)
+
+    async def replace_worker(self, worker: backend.ModelWorker, outage_s: float) -> None:
+        """Drain a worker, stop it, and start it again after the outage with nothing in its memory."""
+        self.world.leaving.add(worker.name)
+        self.draining_since[worker.name] = self.loop.time()
+        await asyncio.sleep(3.5 + outage_s)
+        server, task = self.servers[worker.name]
         server.should_exit = True
         await task
-        await asyncio.sleep(long)
-        one.kept.clear()
-        self.marked.pop(one.name)
-        self.world.leaving.discard(one.name)
-        self.servers[one.name] = await serve(
-            self.world.application(one), int(self.world.addresses[one.name].split(":")[1])
+        await asyncio.sleep(outage_s)
+        worker.kept.clear()
+        self.draining_since.pop(worker.name)
+        self.world.leaving.discard(worker.name)
+        self.servers[worker.name] = await serve(
+            self.world.application(worker), int(self.world.addresses[worker.name].split(":")[1])
         )
 
     async def write(self, path: str, spec: dict) -> bool:
-        """An operator's write, said again until it is acknowledged."""
+        """An operator's write, retried until it is acknowledged; false after ten attempts."""
         for _ in range(10):
             try:
                 response = await self.client.put(f"http://{self.chance.choice(self.names())}/plan/{path}", json=spec)
@@ -261,64 +296,66 @@
             except httpx.HTTPError:
                 pass
             await asyncio.sleep(0.5)
-        self.told.append(f"{path} was not acknowledged")
+        self.violations.append(f"{path} was not acknowledged")
         return False
 
-    async def empty(self, number: int) -> None:
+    async def drain_machine(self, number: int) -> None:
         """An operator has a machine drained; once it holds nothing it is swapped for one at a new address."""
-        place, address, began = self.yard, self.yard.link(number), self.loop.time()
+        cluster, address, began = self.cluster, self.cluster.link(number), self.loop.time()
         if not await self.write(f"machines/{address}", {"emptied": True}):
             return
-        while self.loop.time() - began < READY / 2:
-            shown = await local_cluster.states(self.client, place)
+        while self.loop.time() - began < READY_TIMEOUT_S / 2:
+            shown = await local_cluster.fetch_statuses(self.client, cluster)
             held = [one for each in shown.values() for one in each["holders"].values()]
             if held and not any(address in (one["primary"], *one["backups"]) for one in held):
                 break
             await asyncio.sleep(0.2)
         else:
-            self.told.append(f"{address} was not emptied")
-        place.kill(number)
-        place.start(place.swap(number))
+            self.violations.append(f"{address} was not emptied")
+        cluster.kill(number)
+        cluster.start(cluster.swap(number))
 
     async def change_seeds(self) -> None:
         """An operator names other witnesses; all nodes must come to use them."""
-        place, began = self.yard, self.loop.time()
-        chosen = sorted(self.chance.sample(place.numbers("core"), 3))
-        wished = [place.link(number) for number in chosen]
+        cluster, began = self.cluster, self.loop.time()
+        chosen = sorted(self.chance.sample(cluster.numbers("core"), 3))
+        wished = [cluster.link(number) for number in chosen]
         if not await self.write("seeds/control", {"addresses": wished}):
             return
-        place.seeds = chosen
-        while self.loop.time() - began < READY / 2:
-            shown = await local_cluster.states(self.client, place)
+        cluster.seeds = chosen
+        while self.loop.time() - began < READY_TIMEOUT_S / 2:
+            shown = await local_cluster.fetch_statuses(self.client, cluster)
             rosters = {tuple(sorted(one["witness"]["roster"])) for one in shown.values()}
             if rosters == {tuple(sorted(wished))}:
                 return
             await asyncio.sleep(0.2)
-        self.told.append(f"witnesses are not {wished} everywhere")
+        self.violations.append(f"witnesses are not {wished} everywhere")
 
     def history(self) -> dict:
-        """All that was noted, as JSON that the judge can read again."""
+        """The history as JSON, from which ``violations_in`` reads it."""
         allowed = [[lane, service] for lane, spec in self.mix.document["lanes"].items() for service in spec["services"]]
         allowed.extend(["swing", service] for service in self.operators.plain)
         return {
-            "noted": [dataclasses.asdict(one) for one in self.asking.noted],
+            "noted": [dataclasses.asdict(one) for one in self.load_generator.noted],
             "seen": self.world.seen(),
             "ran": self.world.ran(),
             "put_out": self.world.put_out(),
             "document": self.mix.document,
-            "leaving": self.marked,
-            "told": [*self.told, *self.asking.faults],
+            "leaving": self.draining_since,
+            "told": [*self.violations, *self.load_generator.faults],
             "allowed": allowed,
             "writes": [dataclasses.asdict(one) for one in self.operators.writes],
             "reads": [dataclasses.asdict(one) for one in self.operators.reads],
-            "rolled": self.rolled,
+            "rolled": self.planned_restarts,
             "runs": register.swing_runs(self),
         }
 
     async def end(self) -> None:
-        """Stop processes and stand-ins; a process that leaves a stop with another code than 0 is told."""
-        codes = await asyncio.to_thread(self.yard.stop)
-        self.told.extend(f"node {number} left the stop with code {code}" for number, code in codes.items() if code)
+        """Stop all processes and emulators; an exit code other than 0 is recorded as a violation."""
+        codes = await asyncio.to_thread(self.cluster.stop)
+        self.violations.extend(
+            f"node {number} left the stop with code {code}" for number, code in codes.items() if code
+        )
         for server, task in self.servers.values():
             server.should_exit = True
             await task
@@ -326,25 +363,27 @@
 
     def report(self, seconds: float) -> dict:
         """What an operator wants to read of a run."""
-        firsts, waits, returned = (sorted(row) for row in (self.asking.firsts, self.operators.waits, self.returned))
+        firsts, waits, returned = (
+            sorted(row) for row in (self.load_generator.firsts, self.operators.waits, self.recovery_times_s)
+        )
         return {
             "deployment": self.mix.name,
             "seconds": round(seconds, 1),
-            "faults": len(self.done),
-            "done": self.done,
-            "answers": dict(sorted(self.asking.counts.items())),
+            "faults": len(self.injected_faults),
+            "done": self.injected_faults,
+            "answers": dict(sorted(self.load_generator.counts.items())),
             "runs": sum(self.world.ran().values()),
-            "first piece, ms": spread([1000 * one for one in firsts]),
-            "plan writes, s": spread(waits),
-            "service back, s": spread(returned),
+            "first piece, ms": percentiles([1000 * one for one in firsts]),
+            "plan writes, s": percentiles(waits),
+            "service back, s": percentiles(returned),
             "workers": dict(sum((one.counts for one in self.world.workers()), collections.Counter())),
             "taken": self.growth(),
         }
 
     def growth(self) -> dict:
-        """What the processes of each role took early and late in the run: the median process's figures."""
+        """Resource use by role early and late in the run: the median process's figures."""
         found = {}
-        early, late = self.samples[len(self.samples) // 4 :][:3], self.samples[-3:]
+        early, late = self.resource_samples[len(self.resource_samples) // 4 :][:3], self.resource_samples[-3:]
         for role in ("edge", "storage", "core"):
             row = []
             for part in (early, late):
@@ -364,15 +403,15 @@
         return found
 
 
-def spread(row: list[float]) -> str:
-    """Median, 95 % and most of a sorted row."""
+def percentiles(row: list[float]) -> str:
+    """Median, 95th percentile and maximum of sorted values."""
     if not row:
         return "none"
     return f"{row[len(row) // 2]:.2f} / {row[int(len(row) * 0.95)]:.2f} / {row[-1]:.2f} of {len(row)}"
 
 
-def verdict(history: dict) -> list[str]:
-    """What must never happen and did, by the same judge as in simulation."""
+def violations_in(history: dict) -> list[str]:
+    """Violations in a history, by the same oracle as in simulation."""
     noted = tuple(caller.Noted(**one) for one in history["noted"])
     plain = oracle.History(
         noted,
@@ -404,8 +443,11 @@
     ]
 
 
-def place_of(folder: str, offset: int, keep: bool) -> local_cluster.LocalCluster:
-    """A yard in a folder, drained unless it is to be kept."""
+def prepare_cluster(folder: str, offset: int, keep: bool) -> local_cluster.LocalCluster:
+    """A cluster in a folder, which is emptied first unless ``keep``.
+
+    Turns off standard logging and makes SIGTERM an interrupt, for the whole process.
+    """
     logging.disable(logging.CRITICAL)
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     path = pathlib.Path(folder)
@@ -414,8 +456,8 @@
     return local_cluster.LocalCluster(path, offset)
 
 
-def mix_of(deployment: str) -> shape.Shape:
-    """A deployment by its name; another name ends the program."""
+def workload_of(deployment: str) -> shape.Shape:
+    """The workload of a deployment; an unknown name ends the program."""
     if deployment not in (shape.ARCHIVE, shape.TILLS):
         sys.exit("deployment: archive or tills")
     return shape.shape_of(deployment)
@@ -431,11 +473,11 @@
     """
 
     async def whole() -> None:
-        drive = Drive(place_of(folder, offset, keep), mix_of(deployment), random.Random(1))
+        drive = ClusterRun(prepare_cluster(folder, offset, keep), workload_of(deployment), random.Random(1))
         try:
             await drive.begin()
             print(
-                f"operators and callers: http://{drive.yard.http(0)}; settings and logs in {folder}/; "
+                f"operators and callers: http://{drive.cluster.http(0)}; settings and logs in {folder}/; "
                 "interrupt to stop",
                 flush=True,
             )
@@ -452,14 +494,14 @@
     deployment: str = "archive",
     seconds: float = 20,
     rate: float = 10,
-    faults: list[str] = (),
+    faults: collections.abc.Sequence[str] = (),
     every: float = 8,
     folder: str = "run",
     offset: int = 0,
     seed: int = 1,
     history: str = "",
 ) -> None:
-    """Start a local fleet, drive a deployment's mix and operators, cause faults, and judge what was seen.
+    """Start a local cluster, drive a deployment's mix and operators, cause faults, and judge what was seen.
 
     Exits with 1 when anything that must never happen was seen, and says what.
 
@@ -477,7 +519,7 @@
     kinds = FAULTS if "every" in faults else tuple(faults)
     if set(kinds) - set(FAULTS):
         sys.exit(f"faults: {', '.join(FAULTS)}, or every")
-    one = Drive(place_of(folder, offset, False), mix_of(deployment), random.Random(seed))
+    one = ClusterRun(prepare_cluster(folder, offset, False), workload_of(deployment), random.Random(seed))
 
     async def whole() -> None:
         try:
@@ -490,7 +532,7 @@
     asyncio.run(whole())
     path = pathlib.Path(history) if history else pathlib.Path(folder) / "history.json"
     path.write_text(json.dumps(one.history()))
-    wrong = verdict(one.history())
+    wrong = violations_in(one.history())
     print(json.dumps({**one.report(time.monotonic() - began), "wrong": wrong}, indent=1))
     if wrong:
         print(
@@ -507,7 +549,7 @@
 
     :param history: the file
     """
-    wrong = verdict(json.loads(pathlib.Path(history).read_text()))
+    wrong = violations_in(json.loads(pathlib.Path(history).read_text()))
     print("\n".join(wrong) or "nothing that must never happen")
     sys.exit(1 if wrong else 0)
 
--- a/aspencroft/cli/local_cluster_command_test.py
+++ b/aspencroft/cli/local_cluster_command_test.py
@@ -7,7 +7,7 @@
 from aspencroft.emulator import caller
 
 
-def test_the_verdict_reads_a_written_history_and_sees_a_dropped_answer():
+def test_the_check_reads_a_written_history_and_sees_a_dropped_answer():
     noted = caller.Noted("chat", "r1", "", "", 0, "", "unknown", -1, "", 0, 0, "h:1", 1.0, 3.0)
     history = {
         "noted": [dataclasses.asdict(noted)],
@@ -23,6 +23,9 @@
         "rolled": [],
         "runs": [],
     }
-    assert local_cluster_command.verdict(json.loads(json.dumps(history))) == []
-    assert len(local_cluster_command.verdict(json.loads(json.dumps({**history, "rolled": [(2.0, 4.0, "h:1")]})))) == 1
-    assert local_cluster_command.verdict({**history, "rolled": [(4.0, 5.0, "h:1")]}) == []
+    assert local_cluster_command.violations_in(json.loads(json.dumps(history))) == []
+    assert (
+        len(local_cluster_command.violations_in(json.loads(json.dumps({**history, "rolled": [(2.0, 4.0, "h:1")]}))))
+        == 1
+    )
+    assert local_cluster_command.violations_in({**history, "rolled": [(4.0, 5.0, "h:1")]}) == []
--- a/aspencroft/cli/process_signals.py
+++ b/aspencroft/cli/process_signals.py
@@ -4,13 +4,14 @@
 """
 
 import signal
+import types
 
 STOPS = (signal.SIGTERM, signal.SIGINT)
 RELOAD = signal.SIGHUP
 
 
 class ProcessSignals:
-    """What the platform asked of this process by signals, until somebody takes it up."""
+    """Signals received and not yet acted on."""
 
     def __init__(self) -> None:
         self.stop = False
@@ -21,7 +22,7 @@
         for number in (*STOPS, RELOAD):
             signal.signal(number, self.note)
 
-    def note(self, number: int, _frame) -> None:
+    def note(self, number: int, _frame: types.FrameType | None) -> None:
         """Note one signal; the handler that the interpreter calls."""
         if number == RELOAD:
             self.reload = True
--- a/aspencroft/simulation/register.py
+++ b/aspencroft/simulation/register.py
@@ -5,10 +5,11 @@
 import dataclasses
 import json
 import random
+import typing
 
 import httpx
 
-from aspencroft.simulation import simulated_cluster
+from aspencroft.emulator import shape, world
 
 ACKNOWLEDGED, REFUSED, UNSURE = "acknowledged", "refused", "unsure"
 HORIZON = 25.0
@@ -56,10 +57,26 @@
     return json.dumps(spec, sort_keys=True)
 
 
+class OperatedCluster(typing.Protocol):
+    """A simulated or a local cluster, as operators see it; ``loop`` gives the time of the history."""
+
+    mix: shape.Shape
+    world: world.World
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The loop whose clock times the history."""
+        ...
+
+    def names(self) -> list[str]:
+        """The HTTP addresses that operators may talk to."""
+        ...
+
+
 class Operators:
     """Several operators at once, each through any node, on the same few resources."""
 
-    def __init__(self, one: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient, chance: random.Random):
+    def __init__(self, one: OperatedCluster, client: httpx.AsyncClient, chance: random.Random):
         self.scene = one
         self.client = client
         self.chance = chance
@@ -277,7 +294,7 @@
     return found
 
 
-def swing_runs(one: simulated_cluster.SimulatedCluster) -> list[tuple[float, str]]:
+def swing_runs(one: OperatedCluster) -> list[tuple[float, str]]:
     """When workers ran which service for the swing lane."""
     return [
         (body["at"], body["service"])
