--- a/aspencroft/benchmarks/catchup.py
+++ b/aspencroft/benchmarks/catchup.py
@@ -179,7 +179,7 @@
     print(f"talk group replica, turns of {INPUT_BYTES} bytes: turns | {head}")
     for count in changes:
         commands = [command for number in range(count + 1) for command in turns(number)]
-        print(f"{count} | {member(lane_sessions.Talk, commands)}", flush=True)
+        print(f"{count} | {member(lane_sessions.SessionState, commands)}", flush=True)
     for size in (routes, large):
         print(f"relay, {size} routes: changes | messages | kB in all | largest kB | simulated s | processor ms")
         for count in changes if size == routes else [64, 65, 200]:
--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -21,7 +21,7 @@
 from aspencroft.proxy import instance, instances
 from aspencroft.residency import keep_plan, residency, tap
 from aspencroft.runtime import clock
-from aspencroft.sessions import entry, ledger, messages
+from aspencroft.sessions import call_sessions, entry, messages
 from aspencroft.storage import store
 from aspencroft.transport import codec
 from aspencroft.workers import adapter, list_reader, worker
@@ -240,9 +240,9 @@
     table("residency", seed, rows)
 
 
-def turned(programs: int, turns: int, size: int, chance: random.Random) -> ledger.Ledger:
+def turned(programs: int, turns: int, size: int, chance: random.Random) -> call_sessions.CallSessions:
     """A ledger of so many programs of so many turns each, with so many bytes a turn."""
-    held, now = ledger.Ledger(), clock.ZERO
+    held, now = call_sessions.CallSessions(), clock.ZERO
     for number in range(programs):
         previous = ""
         for turn in range(turns):
@@ -320,7 +320,7 @@
             )
             snapshot = timer("picture, ms", lambda: b"".join(held.snapshot_parts()))
             timer.note("picture, bytes a turn", len(snapshot) / count / row)
-            timer("restore, ms", lambda: ledger.Ledger().restore(snapshot, 0))
+            timer("restore, ms", lambda: call_sessions.CallSessions().restore(snapshot, 0))
             last = f"p0-t{row - 1}"
             asked = begun("p0", "p0-next", last)
             _, reply = timer("begin one more turn, ms", lambda: held.decide(asked, clock.ZERO))
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -109,7 +109,7 @@
                     around,
                     data / f"pair-{group_id}",
                     group_id,
-                    lane_sessions.Talk if group_id else control_state.ControlState,
+                    lane_sessions.SessionState if group_id else control_state.ControlState,
                 )
                 around_it = group_state.GroupPolicy(
                     functools.partial(self.holders, replica_set.sort_of(group_id)),
--- a/aspencroft/node/payload_limit.py
+++ b/aspencroft/node/payload_limit.py
@@ -1,6 +1,6 @@
 """How much of what callers send a group may hold, so that no machine's memory is exceeded when others are lost."""
 
-from aspencroft.sessions import ledger
+from aspencroft.sessions import call_sessions
 
 PROCESS_BYTES = 58_000_000
 """A storage process without any state, and room for what is under way."""
@@ -21,11 +21,11 @@
 def payload_limit(memory_limit: int, replicas: int) -> int:
     """Bytes of history and kept answers for one group where a process may take so much memory, 0 where none is known.
 
-    Never more than the ledger's own bound, which keeps starts and repairs short.
+    Never more than the bound that a group has anyway, which keeps starts and repairs short.
 
     Example: ``payload_limit(150_000_000, 5) == 8_761_904``
     """
     if not memory_limit:
-        return ledger.MOST_BYTES
+        return call_sessions.MAX_PAYLOAD_BYTES
     share = int((memory_limit - PROCESS_BYTES) / MEMORY_PER_PAYLOAD / replicas)
-    return min(ledger.MOST_BYTES, max(LEAST_BYTES, share))
+    return min(call_sessions.MAX_PAYLOAD_BYTES, max(LEAST_BYTES, share))
--- a/aspencroft/node/payload_limit_test.py
+++ b/aspencroft/node/payload_limit_test.py
@@ -3,7 +3,7 @@
 import itertools
 
 from aspencroft.node import payload_limit
-from aspencroft.sessions import ledger
+from aspencroft.sessions import call_sessions
 
 
 def test_replicas_that_a_disk_holds_once_the_losses_to_be_borne_have_happened():
@@ -21,6 +21,6 @@
 
 
 def test_without_a_known_limit_and_above_it_the_ledgers_own_bound_holds():
-    assert payload_limit.payload_limit(0, 5) == ledger.MOST_BYTES
-    assert payload_limit.payload_limit(64_000_000_000, 5) == ledger.MOST_BYTES
+    assert payload_limit.payload_limit(0, 5) == call_sessions.MAX_PAYLOAD_BYTES
+    assert payload_limit.payload_limit(64_000_000_000, 5) == call_sessions.MAX_PAYLOAD_BYTES
     assert payload_limit.payload_limit(60_000_000, 5) == payload_limit.LEAST_BYTES
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -562,7 +562,7 @@
         await response.close(True)
         answer = call.Answer(response.status, self.dialect.answer_headers(response.headers), body)
         if passage.claimed:
-            pairs = tuple(entry.Pair(name, value) for name, value in answer.headers)
+            pairs = tuple(entry.Header(name, value) for name, value in answer.headers)
             key = self.key_of(passage.call)
             self.endings.offer(
                 self.group_of(key),
--- a/aspencroft/replication/replica_memory_test.py
+++ b/aspencroft/replication/replica_memory_test.py
@@ -21,7 +21,7 @@
     disk = sim_disk.SimDisk(folder, random.Random(1))
     disk.delay = 0
     around = environment.Environment(None, disk, None, random.Random(2), None)
-    return replica.Replica(around, folder / "group", 1, lane_sessions.Talk)
+    return replica.Replica(around, folder / "group", 1, lane_sessions.SessionState)
 
 
 async def keep_turn(one: replica.Replica, number: int) -> None:
--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -52,7 +52,7 @@
 def made(folder: pathlib.Path, disk: Disk) -> replica.Replica:
     """A copy of talk group 1."""
     around = environment.Environment(None, disk, None, disk.chance, None)
-    return replica.Replica(around, folder, 1, lane_sessions.Talk)
+    return replica.Replica(around, folder, 1, lane_sessions.SessionState)
 
 
 async def take(one: replica.Replica, command, now: datetime.timedelta) -> None:
@@ -110,7 +110,7 @@
             for command in one.state_machine.due(now, lambda edge: False):
                 await take(one, command, now)
             await one.compact()
-            live = one.state_machine.ledger.bytes
+            live = one.state_machine.calls.payload_bytes()
             assert one.held == sum(len(each.body) + replica.OF_AN_ENTRY for each in one.entries)
             assert one.held < max(replica.COMPACT_BYTES, one.snapshot_size // 2) or live < replica.COMPACT_BYTES
             assert one.snapshot_size == one.snapshot.size() and one.meanwhile is None
@@ -146,7 +146,7 @@
         again = made(tmp_path / "a", disk)
         await again.open()
         for each in (one, again):
-            inputs = {id(kept.turn.input) for kept in each.state_machine.ledger.turns.values()}
+            inputs = {id(kept.turn.input) for kept in each.state_machine.calls.history.retained.values()}
             assert len(inputs) == 100 and inputs <= {id(piece) for piece in each.snapshot.pieces}
 
     run(scene())
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -31,7 +31,7 @@
 NOW, KEEP, WITHIN = clock.seconds(9), clock.seconds(60), clock.seconds(3)
 EPOCH = 3
 CONTROL_GROUP, TALK_GROUP = 0, 1
-VIEWS = {CONTROL_GROUP: control_state.ControlState, TALK_GROUP: lane_sessions.Talk}
+VIEWS = {CONTROL_GROUP: control_state.ControlState, TALK_GROUP: lane_sessions.SessionState}
 HOLDERS = (replica_set.ReplicaId("a:1", "identity a"), replica_set.ReplicaId("b:2", "identity b"))
 FIRST_VOTERS = replica_set.VoterSet(1, ("w:1", "w:2", "w:3"), ())
 NEXT_VOTERS = replica_set.VoterSet(2, ("w:1", "w:2", "w:3"), ("w:1", "w:4"))
@@ -86,7 +86,7 @@
     """Commands of a talk group: turns, keys and operations that are open, closed, and given up."""
     program, session = f"program {first}", f"session {first}"
     turns = (f"turn {first}", f"turn {first + 1}", f"turn {first + 2}")
-    headers = (entry.Pair(b"content-type", b"text/plain"),)
+    headers = (entry.Header(b"content-type", b"text/plain"),)
 
     def begun(turn: str, previous: str) -> entry.BeginTurn:
         return entry.BeginTurn(program, session, turn, previous, 10, 1000, True, KEEP, WITHIN, "edge", "", ())
--- a/aspencroft/sessions/ledger_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -1,4 +1,4 @@
-"""The ledger against a slow plain model over many seeds, and each of its rules by itself."""
+"""Sessions of opaque calls against a slow plain model over many seeds, and each of its rules by itself."""
 
 import dataclasses
 import datetime
@@ -10,7 +10,17 @@
 
 from aspencroft.errors import result
 from aspencroft.runtime import clock
-from aspencroft.sessions import entry, lane_sessions, ledger, messages
+from aspencroft.sessions import (
+    call_sessions,
+    entry,
+    lane_sessions,
+    messages,
+    operation_keys,
+    retention,
+    session_snapshot,
+    token_budget,
+    turn_history,
+)
 from aspencroft.transport import codec
 
 MINUTE, BEYOND = clock.seconds(60), clock.seconds(10)
@@ -40,11 +50,11 @@
 
 def close(attempt: str, outcome: str = messages.DONE, **changes) -> entry.CloseKey:
     """The end of the attempt under key k."""
-    given = entry.CloseKey("k", attempt, outcome, 200, (entry.Pair(b"Seal", b"1"),), b"body")
+    given = entry.CloseKey("k", attempt, outcome, 200, (entry.Header(b"Seal", b"1"),), b"body")
     return dataclasses.replace(given, **changes)
 
 
-def take(book: ledger.Ledger, command, now: datetime.timedelta):
+def take(book: call_sessions.CallSessions, command, now: datetime.timedelta):
     """Decide and fold a command; its reply."""
     events, reply = book.decide(command, now)
     for event in events:
@@ -52,14 +62,14 @@
     return codec.untagged(codec.tagged(reply))
 
 
-def refused(book: ledger.Ledger, command, now: datetime.timedelta) -> result.RequestError:
+def refused(book: call_sessions.CallSessions, command, now: datetime.timedelta) -> result.RequestError:
     """The refusal of a command."""
     with pytest.raises(result.RequestError) as caught:
         book.decide(command, now)
     return caught.value
 
 
-def due(book: ledger.Ledger, now: datetime.timedelta, gone=lambda edge: False) -> list:
+def due(book: call_sessions.CallSessions, now: datetime.timedelta, gone=lambda edge: False) -> list:
     """What the clock calls for; ticks of the group's own time among it are recorded and left out."""
     commands = book.due(now, gone)
     for command in commands:
@@ -68,30 +78,30 @@
     return [command for command in commands if not isinstance(command, entry.Tick)]
 
 
-def settle(book: ledger.Ledger, now: datetime.timedelta, gone=lambda edge: False) -> list:
+def settle(book: call_sessions.CallSessions, now: datetime.timedelta, gone=lambda edge: False) -> list:
     """Have the clock's commands decided until there are no more; what they were, but for ticks."""
     found = []
     for _ in range(2 * (book.size() + 10)):
-        book.next_round = clock.ZERO
+        book.scan.next_scan_at = clock.ZERO
         commands = due(book, now, gone)
         for command in commands:
             take(book, command, now)
         found.extend(commands)
-        if not commands and not book.looked:
+        if not commands and not book.scan.remaining:
             break
     return found
 
 
-def taken_over(book: ledger.Ledger) -> ledger.Ledger:
+def taken_over(book: call_sessions.CallSessions) -> call_sessions.CallSessions:
     """What a backup holds that becomes the primary."""
-    other = ledger.Ledger()
+    other = call_sessions.CallSessions()
     body = b"".join(book.snapshot_parts())
     assert other.restore(body, 0) == len(body)
     assert b"".join(other.snapshot_parts()) == body
-    assert (other.bytes, other.followers, set(other.at_work)) == (
-        book.bytes,
-        book.followers,
-        set(book.at_work),
+    assert (other.payload_bytes(), other.history.successors, set(other.keys.in_flight)) == (
+        book.payload_bytes(),
+        book.history.successors,
+        set(book.keys.in_flight),
     )
     return other
 
@@ -100,7 +110,7 @@
 
 
 class Plain:
-    """What the ledger should do, by scanning lists: one row an attempt, one a program, one a key."""
+    """What the state machine should do, by scanning lists: one row an attempt, one a program, one a key."""
 
     def __init__(self):
         self.rows: list[dict] = []
@@ -421,18 +431,18 @@
             chance.choice(["e1", "e2", "e3"]),
         )
     one = chance.choice(claimed[-8:])
-    return entry.CloseKey(one.key, one.attempt, outcome, 200, (entry.Pair(b"a", b"b"),), chance.randbytes(3))
+    return entry.CloseKey(one.key, one.attempt, outcome, 200, (entry.Header(b"a", b"b"),), chance.randbytes(3))
 
 
 @pytest.mark.parametrize("first", range(0, 120, 20))
-def test_ledger_agrees_with_a_plain_model(first):
+def test_call_sessions_agree_with_a_plain_model(first):
     """Duplicates, reordering, takeovers, branches, imports, an advancing clock: replies and what is forgotten agree."""
     seen = {"grants": 0, "refusals": 0, "imports": 0, "forgotten": 0, "takeovers": 0, "overdue": 0, "ticks": 0}
     for seed in range(first, first + 20):
         chance, book, follower, plain, now = (
             random.Random(seed),
-            ledger.Ledger(),
-            ledger.Ledger(),
+            call_sessions.CallSessions(),
+            call_sessions.CallSessions(),
             Plain(),
             START,
         )
@@ -492,18 +502,27 @@
                 assert answer == expected, (seed, step, command)
                 seen["grants" if not isinstance(answer, result.ResultCode) else "refusals"] += 1
                 seen["imports"] += bool(isinstance(answer, entry.TurnBegun) and getattr(command, "base", ()))
-            assert len(book.turns) == sum(row["state"] == "kept" for row in plain.rows)
+            assert len(book.history.retained) == sum(row["state"] == "kept" for row in plain.rows)
             for program in plain.programs:
-                known = book.accounts[program["name"]]
+                known = book.budgets.accounts[program["name"]]
                 assert (known.used, known.budget) == (program["used"], program["budget"])
         for _ in range(40):
             now += clock.seconds(50)
             for command in due(book, now, lambda edge: True):
                 answer = apply(command)
                 assert isinstance(command, entry.Forget) or answer == plain.expect(command, now)
-        assert book.size() == follower.size() == 0 and book.bytes == follower.bytes == 0
-        assert not book.followers and not book.at_work
-        assert not any((book.active, book.answered, book.begun, book.stopped, book.noted, book.freed_at))
+        assert book.size() == follower.size() == 0 and book.payload_bytes() == follower.payload_bytes() == 0
+        assert not book.history.successors and not book.keys.in_flight
+        assert not any(
+            (
+                book.budgets.last_active_at,
+                book.history.answered_at,
+                book.history.began_at,
+                book.history.finished_at,
+                book.keys.reserved_at,
+                book.keys.released_at,
+            )
+        )
     assert all(seen.values()), seen
 
 
@@ -512,7 +531,7 @@
 
 def test_concurrent_turns_over_many_edges_stay_under_the_budget_plus_one_turn():
     for seed in range(50):
-        chance, book, now = random.Random(seed), ledger.Ledger(), START
+        chance, book, now = random.Random(seed), call_sessions.CallSessions(), START
         given, running, most, budget = 0, {}, 10, 200
         for number in range(300):
             now += clock.seconds(0.05)
@@ -547,7 +566,7 @@
 
 
 def test_the_budget_said_first_stands_and_is_only_lowered():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, begin("a", budget=25), START)
     take(book, begin("b", budget=1000), START)
     take(book, begin("c", budget=0), START)
@@ -561,34 +580,34 @@
     take(book, begin("f"), START)
     take(book, begin("g"), START)
     assert refused(book, begin("h", budget=25), START).result is result.ResultCode.OUT_OF_BUDGET
-    assert book.accounts["p"].budget == 21
+    assert book.budgets.accounts["p"].budget == 21
 
 
 def test_without_a_budget_nothing_is_counted():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     for number in range(50):
         take(book, begin(f"t{number}", most=10**9), START)
         take(book, end(f"t{number}", used=10**9), START)
-    assert (book.accounts["p"].used, book.accounts["p"].reserved) == (0, 0)
+    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (0, 0)
     take(book, begin("counted", budget=10), START)
     assert refused(book, begin("more", budget=10), START).result is result.ResultCode.OUT_OF_BUDGET
 
 
 def test_a_broken_stream_is_charged_in_full_and_a_turn_not_run_not_at_all():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, begin("a", budget=100), START)
     take(book, end("a", messages.UNKNOWN, used=3), START)
-    assert book.accounts["p"].used == 10
+    assert book.budgets.accounts["p"].used == 10
     take(book, begin("b", budget=100), START)
     take(book, end("b", messages.NOT_RUN), START)
-    assert (book.accounts["p"].used, book.accounts["p"].reserved) == (10, 0)
+    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (10, 0)
     take(book, begin("c", budget=100), START)
     take(book, end("c", used=4), START)
-    assert (book.accounts["p"].used, book.accounts["p"].reserved) == (14, 0)
+    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (14, 0)
 
 
 def test_a_program_that_goes_on_asking_is_not_forgotten_with_its_budget():
-    book, now = ledger.Ledger(), START
+    book, now = call_sessions.CallSessions(), START
     take(book, begin("a", budget=10, retained=False), now)
     take(book, end("a", messages.UNKNOWN), now)
     for number in range(12):
@@ -596,36 +615,36 @@
         settle(book, now)
         assert refused(book, begin(f"b{number}", budget=10), now).result is result.ResultCode.OUT_OF_BUDGET
     settle(book, now + clock.seconds(69))
-    assert "p" in book.accounts
+    assert "p" in book.budgets.accounts
     settle(book, now + clock.seconds(71))
-    assert "p" not in book.accounts and book.size() == 0
+    assert "p" not in book.budgets.accounts and book.size() == 0
 
 
 def test_a_budget_outlives_takeovers_and_every_kept_turn_of_its_program():
-    book, now = ledger.Ledger(), START
+    book, now = call_sessions.CallSessions(), START
     take(book, begin("a", budget=100, keep=clock.seconds(300)), now)
     take(book, end("a"), now)
     for _ in range(4):
         now += clock.seconds(71)
         settle(book, now)
-        assert book.accounts["p"].used == 7
+        assert book.budgets.accounts["p"].used == 7
         book = taken_over(book)
-        assert book.accounts["p"].used == 7
+        assert book.budgets.accounts["p"].used == 7
     settle(book, now)
     settle(book, now + clock.seconds(309))
-    assert book.accounts["p"].used == 7 and "a" in book.turns
+    assert book.budgets.accounts["p"].used == 7 and "a" in book.history.retained
     settle(book, now + clock.seconds(311))
     assert book.size() == 0
 
 
 def test_a_budget_outlives_a_long_turn_and_another_program_that_goes_on_from_its_turns():
-    book, late = ledger.Ledger(), START + clock.seconds(200)
+    book, late = call_sessions.CallSessions(), START + clock.seconds(200)
     take(book, begin("a", budget=10), START)
     take(book, end("a"), START)
     take(book, begin("b", "a", program="q", within=clock.seconds(500)), START)
     take(book, begin("c", program="r", budget=10, within=clock.seconds(500)), START)
     settle(book, late)
-    assert {name: (one.used, one.reserved) for name, one in book.accounts.items()} == {
+    assert {name: (one.used, one.reserved) for name, one in book.budgets.accounts.items()} == {
         "p": (7, 0),
         "q": (0, 0),
         "r": (0, 10),
@@ -633,14 +652,14 @@
 
 
 def test_a_program_that_was_forgotten_before_a_late_end_counts_none_of_its_turns():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, begin("a"), START)
     take(book, end("a", messages.UNKNOWN), START)
     book.apply(entry.Forget(("p",), (), (), (), ()))
     take(book, end("a"), START)
     take(book, begin("b", "a"), START)
     take(book, end("b"), START)
-    assert book.accounts["p"].kept == 1
+    assert book.budgets.accounts["p"].retained == 1
     settle(book, START + clock.seconds(80))
     settle(book, START + clock.seconds(160))
     assert book.size() == 0
@@ -649,7 +668,7 @@
 # -- turns -------------------------------------------------------------------------------------------
 
 
-def line(book: ledger.Ledger, names: str, now: datetime.timedelta, **changes) -> None:
+def line(book: call_sessions.CallSessions, names: str, now: datetime.timedelta, **changes) -> None:
     """A chain of kept turns, one a letter."""
     for previous, attempt in itertools.pairwise(["", *names]):
         take(book, begin(attempt, previous, **changes), now)
@@ -657,7 +676,7 @@
 
 
 def test_a_turn_gets_the_whole_chain_or_what_is_behind_the_one_that_the_edge_holds():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     line(book, "abcd", START)
     take(book, begin("x", "b"), START)
     take(book, end("x", worker="i-7"), START)
@@ -680,13 +699,13 @@
 
 
 def test_the_same_start_gives_the_same_reply_and_reserves_once():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     line(book, "ab", START)
     first = take(book, begin("c", "b", budget=50), START)
     take(book, begin("other", budget=50, edge="e2"), START)
     take(book, end("other", worker="i-9"), START)
     assert take(book, begin("c", "b", budget=50), START) == first
-    assert book.accounts["p"].reserved == 10
+    assert book.budgets.accounts["p"].reserved == 10
     for change in (dict(previous="a"), dict(edge="e2"), dict(program="q"), dict(session="t")):
         assert (
             refused(book, begin("c", **{"previous": "b", **change}), START).result is result.ResultCode.TURN_UNDER_WAY
@@ -696,14 +715,14 @@
 @pytest.mark.parametrize("outcome", [messages.DONE, messages.NOT_RUN, messages.UNKNOWN])
 @pytest.mark.parametrize("retained", [True, False])
 def test_an_ended_attempt_never_begins_again(outcome, retained):
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, begin("a", retained=retained, keep=clock.seconds(5)), START)
     take(book, end("a", outcome), START)
     for late in (0, 9, 20, 59):
         now = START + clock.seconds(late)
         settle(book, now)
         refusal = refused(book, begin("a", retained=retained, keep=clock.seconds(5)), now)
-        assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, ledger.RAN[outcome])
+        assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, turn_history.RAN_BY_OUTCOME[outcome])
         assert refused(taken_over(book), begin("a"), now).result is result.ResultCode.STALE_TURN
     settle(book, START + clock.seconds(80))
     settle(book, START + clock.seconds(160))
@@ -711,7 +730,7 @@
 
 
 def test_a_turn_that_did_not_run_leaves_word_before_its_start_arrives():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     assert take(book, end("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
     assert take(book, end("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
     refusal = refused(book, begin("a"), START + clock.seconds(59))
@@ -725,9 +744,9 @@
 
 
 def test_words_about_attempts_that_did_not_run_are_bounded(monkeypatch):
-    monkeypatch.setattr(ledger, "MOST_TURNS", 5)
-    monkeypatch.setattr(ledger, "MOST_KEYS", 5)
-    book = ledger.Ledger()
+    monkeypatch.setattr(turn_history, "MAX_TURNS", 5)
+    monkeypatch.setattr(operation_keys, "MAX_KEYS", 5)
+    book = call_sessions.CallSessions()
     for number in range(5):
         take(book, end(f"t{number}", messages.NOT_RUN), START)
         take(book, close(f"t{number}", messages.NOT_RUN), START)
@@ -737,9 +756,9 @@
 
 
 def test_history_of_a_full_ledger_is_refused_not_dropped(monkeypatch):
-    monkeypatch.setattr(ledger, "MOST_BYTES", 1000)
-    monkeypatch.setattr(ledger, "MOST_PROGRAMS", 2)
-    book = ledger.Ledger()
+    monkeypatch.setattr(call_sessions, "MAX_PAYLOAD_BYTES", 1000)
+    monkeypatch.setattr(token_budget, "MAX_PROGRAMS", 2)
+    book = call_sessions.CallSessions()
     take(book, begin("a"), START)
     take(book, end("a", input=bytes(1000)), START)
     assert refused(book, begin("b", "a"), START).result is result.ResultCode.OVERLOADED
@@ -747,12 +766,12 @@
     assert take(book, begin("b", "a", retained=False), START).complete
     take(book, begin("q", program="q", retained=False), START)
     assert refused(book, begin("r", program="r", retained=False), START).result is result.ResultCode.OVERLOADED
-    monkeypatch.setattr(ledger, "LARGEST_CHAIN", 999)
+    monkeypatch.setattr(turn_history, "MAX_CHAIN_BYTES", 999)
     assert refused(book, begin("d", "a", retained=False), START).result is result.ResultCode.TOO_LARGE
 
 
 def test_a_turn_answered_less_than_its_keep_time_ago_is_there_also_after_takeovers():
-    book, now = ledger.Ledger(), START
+    book, now = call_sessions.CallSessions(), START
     line(book, "ab", now)
     settle(book, now + KEEP - clock.seconds(0.1))
     assert take(book, entry.FindTurn("b"), now).found
@@ -764,20 +783,20 @@
 
 
 def test_a_chain_is_kept_as_long_as_a_turn_that_goes_on_from_it_is_kept_or_under_way():
-    book, now = ledger.Ledger(), START
+    book, now = call_sessions.CallSessions(), START
     line(book, "abc", now)
     take(book, begin("d", "b", within=clock.seconds(500)), now)
     settle(book, now + clock.seconds(200))
-    assert set(book.turns) == {"a", "b"}
+    assert set(book.history.retained) == {"a", "b"}
     take(book, end("d"), now + clock.seconds(200))
     settle(book, now + clock.seconds(265))
-    assert set(book.turns) == {"a", "b", "d"}
+    assert set(book.history.retained) == {"a", "b", "d"}
     settle(book, now + clock.seconds(271))
-    assert not book.turns and book.bytes == 0 and not book.followers
+    assert not book.history.retained and book.payload_bytes() == 0 and not book.history.successors
 
 
 def test_a_whole_chain_goes_at_once_when_its_youngest_turn_goes():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     line(book, "abcdefghijkl", START)
     commands = book.due(START + clock.seconds(71), lambda edge: False)
     assert commands[-1].turns == tuple("lkjihgfedcba")
@@ -787,7 +806,7 @@
 
 
 def test_a_turn_whose_end_is_not_known_is_not_called_unknown():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, begin("a"), START)
     for command in (begin("b", "a"), entry.FindTurn("a")):
         refusal = refused(book, command, START)
@@ -808,7 +827,7 @@
 
 
 def test_a_chain_of_another_group_is_kept_here_too():
-    there, here = ledger.Ledger(), ledger.Ledger()
+    there, here = call_sessions.CallSessions(), call_sessions.CallSessions()
     line(there, "abc", START)
     base = take(there, entry.FindTurn("c"), START).chain
     assert refused(here, begin("d", "c"), START).result is result.ResultCode.UNKNOWN_TURN
@@ -833,39 +852,39 @@
     events, _ = here.decide(begin("h", "g", base=base), START)
     assert [one.attempt for one in events[0].base] == ["g"]
     reply = take(here, begin("h", "g", base=base), START)
-    assert [one.attempt for one in reply.chain] == ["a", "b", "g"] and len(here.turns) == 5
+    assert [one.attempt for one in reply.chain] == ["a", "b", "g"] and len(here.history.retained) == 5
     for attempt in "efh":
         take(here, end(attempt, messages.NOT_RUN), START)
     settle(here, START + clock.seconds(75))
     settle(here, START + clock.seconds(150))
-    assert here.size() == 0 and here.bytes == 0
+    assert here.size() == 0 and here.payload_bytes() == 0
 
 
 def test_turns_of_a_lost_edge_or_over_their_time_are_charged_and_a_late_end_puts_it_right():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     line(book, "a", START)
     for attempt, edge in (("b", "lost 1"), ("c", "e"), ("d", "lost 1")):
         take(book, begin(attempt, "a", budget=100, edge=edge), START)
     assert [one.attempt for one in settle(book, START, lambda edge: edge == "lost 1")] == ["b", "d"]
-    assert (book.accounts["p"].used, book.accounts["p"].reserved) == (20, 10)
+    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (20, 10)
     assert not settle(book, START + WITHIN + BEYOND)
     assert [one.attempt for one in settle(book, START + WITHIN + BEYOND + clock.seconds(0.1))] == ["c"]
-    assert (book.accounts["p"].used, book.accounts["p"].reserved) == (30, 0)
+    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (30, 0)
     for _ in range(2):
         assert take(book, end("b", used=4), START) == messages.Closed(messages.DONE)
         assert take(book, end("b", messages.UNKNOWN), START) == messages.Closed(messages.DONE)
         assert take(book, end("d", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
-    assert (book.accounts["p"].used, book.accounts["p"].reserved) == (14, 0)
+    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (14, 0)
     assert [one.attempt for one in take(book, begin("f", "b"), START).chain] == ["a", "b"]
 
 
 def test_a_late_end_whose_chain_is_gone_is_refused():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     line(book, "a", START, keep=clock.seconds(1))
     take(book, begin("b", "a", keep=clock.seconds(1)), START)
     settle(book, START + clock.seconds(14))
     settle(book, START + clock.seconds(15))
-    assert "a" not in book.turns and book.ended["b"].outcome == messages.UNKNOWN
+    assert "a" not in book.history.retained and book.history.finished["b"].outcome == messages.UNKNOWN
     refusal = refused(book, end("b"), START + clock.seconds(15))
     assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, result.Ran.UNKNOWN)
 
@@ -875,7 +894,7 @@
 
 def test_a_key_runs_once_at_many_edges_through_losses_and_takeovers():
     for seed in range(60):
-        chance, book, now, runs = random.Random(seed), ledger.Ledger(), START, []
+        chance, book, now, runs = random.Random(seed), call_sessions.CallSessions(), START, []
         for number in range(60):
             now += clock.seconds(chance.choice([0, 0.2, 1]))
             command = claim(f"a{number % 20}", edge=f"e{number % 20 % 5}", digest=chance.randbytes(2))
@@ -902,7 +921,7 @@
 
 def test_a_key_is_held_its_window_beyond_the_last_moment_in_which_its_work_could_run():
     for outcome in (messages.DONE, messages.UNKNOWN, ""):
-        book, now = ledger.Ledger(), START
+        book, now = call_sessions.CallSessions(), START
         assert take(book, claim("a"), now).mine
         if outcome:
             take(book, close("a", outcome), now + WITHIN)
@@ -917,7 +936,7 @@
 
 
 def test_an_answer_that_comes_late_is_held_a_window_from_then_on():
-    book, now = ledger.Ledger(), START
+    book, now = call_sessions.CallSessions(), START
     take(book, claim("a"), now)
     settle(book, now + clock.seconds(14))
     assert take(book, claim("b"), now).outcome == messages.UNKNOWN
@@ -929,28 +948,28 @@
         False,
         messages.DONE,
         200,
-        (entry.Pair(b"Seal", b"1"),),
+        (entry.Header(b"Seal", b"1"),),
         b"body",
     )
     settle(book, now + clock.seconds(60) + MINUTE + BEYOND + clock.seconds(1))
-    assert book.size() == 0 and book.bytes == 0
+    assert book.size() == 0 and book.payload_bytes() == 0
 
 
 def test_a_key_is_not_forgotten_before_it_is_closed():
-    book, late = ledger.Ledger(), START + clock.seconds(500)
-    for number in range(2 * ledger.MOST_DUE):
+    book, late = call_sessions.CallSessions(), START + clock.seconds(500)
+    for number in range(2 * retention.DUE_LIMIT):
         take(book, begin(f"t{number}", retained=False), START)
     take(book, claim("a"), START)
     for _ in range(4):
         for command in due(book, late):
             take(book, command, late)
-    assert not book.under_way and list(book.keys) == ["k"] and not book.at_work
+    assert not book.history.in_flight and list(book.keys.records) == ["k"] and not book.keys.in_flight
     settle(book, late + clock.seconds(80))
     assert book.size() == 0
 
 
 def test_a_key_of_a_lost_edge_is_unknown_at_once():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, claim("a", edge="lost 1"), START)
     assert take(book, claim("b"), START).outcome == ""
     settle(book, START, lambda edge: edge == "lost 1")
@@ -959,7 +978,7 @@
 
 
 def test_a_key_not_run_is_free_at_once_but_not_for_the_same_attempt():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, claim("a"), START)
     assert take(book, close("b", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
     assert take(book, claim("a"), START).mine
@@ -973,14 +992,14 @@
     assert take(book, close("a"), START) == messages.Closed("")
     assert take(book, claim("c"), START).mine
     settle(book, START + clock.seconds(71))
-    assert not book.freed
+    assert not book.keys.released
 
 
 def test_an_answer_too_large_to_keep_is_told_as_such():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     for key, body, outcome in (
-        ("k", bytes(ledger.LARGEST_ANSWER - 5), messages.DONE),
-        ("l", bytes(ledger.LARGEST_ANSWER), entry.NOT_KEPT),
+        ("k", bytes(operation_keys.MAX_ANSWER_BYTES - 5), messages.DONE),
+        ("l", bytes(operation_keys.MAX_ANSWER_BYTES), entry.NOT_KEPT),
     ):
         take(book, claim("a", key=key), START)
         for _ in range(2):
@@ -997,40 +1016,44 @@
 
 
 def test_the_looks_at_a_large_ledger_are_bounded_and_reach_everything():
-    book, now, many = ledger.Ledger(), START, 3 * ledger.LOOKS
+    book, now, many = call_sessions.CallSessions(), START, 3 * retention.SCAN_LIMIT
     for number in range(many):
         book.apply(entry.KeyClaimed(f"k{number}", f"a{number}", WITHIN, MINUTE, "e"))
         book.apply(entry.KeyClosed(f"k{number}", f"a{number}", messages.DONE, 200, (), b""))
-    for number in range(2 * ledger.MOST_DUE):
+    for number in range(2 * retention.DUE_LIMIT):
         book.apply(entry.KeyClaimed(f"o{number}", f"o{number}", WITHIN, MINUTE, "lost"))
-    assert len(book.due(now, lambda edge: edge == "lost")) == ledger.MOST_DUE
-    assert len(book.noted) <= ledger.LOOKS + 2 * ledger.MOST_DUE
+    assert len(book.due(now, lambda edge: edge == "lost")) == retention.DUE_LIMIT
+    assert len(book.keys.reserved_at) <= retention.SCAN_LIMIT + 2 * retention.DUE_LIMIT
     for _ in range(9):
         assert book.due(now, lambda edge: False) == ()
-    assert len(book.noted) == book.size()
+    assert len(book.keys.reserved_at) == book.size()
     late, calls = now + clock.seconds(300), 0
     while book.size() and calls < 1000:
         late += clock.seconds(0.4)
         for command in due(book, late):
             if isinstance(command, entry.Forget):
-                assert len(command.keys) <= 2 * ledger.MOST_DUE
+                assert len(command.keys) <= 2 * retention.DUE_LIMIT
             take(book, command, late)
         calls += 1
     assert book.size() == 0
-    assert calls < 2 * many // ledger.MOST_DUE + 100
+    assert calls < 2 * many // retention.DUE_LIMIT + 100
 
 
 def test_a_round_of_looks_starts_some_seconds_after_the_one_before():
-    book, now = ledger.Ledger(), START
+    book, now = call_sessions.CallSessions(), START
     for attempt, wait in (("a", 0), ("b", 0.5), ("c", 1), ("d", 1.5)):
         book.apply(entry.TurnEnded(attempt, messages.NOT_RUN, b"", b"", 0, ""))
-        assert book.due(now + ledger.ROUND * wait, lambda edge: False) == ()
-    assert book.stopped == {"a": now, "b": now + ledger.ROUND, "c": now + ledger.ROUND}
+        assert book.due(now + retention.SCAN_INTERVAL * wait, lambda edge: False) == ()
+    assert book.history.finished_at == {
+        "a": now,
+        "b": now + retention.SCAN_INTERVAL,
+        "c": now + retention.SCAN_INTERVAL,
+    }
 
 
 def test_a_picture_shares_its_history_and_shows_one_moment():
-    view = lane_sessions.Talk()
-    book = view.ledger
+    view = lane_sessions.SessionState()
+    book = view.calls
     for number in range(20):
         take(book, begin(f"t{number}", f"t{number - 1}" if number else ""), START)
         take(book, end(f"t{number}", input=INPUT), START)
@@ -1038,50 +1061,50 @@
     take(book, begin("later"), START)
     pieces = list(parts)
     assert b"".join(pieces) == before and all(pieces)
-    assert max(map(len, pieces)) <= ledger.GATHERED + len(INPUT)
-    assert all(any(piece is kept.turn.input for piece in pieces) for kept in book.turns.values())
-    again = lane_sessions.Talk()
+    assert max(map(len, pieces)) <= session_snapshot.CHUNK_BYTES + len(INPUT)
+    assert all(any(piece is kept.turn.input for piece in pieces) for kept in book.history.retained.values())
+    again = lane_sessions.SessionState()
     again.restore(before)
     assert again.snapshot() == before and again.size() == view.size() - 1
 
 
 def test_a_picture_from_before_there_was_a_ledger_is_read_and_a_cut_one_refused():
-    view = lane_sessions.Talk()
+    view = lane_sessions.SessionState()
     view.restore(codec.pack(messages.TalkPicture((), ())))
     assert view.size() == 0
-    take(view.ledger, begin("a"), START)
+    take(view.calls, begin("a"), START)
     body = view.snapshot()
     before_ages = len(body) - len(codec.pack(entry.TurnAges(clock.ZERO, ())))
     for end_at in range(9, len(body)):
         if end_at != before_ages:
             with pytest.raises(codec.Broken):
-                lane_sessions.Talk().restore(body[:end_at])
+                lane_sessions.SessionState().restore(body[:end_at])
 
 
 def test_a_picture_from_before_turns_had_ages_is_read_and_its_turns_count_as_new():
-    view = lane_sessions.Talk()
-    take(view.ledger, begin("a"), START)
-    take(view.ledger, end("a"), START)
-    ages = entry.TurnAges(view.ledger.time, tuple(view.ledger.ended_at.values()))
+    view = lane_sessions.SessionState()
+    take(view.calls, begin("a"), START)
+    take(view.calls, end("a"), START)
+    ages = entry.TurnAges(view.calls.group_clock.time, tuple(view.calls.history.ended_at.values()))
     former = view.snapshot().removesuffix(codec.pack(ages))
-    again = lane_sessions.Talk()
+    again = lane_sessions.SessionState()
     again.restore(former)
-    assert again.ledger.turns == view.ledger.turns
-    assert again.ledger.age("a") == clock.ZERO
+    assert again.calls.history.retained == view.calls.history.retained
+    assert again.calls.history.age("a") == clock.ZERO
     assert len(again.snapshot()) == len(view.snapshot())
 
 
-def handed_over(book: ledger.Ledger) -> ledger.Ledger:
+def handed_over(book: call_sessions.CallSessions) -> call_sessions.CallSessions:
     """What the next primary holds: the snapshot of the one before, as it comes from a disk or another member."""
-    view = lane_sessions.Talk()
-    view.ledger = book
-    other = lane_sessions.Talk()
+    view = lane_sessions.SessionState()
+    view.calls = book
+    other = lane_sessions.SessionState()
     other.restore(view.snapshot())
-    return other.ledger
+    return other.calls
 
 
 def test_takeovers_do_not_make_history_begin_its_keep_time_anew():
-    book, now = ledger.Ledger(), START
+    book, now = call_sessions.CallSessions(), START
     take(book, begin("a"), now)
     take(book, end("a"), now)
     for _ in range(4):
@@ -1089,12 +1112,12 @@
             now += clock.seconds(0.1)
             settle(book, now)
         book = handed_over(book)
-    assert "a" not in book.turns, "kept for 80 s, of which it is to be kept for 70"
+    assert "a" not in book.history.retained, "kept for 80 s, of which it is to be kept for 70"
 
 
 def test_no_turn_is_forgotten_early_however_often_the_primary_changes_or_its_clock_is_late():
     for seed in range(40):
-        chance, book, now, ended = random.Random(seed), ledger.Ledger(), START, {}
+        chance, book, now, ended = random.Random(seed), call_sessions.CallSessions(), START, {}
         for number in range(60):
             name = f"t{number}"
             take(book, begin(name), now)
@@ -1104,26 +1127,26 @@
             if chance.random() < 0.8:
                 settle(book, now)
             for other, then in ended.items():
-                assert other in book.turns or now - then > KEEP, (seed, other)
+                assert other in book.history.retained or now - then > KEEP, (seed, other)
             if chance.random() < 0.3:
                 book = handed_over(book)
 
 
 def test_a_tick_said_twice_or_too_early_counts_once():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, begin("a"), START)
     take(book, end("a"), START)
     assert book.due(START, lambda edge: False) == ()
-    late = START + ledger.TICK * 3
+    late = START + retention.TICK_SPAN * 3
     for _ in range(3):
-        take(book, entry.Tick(ledger.TICK), late)
-    assert book.time == ledger.TICK
-    take(book, entry.Tick(ledger.TICK), late + ledger.TICK / 2)
-    assert book.time == ledger.TICK
+        take(book, entry.Tick(retention.TICK_SPAN), late)
+    assert book.group_clock.time == retention.TICK_SPAN
+    take(book, entry.Tick(retention.TICK_SPAN), late + retention.TICK_SPAN / 2)
+    assert book.group_clock.time == retention.TICK_SPAN
 
 
 def test_no_tick_is_written_while_no_turn_is_kept():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, claim("a"), START)
     for second in range(20):
         assert not any(
@@ -1132,23 +1155,23 @@
 
 
 def test_near_its_bound_a_group_begins_no_chain_and_goes_on_with_those_begun():
-    book = ledger.Ledger()
+    book = call_sessions.CallSessions()
     take(book, begin("a"), START)
     take(book, end("a", input=bytes(9_500)), START)
-    lane = lane_sessions.Talk()
-    lane.ledger = book
+    lane = lane_sessions.SessionState()
+    lane.calls = book
     lane.limit_payload(10_000)
     assert refused(book, begin("b"), START).result is result.ResultCode.OVERLOADED
     take(book, begin("c", previous="a"), START)
     take(book, end("c", input=bytes(600)), START)
     assert refused(book, begin("d", previous="c"), START).result is result.ResultCode.OVERLOADED
-    assert handed_over(book).most_bytes == ledger.MOST_BYTES
-    lane.limit_payload(ledger.MOST_BYTES)
+    assert handed_over(book).max_payload_bytes == call_sessions.MAX_PAYLOAD_BYTES
+    lane.limit_payload(call_sessions.MAX_PAYLOAD_BYTES)
     take(book, begin("b"), START)
 
 
 def test_forgotten_history_frees_its_memory():
-    book, now, turns = ledger.Ledger(), START, 600
+    book, now, turns = call_sessions.CallSessions(), START, 600
 
     def fill(start: int) -> None:
         for number in range(start, start + turns):
@@ -1175,7 +1198,7 @@
 
 
 def test_a_talk_group_hands_the_ledger_its_commands_events_and_clocks():
-    view = lane_sessions.Talk()
+    view = lane_sessions.SessionState()
     for command in (begin("a", edge="lost"), claim("c")):
         events, _ = view.decide(command, START, 1)
         for event in events:
@@ -1183,4 +1206,4 @@
     assert view.size() == 3
     assert [type(one) for one in view.due(START, lambda edge: edge == "lost")] == [entry.EndTurn]
     view.reset_clocks()
-    assert not view.ledger.begun and not view.ledger.noted
+    assert not view.calls.history.began_at and not view.calls.keys.reserved_at
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -3,6 +3,7 @@
 import dataclasses
 import datetime
 
+from aspencroft.sessions import messages
 from aspencroft.transport import codec
 
 NOT_KEPT = "not kept"
@@ -20,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Pair:
+class Header:
     """A header of a kept answer."""
 
     name: bytes
@@ -128,7 +129,7 @@
     mine: bool
     outcome: str
     status: int
-    headers: tuple[Pair, ...]
+    headers: tuple[Header, ...]
     body: bytes
 
 
@@ -141,7 +142,7 @@
     attempt: str
     outcome: str
     status: int
-    headers: tuple[Pair, ...]
+    headers: tuple[Header, ...]
     body: bytes
 
 
@@ -207,7 +208,7 @@
     attempt: str
     outcome: str
     status: int
-    headers: tuple[Pair, ...]
+    headers: tuple[Header, ...]
     body: bytes
 
 
@@ -246,13 +247,13 @@
     used: int
     reserved: int
     keep: datetime.timedelta
-    under_way: int
-    kept: int
+    in_flight: int
+    retained: int
     worker: str
 
 
 @dataclasses.dataclass(frozen=True)
-class Kept:
+class RetainedTurn:
     """A kept turn; ``size`` are the bytes of its whole chain."""
 
     turn: Turn
@@ -262,7 +263,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class FinishedAttempt:
     """An attempt that may not begin any more; what it was charged is put right should its outcome become known."""
 
     attempt: str
@@ -286,7 +287,7 @@
     edge: str
     outcome: str
     status: int
-    headers: tuple[Pair, ...]
+    headers: tuple[Header, ...]
     body: bytes
 
 
@@ -295,16 +296,23 @@
     """All that a ledger holds."""
 
     accounts: tuple[Account, ...]
-    turns: tuple[Kept, ...]
-    under_way: tuple[TurnBegan, ...]
-    ended: tuple[Ended, ...]
+    turns: tuple[RetainedTurn, ...]
+    in_flight: tuple[TurnBegan, ...]
+    finished: tuple[FinishedAttempt, ...]
     keys: tuple[Key, ...]
-    freed: tuple[str, ...]
+    released: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class TurnAges:
-    """The group's own time, and when by it each kept turn ended, in the order of the turns; behind a LedgerPicture."""
+    """The group's own time, and when by it each kept turn ended, in the order of the turns; behind a LedgerSnapshot."""
 
     time: datetime.timedelta
     ended: tuple[datetime.timedelta, ...]
+
+
+Command = BeginTurn | EndTurn | FindTurn | ClaimKey | CloseKey | Forget | Tick
+Event = TurnBegan | TurnEnded | KeyClaimed | KeyClosed | Forget | Tick
+Reply = TurnBegun | TurnFound | KeyHeld | messages.Closed
+Decision = tuple[tuple[Event, ...], Reply]
+"""The events of a command, to be recorded before its reply goes out."""
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -8,7 +8,7 @@
 
 from aspencroft.errors import result
 from aspencroft.runtime import clock
-from aspencroft.sessions import ledger, messages
+from aspencroft.sessions import call_sessions, messages
 from aspencroft.transport import codec
 
 MINUTE = clock.seconds(60)
@@ -20,7 +20,7 @@
 MOST_OPERATIONS = 400_000
 
 
-class Talk:
+class SessionState:
     """Programs and operation keys, folded from events.
 
     Times count from when this primary first saw a thing, so a takeover never shortens them.
@@ -34,12 +34,12 @@
         self.noted: dict[str, datetime.timedelta] = {}
         self.going: dict[str, str] = {}
         self.looked: collections.abc.Iterator[tuple[str, str]] = iter(())
-        self.ledger = ledger.Ledger()
+        self.calls = call_sessions.CallSessions()
 
     def decide(self, command, now: datetime.timedelta, epoch: int) -> tuple[tuple, object]:
         """Events and reply for a command, or a Refusal."""
-        if type(command) in ledger.COMMANDS:
-            return self.ledger.decide(command, now)
+        if type(command) in call_sessions.COMMANDS:
+            return self.calls.decide(command, now)
         if isinstance(command, messages.OpenTurn):
             return self.open_turn(command, now)
         if isinstance(command, messages.CloseTurn):
@@ -155,8 +155,8 @@
 
     def apply(self, event) -> None:
         """Take an event in."""
-        if type(event) in ledger.EVENTS:
-            self.ledger.apply(event)
+        if type(event) in call_sessions.EVENTS:
+            self.calls.apply(event)
         elif isinstance(event, messages.TurnOpened):
             known = self.programs.get(event.program) or messages.Program(
                 event.program, event.lane, event.budget, 0, event.keep, (), ()
@@ -215,12 +215,12 @@
                 found.append(messages.ForgetOperation(name))
             if len(found) >= MOST_DUE:
                 break
-        return (*found, *self.ledger.due(now, gone))
+        return (*found, *self.calls.due(now, gone))
 
     def reset_clocks(self) -> None:
         """This node is the primary no more: what it saw when counts for nothing if it is one again."""
         self.touched, self.opened, self.noted, self.looked = {}, {}, {}, iter(())
-        self.ledger.reset_clocks()
+        self.calls.reset_clocks()
 
     def snapshot(self) -> bytes:
         """All of it as bytes."""
@@ -229,36 +229,36 @@
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
         """The snapshot of this moment in bounded parts; what changes meanwhile is not in it."""
         held = (list(self.programs.values()), list(self.operations.values()))
-        ledger_parts = self.ledger.snapshot_parts()
+        call_parts = self.calls.snapshot_parts()
 
         def parts() -> collections.abc.Iterator[bytes]:
             for row in held:
                 yield codec.LENGTH.pack(len(row))
                 for place in range(0, len(row), SLICE):
                     yield b"".join(codec.pack(one) for one in row[place : place + SLICE])
-            yield from ledger_parts
+            yield from call_parts
 
         return parts()
 
     def size(self) -> int:
-        """How much a snapshot holds, in programs, keys and entries of the ledger."""
-        return len(self.programs) + len(self.operations) + self.ledger.size()
+        """How much a snapshot holds, in programs, keys and entries of calls."""
+        return len(self.programs) + len(self.operations) + self.calls.size()
 
     def payload_bytes(self) -> int:
-        """Bytes of history and kept answers that the ledger holds.
+        """Bytes of history and kept answers that are held.
 
-        Example: ``Talk().payload_bytes() == 0``
+        Example: ``SessionState().payload_bytes() == 0``
         """
-        return self.ledger.bytes
+        return self.calls.payload_bytes()
 
     def limit_payload(self, most: int) -> None:
         """Bound the history and kept answers, in bytes; what is held already stays."""
-        self.ledger.most_bytes = most
+        self.calls.max_payload_bytes = most
 
     def restore(self, body: bytes) -> None:
-        """Become what a snapshot shows; one from before there was a ledger ends behind the operations."""
+        """Become what a snapshot shows; one from before there were opaque calls ends behind the operations."""
         shown, place = codec.unpack_from(messages.TalkPicture, body, 0)
-        if place < len(body) and self.ledger.restore(body, place) != len(body):
+        if place < len(body) and self.calls.restore(body, place) != len(body):
             raise codec.Broken("bytes are left over")
         self.programs = {one.name: one for one in shown.programs}
         self.operations = {one.key: one for one in shown.operations}
--- a/aspencroft/sessions/lane_sessions_test.py
+++ b/aspencroft/sessions/lane_sessions_test.py
@@ -13,7 +13,7 @@
 
 def test_budget_and_history_agree_with_a_plain_model():
     for seed in range(200):
-        chance, talk, now = random.Random(seed), talk_module.Talk(), clock.ZERO
+        chance, talk, now = random.Random(seed), talk_module.SessionState(), clock.ZERO
         plain = collections.defaultdict(list)
         put_out, under_way = 0, {}
         for step in range(60):
@@ -46,7 +46,7 @@
             for event in events:
                 talk.apply(event)
             if chance.random() < 0.2:
-                again = talk_module.Talk()
+                again = talk_module.SessionState()
                 again.restore(talk.snapshot())
                 assert again.snapshot() == talk.snapshot()
         assert put_out <= 60 + 10
@@ -54,7 +54,7 @@
 
 
 def test_a_key_runs_once_and_is_free_only_after_a_minute_beyond():
-    talk, now = talk_module.Talk(), clock.ZERO
+    talk, now = talk_module.SessionState(), clock.ZERO
     claim = messages.ClaimOperation("key", "void", "go 1", b"d", clock.seconds(5), clock.ZERO)
     events, reply = talk.decide(claim, now, 1)
     talk.apply(events[0])
@@ -66,7 +66,7 @@
         raise AssertionError("another request took the key's answer")
     except result.RequestError as refusal:
         assert refusal.result is result.ResultCode.OPERATION_MISMATCH
-    later = talk_module.Talk()
+    later = talk_module.SessionState()
     later.restore(talk.snapshot())
     for span in (0, 1, 2, 60, 61):
         assert later.due(now + clock.seconds(1000 + span), bool) == ()
@@ -75,7 +75,7 @@
 
 
 def test_the_looks_at_a_large_pair_are_bounded_and_reach_everything():
-    talk, now = talk_module.Talk(), clock.seconds(5)
+    talk, now = talk_module.SessionState(), clock.seconds(5)
     for number in range(3 * talk_module.LOOKS):
         talk.apply(messages.OperationClaimed(f"k{number}", "void", "go", b"", clock.seconds(1), clock.ZERO))
     talk.apply(messages.TurnOpened("p", "", 0, "chat", "go", 1, 9, clock.ZERO, clock.seconds(1), "edge"))
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -6,6 +6,7 @@
 from aspencroft.transport import codec
 
 DONE, NOT_RUN, UNKNOWN = "done", "not run", "unknown"
+OUTCOMES = (DONE, NOT_RUN, UNKNOWN)
 
 
 @codec.kind(100)
--- /dev/null
+++ b/aspencroft/sessions/token_budget.py
@@ -0,0 +1,140 @@
+"""Token budgets of programs: what is used and reserved, and which program may be forgotten."""
+
+import collections.abc
+import dataclasses
+import datetime
+
+from aspencroft.errors import result
+from aspencroft.sessions import entry, retention
+
+MAX_PROGRAMS = 100_000
+
+
+class TokenBudgets:
+    """An account for each program. A turn begins only while ``used + reserved < budget``."""
+
+    def __init__(self, accounts: collections.abc.Iterable[entry.Account] = ()):
+        self.accounts: dict[str, entry.Account] = {account.program: account for account in accounts}
+        self.reset_clocks()
+
+    def reset_clocks(self) -> None:
+        """Forget when this primary saw each program active."""
+        self.last_active_at: dict[str, datetime.timedelta] = {}
+
+    def note_activity(self, program: str, now: datetime.timedelta) -> None:
+        """A turn of a program began or ended; calls without a program have no account."""
+        if program:
+            self.last_active_at[program] = now
+
+    def is_full_for(self, program: str) -> bool:
+        """Whether a program is new and there is no place for one more."""
+        return bool(program) and program not in self.accounts and len(self.accounts) >= MAX_PROGRAMS
+
+    def last_worker(self, program: str) -> str:
+        """The worker that last ran a turn of the program; empty when none is known."""
+        account = self.accounts.get(program)
+        return "" if account is None else account.worker
+
+    def budget_in_force(self, command: entry.BeginTurn, now: datetime.timedelta) -> int:
+        """The budget in tokens that a turn begins under, zero when none was given.
+
+        The first one given stands and is only lowered. A rejection counts as the program's activity: the account of
+        one that goes on asking is not forgotten, and its budget with it.
+
+        :raises result.RequestError: OUT_OF_BUDGET when it is used up or reserved
+        """
+        account = self.accounts.get(command.program)
+        if account is None:
+            return command.budget if command.program else 0
+        budget = (
+            min(account.budget, command.budget)
+            if account.budget and command.budget
+            else (account.budget or command.budget)
+        )
+        if budget and account.used + account.reserved >= budget:
+            self.last_active_at[command.program] = now
+            raise result.RequestError(
+                result.ResultCode.OUT_OF_BUDGET,
+                detail=f"{account.used} used, {account.reserved} reserved of {budget}",
+            )
+        return budget
+
+    def reserve(self, event: entry.TurnBegan) -> None:
+        """A turn is in flight: the most it may put out is reserved."""
+        if not event.program:
+            return
+        known = self.accounts.get(event.program) or entry.Account(event.program, 0, 0, 0, event.keep, 0, 0, "")
+        # Built field by field: ``dataclasses.replace`` costs several times as much, and this runs for each turn.
+        self.accounts[event.program] = entry.Account(
+            event.program,
+            event.budget,
+            known.used,
+            known.reserved + event.reserved(),
+            max(known.keep, event.keep),
+            known.in_flight + 1,
+            known.retained,
+            known.worker,
+        )
+
+    def settle(self, program: str, settlement: "Settlement", worker: str) -> bool:
+        """A turn ended: its reservation is released and it is charged; whether the program has an account."""
+        account = self.accounts.get(program)
+        if account is None:
+            return False
+        self.accounts[program] = entry.Account(
+            account.program,
+            account.budget,
+            account.used + settlement.charged,
+            account.reserved - settlement.released,
+            account.keep,
+            account.in_flight - settlement.was_in_flight,
+            account.retained + settlement.is_retained,
+            worker or account.worker,
+        )
+        return True
+
+    def release_retained_turn(self, program: str) -> None:
+        """A retained turn of the program was forgotten."""
+        account = self.accounts.get(program)
+        if account is not None:
+            self.accounts[program] = entry.Account(
+                account.program,
+                account.budget,
+                account.used,
+                account.reserved,
+                account.keep,
+                account.in_flight,
+                account.retained - 1,
+                account.worker,
+            )
+
+    def find_expired(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
+        """Those programs that were quiet for long, with no turn in flight or retained."""
+        expired = []
+        for name in names:
+            account = self.accounts.get(name)
+            if account is None:
+                continue
+            span = max(account.keep, retention.MIN_RETENTION) + retention.RETENTION_MARGIN
+            if now - self.last_active_at.setdefault(name, now) > span:
+                if not account.in_flight and not account.retained:
+                    expired.append(name)
+        return tuple(expired)
+
+    def forget(self, program: str) -> None:
+        """Drop a program's account."""
+        self.accounts.pop(program, None)
+        self.last_active_at.pop(program, None)
+
+
+@dataclasses.dataclass(frozen=True)
+class Settlement:
+    """What a turn's end does to its program's account, in tokens.
+
+    ``charged`` is below zero where a late outcome is less than what was charged while it was unknown.
+    """
+
+    charged: int
+    released: int
+    was_in_flight: bool
+    is_retained: bool
--- /dev/null
+++ b/aspencroft/sessions/turn_history.py
@@ -0,0 +1,291 @@
+"""Turns: those in flight, those retained with their history, and the attempts that may not begin again."""
+
+import collections
+import collections.abc
+import dataclasses
+import datetime
+import typing
+
+from aspencroft.errors import result
+from aspencroft.runtime import clock
+from aspencroft.sessions import entry, messages, retention
+
+MAX_CHAIN_BYTES = 16 << 20
+MAX_TURNS = 100_000
+"""Turns in flight, retained turns and finished attempts of a group together."""
+TURN_NOT_ENDED_RETRY_AFTER = clock.seconds(0.3)
+"""The turn before is about to end: its caller has the answer already."""
+RAN_BY_OUTCOME = {
+    messages.DONE: result.Ran.RAN,
+    messages.NOT_RUN: result.Ran.NOT_RUN,
+    messages.UNKNOWN: result.Ran.UNKNOWN,
+}
+
+
+class Predecessor(typing.NamedTuple):
+    """What a turn goes on from: the turns to import, the bytes of the whole chain, the worker of its last turn."""
+
+    imported: tuple[entry.Turn, ...]
+    chain_bytes: int
+    worker: str
+
+
+NO_PREDECESSOR = Predecessor((), 0, "")
+
+
+class TurnHistory:
+    """Turns by their attempt. History is held once and shared by all chains through it.
+
+    A turn is retained as long as a turn that goes on from it is retained or in flight. Clocks count from when this
+    primary first saw a thing, so that neither a takeover nor a restart shortens a span; how old retained turns were by
+    then is known by the group's own time.
+    """
+
+    def __init__(self, group_clock: retention.GroupClock, snapshot: entry.LedgerSnapshot, ages: entry.TurnAges):
+        self.group_clock = group_clock
+        self.retained = {retained.turn.attempt: retained for retained in snapshot.turns}
+        self.in_flight = {started.attempt: started for started in snapshot.in_flight}
+        self.finished = {finished.attempt: finished for finished in snapshot.finished}
+        self.ended_at = dict(zip(self.retained, ages.ended, strict=True))
+        """When each retained turn ended, by the group's time."""
+        self.successors: dict[str, int] = {}
+        """How many turns, retained or in flight, go on from a turn; only turns that have any."""
+        self.bytes = 0
+        for retained in snapshot.turns:
+            self.pin(retained.turn.previous)
+            self.bytes += turn_bytes(retained.turn)
+        for started in snapshot.in_flight:
+            self.pin(started.previous)
+        self.reset_clocks()
+
+    def reset_clocks(self) -> None:
+        """Forget when this primary first saw each turn and attempt."""
+        self.began_at: dict[str, datetime.timedelta] = {}
+        self.answered_at: dict[str, datetime.timedelta] = {}
+        self.finished_at: dict[str, datetime.timedelta] = {}
+
+    def count(self) -> int:
+        """How many turns and finished attempts are held."""
+        return len(self.retained) + len(self.in_flight) + len(self.finished)
+
+    # -- starting a turn ------------------------------------------------------------------------
+
+    def repeated_start(self, command: entry.BeginTurn) -> entry.TurnBegun | None:
+        """The reply to the start of an attempt that is in flight; none when the attempt is new.
+
+        :raises result.RequestError: TURN_UNDER_WAY when it is in flight as another turn, STALE_TURN when it ended
+        """
+        known = self.in_flight.get(command.attempt)
+        if known is not None:
+            if (known.program, known.session, known.previous, known.edge) != (
+                command.program,
+                command.session,
+                command.previous,
+                command.edge,
+            ):
+                raise result.RequestError(
+                    result.ResultCode.TURN_UNDER_WAY, detail="the attempt is under way as another turn"
+                )
+            return self.start_reply(known.previous, command.have, known.worker, ())
+        if command.attempt in self.retained:
+            raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.RAN, "the attempt ended before")
+        if command.attempt in self.finished:
+            outcome = self.finished[command.attempt].outcome
+            raise result.RequestError(
+                result.ResultCode.STALE_TURN, RAN_BY_OUTCOME[outcome], f"the attempt ended before: {outcome}"
+            )
+        return None
+
+    def find_predecessor(self, command: entry.BeginTurn) -> Predecessor:
+        """What a turn goes on from; of a chain given with it, the turns that are not retained here yet.
+
+        :raises result.RequestError: TURN_NOT_ENDED, UNKNOWN_TURN, or MALFORMED for a base that is no chain
+        """
+        if not command.previous:
+            return NO_PREDECESSOR
+        known = self.retained.get(command.previous)
+        if known is not None:
+            return Predecessor((), known.size, known.turn.worker)
+        self.check_end_is_known(command.previous)
+        if not command.base:
+            raise result.RequestError(result.ResultCode.UNKNOWN_TURN, detail=command.previous)
+        before, attempts = "", {command.attempt, ""}
+        for turn in command.base:
+            if turn.previous != before or turn.attempt in attempts or turn.attempt in self.in_flight:
+                raise result.RequestError(result.ResultCode.MALFORMED, detail="the base is no chain")
+            attempts.add(turn.attempt)
+            before = turn.attempt
+        if before != command.previous:
+            raise result.RequestError(result.ResultCode.MALFORMED, detail="the base does not end with the turn before")
+        return Predecessor(
+            tuple(turn for turn in command.base if turn.attempt not in self.retained),
+            sum(map(turn_bytes, command.base)),
+            command.base[-1].worker,
+        )
+
+    def check_end_is_known(self, attempt: str) -> None:
+        """Refuse to say that there is no such turn while it may still become a retained one.
+
+        :raises result.RequestError: TURN_NOT_ENDED
+        """
+        finished = self.finished.get(attempt)
+        if attempt in self.in_flight or (
+            finished is not None and finished.retained and finished.outcome == messages.UNKNOWN
+        ):
+            raise result.RequestError(
+                result.ResultCode.TURN_NOT_ENDED, detail=attempt, retry=TURN_NOT_ENDED_RETRY_AFTER
+            )
+
+    def start_reply(self, previous: str, have: str, worker: str, imported: tuple[entry.Turn, ...]) -> entry.TurnBegun:
+        """The reply to a turn's start: the chain up to ``previous``, or what of it lies behind ``have``."""
+        new = {turn.attempt: turn for turn in imported}
+        chain, attempt = [], previous
+        while attempt and attempt != have:
+            turn = new[attempt] if attempt in new else self.retained[attempt].turn
+            chain.append(turn)
+            attempt = turn.previous
+        chain.reverse()
+        return entry.TurnBegun(tuple(chain), worker, not attempt)
+
+    def decide_find(self, command: entry.FindTurn, now: datetime.timedelta) -> entry.Decision:
+        """Whether a turn is retained, and its chain.
+
+        :raises result.RequestError: TURN_NOT_ENDED while it may still become so
+        """
+        if command.attempt not in self.retained:
+            self.check_end_is_known(command.attempt)
+            return (), entry.TurnFound(False, ())
+        return (), entry.TurnFound(True, self.start_reply(command.attempt, "", "", ()).chain)
+
+    def apply_began(self, event: entry.TurnBegan) -> None:
+        """A turn is in flight; the chain that came with it is retained."""
+        for turn in event.base:
+            self.retain(turn, "", event.keep)
+        self.in_flight[event.attempt] = dataclasses.replace(event, base=()) if event.base else event
+        self.pin(event.previous)
+
+    # -- ending a turn --------------------------------------------------------------------------
+
+    def take_in_flight(self, attempt: str) -> entry.TurnBegan | None:
+        """Take a turn out of those in flight. Its predecessor stays pinned: the caller unpins it when all is done."""
+        started = self.in_flight.pop(attempt, None)
+        self.began_at.pop(attempt, None)
+        return started
+
+    def take_finished(self, attempt: str) -> entry.FinishedAttempt | None:
+        """Take a finished attempt out, as its outcome becomes known late."""
+        return self.finished.pop(attempt, None)
+
+    def add_finished(self, finished: entry.FinishedAttempt) -> None:
+        """Remember an attempt that may not begin any more."""
+        self.finished[finished.attempt] = finished
+
+    def retain(self, turn: entry.Turn, program: str, keep: datetime.timedelta) -> None:
+        """Hold a turn's history, if it is not held yet.
+
+        It counts as ended at the next tick, so that what has passed since the last one makes it no older.
+        """
+        if turn.attempt in self.retained:
+            return
+        self.finished.pop(turn.attempt, None)
+        self.finished_at.pop(turn.attempt, None)
+        self.ended_at[turn.attempt] = self.group_clock.time + retention.TICK_SPAN
+        added = turn_bytes(turn)
+        before = self.retained.get(turn.previous)
+        self.retained[turn.attempt] = entry.RetainedTurn(turn, program, keep, added + (before.size if before else 0))
+        self.bytes += added
+        self.pin(turn.previous)
+
+    def pin(self, attempt: str) -> None:
+        """A turn that goes on from this one is retained or in flight."""
+        if attempt:
+            self.successors[attempt] = self.successors.get(attempt, 0) + 1
+
+    def unpin(self, attempt: str) -> None:
+        """A turn that went on from this one is no more."""
+        if attempt:
+            left = self.successors.pop(attempt, 0) - 1
+            if left > 0:
+                self.successors[attempt] = left
+
+    # -- expiry ---------------------------------------------------------------------------------
+
+    def find_overdue(
+        self, now: datetime.timedelta, is_gone: collections.abc.Callable[[str], bool]
+    ) -> list[entry.EndTurn]:
+        """Ends, as unknown, of the turns in flight whose edge is gone or whose time is over."""
+        found = []
+        for attempt, started in self.in_flight.items():
+            is_edge_gone = is_gone(started.edge)
+            if (
+                now - self.began_at.setdefault(attempt, now) > started.within + retention.RETENTION_MARGIN
+                or is_edge_gone
+            ):
+                found.append(
+                    entry.EndTurn(started.program, started.session, attempt, messages.UNKNOWN, b"", b"", 0, "")
+                )
+        return found
+
+    def age(self, attempt: str) -> datetime.timedelta:
+        """For how long a turn has been retained at least, by the group's time."""
+        time = self.group_clock.time
+        return max(clock.ZERO, time - self.ended_at.get(attempt, time))
+
+    def find_expired(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
+        """Those turns, and turns before them, whose span is over and that nothing goes on from any more."""
+        expired: dict[str, None] = {}
+        unpinned: collections.Counter[str] = collections.Counter()
+        """How many successors of a turn are among the expired ones."""
+        for name in names:
+            attempt = name
+            known = self.retained.get(attempt)
+            while (
+                known is not None
+                and attempt not in expired
+                and now - self.answered_at.setdefault(attempt, now - self.age(attempt))
+                > known.keep + retention.RETENTION_MARGIN
+                and self.successors.get(attempt, 0) == unpinned[attempt]
+            ):
+                expired[attempt] = None
+                attempt = known.turn.previous
+                unpinned[attempt] += 1
+                known = self.retained.get(attempt)
+        return tuple(expired)
+
+    def find_expired_finished(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
+        """Those finished attempts whose start can no longer arrive late."""
+        span = retention.MIN_RETENTION + retention.RETENTION_MARGIN
+        return tuple(
+            name for name in names if name in self.finished and now - self.finished_at.setdefault(name, now) > span
+        )
+
+    def forget(self, attempt: str) -> entry.RetainedTurn | None:
+        """Let a turn's history go; what it was.
+
+        One with a short span is still remembered as finished, lest a late start begin it again.
+        """
+        known = self.retained.pop(attempt, None)
+        self.ended_at.pop(attempt, None)
+        self.answered_at.pop(attempt, None)
+        if known is None:
+            return None
+        self.bytes -= turn_bytes(known.turn)
+        self.unpin(known.turn.previous)
+        if known.keep < retention.MIN_RETENTION:
+            self.finished[attempt] = entry.FinishedAttempt(
+                attempt, messages.DONE, known.program, known.turn.previous, 0, 0, False, known.keep
+            )
+        return known
+
+    def forget_finished(self, attempt: str) -> None:
+        """Drop the memory of a finished attempt."""
+        self.finished.pop(attempt, None)
+        self.finished_at.pop(attempt, None)
+
+
+def turn_bytes(turn: entry.Turn) -> int:
+    """Bytes of a turn's own history.
+
+    Example: ``turn_bytes(entry.Turn("a", "", b"in", b"out", "")) == 5``
+    """
+    return len(turn.input) + len(turn.output)
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -18,7 +18,7 @@
 from aspencroft.errors import result
 from aspencroft.proxy import call, forwarder, instance, instances
 from aspencroft.runtime import clock, environment
-from aspencroft.sessions import ledger
+from aspencroft.sessions import call_sessions
 from aspencroft.simulation import loop, wire
 from aspencroft.workers import pool
 
@@ -198,7 +198,7 @@
     """
 
     def __init__(self, commands: int | None = None):
-        self.ledger = ledger.Ledger()
+        self.sessions = call_sessions.CallSessions()
         self.commands = commands
 
     async def submit(self, group: int, command, within: datetime.timedelta):
@@ -209,23 +209,23 @@
             if self.commands < 0:
                 await clock.sleep(within)
                 raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN)
-        found, reply = self.ledger.decide(command, clock.now())
+        found, reply = self.sessions.decide(command, clock.now())
         for event in found:
-            self.ledger.apply(event)
+            self.sessions.apply(event)
         return reply
 
     def take_over(self, gone: str = "") -> None:
         """Another primary goes on from the snapshot, and ends what an edge that is gone left behind."""
-        fresh = ledger.Ledger()
-        fresh.restore(b"".join(self.ledger.snapshot_parts()), 0)
-        self.ledger = fresh
+        fresh = call_sessions.CallSessions()
+        fresh.restore(b"".join(self.sessions.snapshot_parts()), 0)
+        self.sessions = fresh
         self.tick(gone)
 
     def tick(self, gone: str = "") -> None:
         """Decide what the clock asks for."""
-        for command in self.ledger.due(clock.now(), lambda edge: edge == gone):
-            for event in self.ledger.decide(command, clock.now())[0]:
-                self.ledger.apply(event)
+        for command in self.sessions.due(clock.now(), lambda edge: edge == gone):
+            for event in self.sessions.decide(command, clock.now())[0]:
+                self.sessions.apply(event)
 
 
 class Scene:
--- a/aspencroft/simulation/forwarding_test.py
+++ b/aspencroft/simulation/forwarding_test.py
@@ -7,7 +7,7 @@
 
 from aspencroft.emulator import worker_server
 from aspencroft.proxy import forwarder, instances
-from aspencroft.sessions import ledger
+from aspencroft.sessions import token_budget
 from aspencroft.simulation import forwarding
 from aspencroft.workers import pool
 
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("seed", [302, 306])
 def test_budgets_that_are_not_counted_are_seen(seed):
-    with changed(ledger.Ledger, "allowed", lambda self, command, now: command.budget):
+    with changed(token_budget.TokenBudgets, "budget_in_force", lambda self, command, now: command.budget):
         assert told(seed, ("invalid",), 2, 4.0) == {"BUDGET"}
 
 
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -495,16 +495,16 @@
     ),
     Mutation(
         "a key whose edge is gone is free",
-        "sessions/ledger.py",
+        "sessions/operation_keys.py",
         '                found.append(entry.CloseKey(key, held.attempt, messages.UNKNOWN, 0, (), b""))\n',
         '                found.append(entry.CloseKey(key, held.attempt, messages.NOT_RUN, 0, (), b""))\n',
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
         "a snapshot leaves the keys out",
-        "sessions/ledger.py",
-        "        self.keys = {one.key: one for one in shown.keys}\n",
-        "        self.keys = {}\n",
+        "sessions/operation_keys.py",
+        "        self.records = {record.key: record for record in records}\n",
+        "        self.records = {}\n",
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
@@ -551,9 +551,9 @@
     ),
     Mutation(
         "an operation key at work is granted again",
-        "sessions/ledger.py",
-        "        if known is not None:\n            mine = not known.outcome",
-        "        if known is not None and known.outcome:\n            mine = not known.outcome",
+        "sessions/operation_keys.py",
+        "        if known is not None:\n            is_holder = not known.outcome",
+        "        if known is not None and known.outcome:\n            is_holder = not known.outcome",
         ("simulation/call_troubles_test.py::test_repeats_of_a_key_at_work_never_run_whatever_takeovers_come_between",),
     ),
     Mutation(
