--- a/aspencroft/benchmarks/catchup.py
+++ b/aspencroft/benchmarks/catchup.py
@@ -17,7 +17,7 @@
 
 from aspencroft.configuration import control_state, operator_configuration
 from aspencroft.distribution import relay, updates
-from aspencroft.replication import messages, replica
+from aspencroft.replication import log_records, messages, replica
 from aspencroft.runtime import clock
 from aspencroft.sessions import entry, lane_sessions
 from aspencroft.sessions import messages as sessions_messages
@@ -67,11 +67,11 @@
     return sum(path.stat().st_size for path in folder.rglob("*") if path.is_file())
 
 
-async def take(one: replica.Replica, command) -> tuple[replica.Entry, ...]:
+async def take(one: replica.Replica, command) -> tuple[log_records.Entry, ...]:
     """Have a command decided and appended, as a primary would."""
     events, _ = one.state_machine.decide(command, clock.now(), 1)
     place = one.last().sequence
-    entries = tuple(replica.Entry(1, place + n, codec.tagged(event)) for n, event in enumerate(events, 1))
+    entries = tuple(log_records.Entry(1, place + n, codec.tagged(event)) for n, event in enumerate(events, 1))
     await one.append(entries)
     return entries
 
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -587,7 +587,7 @@
             }
             works.update({f"pair {group_id}": held.run for group_id, held in self.group_replicas.items()})
             works.update(
-                {f"pictures {group_id}": held.replica.write_snapshots for group_id, held in self.group_replicas.items()}
+                {f"pictures {group_id}": held.replica.snapshotter.run for group_id, held in self.group_replicas.items()}
             )
             if 0 in self.group_replicas:
                 works.update({"root": self.root, "reseat": self.witness_changes.run})
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -9,6 +9,7 @@
 from aspencroft.replication import (
     backup,
     group_state,
+    log_records,
     log_shipping,
     messages,
     primary,
@@ -94,7 +95,7 @@
                 async with clock.limit(RELEASE_AFTER):
                     await self.changed.wait()
             except TimeoutError:
-                if clock.now() - max(began, self.heard) >= RELEASE_AFTER and self.replica.holds_state():
+                if clock.now() - max(began, self.heard) >= RELEASE_AFTER and self.replica.has_state():
                     await self.release()
 
     async def release(self) -> None:
@@ -137,11 +138,11 @@
         async with self.lock:
             if message.identity != self.replica.identity:
                 return messages.FetchedLog(None, (), True)
-            if self.replica.incomplete():
+            if self.replica.is_incomplete():
                 raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="this copy is being repaired")
             if self.known is None or message.record.epoch != self.known.epoch or self.me() not in self.known.members():
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not a member of that record")
-            return messages.FetchedLog(*self.replica.ahead_of(message.last, log_shipping.MEND_BYTES), False)
+            return messages.FetchedLog(*self.replica.log.read_after(message.last, log_shipping.MEND_BYTES), False)
 
     async def append(self, message: messages.Append) -> messages.Appended:
         """As backup: take entries that follow the last one; refuse lower epochs."""
@@ -152,7 +153,7 @@
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=f"epoch {self.known.epoch} stands")
             await self.replica.persist_record(self.known)
             self.heard = clock.now()
-            fresh = self.replica.beyond(message.previous, message.entries)
+            fresh = self.replica.log.select_missing(message.previous, message.entries)
             self.unsure = False
             if fresh:
                 await self.replica.append(fresh)
@@ -161,7 +162,7 @@
 
     def compare(self, message: messages.Compare) -> messages.Compared:
         """Identity and range digests of this copy."""
-        return messages.Compared(self.replica.identity, self.replica.marks())
+        return messages.Compared(self.replica.identity, self.replica.log.comparison_positions())
 
     async def repair(self, message: messages.Repair) -> messages.Appended:
         """As candidate or backup: become like the primary's copy."""
@@ -169,7 +170,7 @@
             self.check_repair(message)
             await self.replica.persist_record(message.record)
             self.heard = clock.now()
-            last = await self.replica.repair(message.through, message.snapshot, message.entries)
+            last = await self.replica.repair(message.keep_through, message.snapshot, message.entries)
             self.unsure = False
             return messages.Appended(last)
 
@@ -184,25 +185,25 @@
         async with self.lock:
             self.check_repair(message)
             await self.replica.persist_record(message.record)
-            await self.replica.begin_repair(replica.RepairGoal(message.goal.sequence, message.goal.digest))
+            await self.replica.begin_repair(log_records.RepairGoal(message.goal.sequence, message.goal.digest))
             return replica_set.Acknowledged()
 
     def receive_snapshot_chunk(self, message: messages.SnapshotChunk) -> messages.SnapshotProgress:
         """As candidate or backup: hold a part of a snapshot; the copy is what it was until all of it is installed."""
         self.check_repair(message)
         self.heard = clock.now()
-        return messages.SnapshotProgress(self.incoming.take(message))
+        return messages.SnapshotProgress(self.incoming.add_chunk(message))
 
     async def install_snapshot(self, message: messages.InstallSnapshot) -> messages.Appended:
         """As candidate or backup: become what the parts of a snapshot show; asked again, say that it was done."""
         async with self.lock:
             self.check_repair(message)
             if self.replica.digest_at(message.sequence) != message.digest:
-                snapshot = self.incoming.whole(message)
+                snapshot = self.incoming.assemble(message)
                 await self.replica.persist_record(message.record)
                 await self.replica.repair(message.sequence, snapshot, ())
             self.heard, self.unsure = clock.now(), False
-            self.incoming.forget()
+            self.incoming.clear()
             return messages.Appended(self.replica.last())
 
     async def appoint(self, message: messages.ReplicaSetNotice) -> replica_set.Acknowledged:
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -126,7 +126,7 @@
 
     def check_disk(self) -> None:
         """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead."""
-        if self.replica.stalled():
+        if self.replica.storage.is_stalled():
             raise DiskStalled(f"group {self.group_id}: a write has not come back for long")
 
     def staying(self) -> tuple[replica_set.ReplicaId, ...]:
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -4,7 +4,7 @@
 
 from aspencroft.consensus import replica_set
 from aspencroft.errors import result
-from aspencroft.replication import append_patience, group_state, messages, replica, snapshot_transfer
+from aspencroft.replication import append_patience, group_state, log_records, messages, snapshot_transfer
 from aspencroft.runtime import clock, supervision
 
 LOG = logbook.Logger("replication.log_shipping")
@@ -24,7 +24,7 @@
         self.lost: set[replica_set.ReplicaId] = set()
 
     async def append(
-        self, standing: replica_set.ReplicaSet, last: replica.LogPosition, entries: tuple[replica.Entry, ...]
+        self, standing: replica_set.ReplicaSet, last: log_records.LogPosition, entries: tuple[log_records.Entry, ...]
     ) -> tuple[replica_set.ReplicaId, ...]:
         """Sync entries here and on all backups at once; the backups whose copies are not the same then."""
         message = messages.Append(standing, last, entries)
@@ -36,7 +36,7 @@
         last_here = self.own.replica.last()
         return tuple(one for one, task in sent.items() if task.cancelled() or task.result() != last_here)
 
-    async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> replica.LogPosition | None:
+    async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> log_records.LogPosition | None:
         """A backup's newest entry once it synced, or none; tried again while there is time, as it does no
         harm twice.
         """
@@ -67,7 +67,7 @@
         try:
             compared = await own.link.request(peer.address, messages.Compare(own.group_id, own.known.epoch), ANSWER)
             if compared.identity != peer.identity:
-                if not compared.identity.startswith(replica.RELEASED):
+                if not compared.identity.startswith(log_records.RELEASED_PREFIX):
                     self.lost.add(peer)
                 return False
             await own.link.request(peer.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
@@ -76,25 +76,25 @@
             LOG.info("pair {}: mending {}: {}", own.group_id, peer.address, refusal)
             return False
 
-    async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> replica.LogPosition:
+    async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> log_records.LogPosition:
         """Send what the peer lacks behind the last range on which the digests agree; its newest entry then."""
         held = self.own.replica
-        agreeing = [mark.sequence for mark in compared.marks if held.digest_at(mark.sequence) == mark.digest]
-        snapshot = None if agreeing else held.snapshot
-        through = max(agreeing, default=held.snapshot.sequence)
+        agreeing = [mark.sequence for mark in compared.positions if held.digest_at(mark.sequence) == mark.digest]
+        snapshot = None if agreeing else held.log.snapshot
+        through = max(agreeing, default=held.log.snapshot.sequence)
         goal = held.last()
         begin = messages.BeginRepair(self.own.known, peer.identity, goal)
         await self.own.link.request(peer.address, begin, group_state.REPLY)
         while True:
-            if through < held.snapshot.sequence:
-                snapshot, through = held.snapshot, held.snapshot.sequence
+            if through < held.log.snapshot.sequence:
+                snapshot, through = held.log.snapshot, held.log.snapshot.sequence
             if snapshot is not None and snapshot.size() > MEND_BYTES:
                 through = snapshot.sequence
                 await self.snapshots.send(peer, snapshot)
                 snapshot = None
                 continue
             entries, size = [], 0
-            for entry in held.entries[through - held.snapshot.sequence :]:
+            for entry in held.log.entries[through - held.log.snapshot.sequence :]:
                 if entries and size + len(entry.body) > MEND_BYTES:
                     break
                 entries.append(entry)
@@ -112,13 +112,13 @@
         their copies, or once patience is over. False while one is still waited for.
         """
         own = self.own
-        if not own.unsure and not own.replica.incomplete():
+        if not own.unsure and not own.replica.is_incomplete():
             return True
         others = [one for one in own.known.members() if one != own.me()]
         async with supervision.Group() as group:
             asked = [group.create_task(self.take_from(one)) for one in others]
         told = [task.result() for task in asked]
-        if own.replica.incomplete():
+        if own.replica.is_incomplete():
             own.status_reason = "waits for a member that holds what this copy lacks since a repair broke off"
             return False
         if True in told or told.count(None) == len(told) or clock.now() >= own.patience_end:
@@ -134,7 +134,7 @@
             while True:
                 message = messages.FetchLog(own.known, own.replica.last(), peer.identity)
                 reply = await own.link.request(peer.address, message, group_state.REPLY)
-                if reply.lost:
+                if reply.is_lost:
                     return None
                 if reply.snapshot is None and not reply.entries:
                     return True
--- a/aspencroft/replication/log_shipping_test.py
+++ b/aspencroft/replication/log_shipping_test.py
@@ -1,15 +1,15 @@
 """Tests of comparing copies after a start, and of appending to several backups."""
 
 from aspencroft.errors import result
-from aspencroft.replication import messages, replica
+from aspencroft.replication import log_records, messages, replica
 from aspencroft.runtime import clock
 from aspencroft.simulation import members
 
 
-def entries(one: replica.Replica, count: int) -> tuple[replica.Entry, ...]:
+def entries(one: replica.Replica, count: int) -> tuple[log_records.Entry, ...]:
     """Entries that follow a copy's last one."""
     body = members.codec.tagged(members.control_state.RoleAcquired("x", 1, "a:1", 1))
-    return tuple(replica.Entry(1, one.last().sequence + number + 1, body) for number in range(count))
+    return tuple(log_records.Entry(1, one.last().sequence + number + 1, body) for number in range(count))
 
 
 def test_one_other_member_is_enough_to_be_sure(tmp_path):
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -9,7 +9,7 @@
 
 from aspencroft.consensus import proposer, replica_set, witness
 from aspencroft.errors import result
-from aspencroft.replication import group_state, log_shipping, record_changes, replica, replica_changes
+from aspencroft.replication import group_state, log_records, log_shipping, record_changes, replica_changes
 from aspencroft.runtime import clock, supervision
 from aspencroft.transport import codec
 
@@ -108,7 +108,7 @@
             own.lease_end = clock.ZERO
             own.chosen = None
             self.abandon()
-            own.replica.settle_view()
+            own.replica.reset_after_tenure()
 
     def abandon(self) -> None:
         """Nobody is left without an answer when the primary is deposed."""
@@ -323,12 +323,12 @@
         self,
         batch: list[Submission],
         standing: replica_set.ReplicaSet,
-        last: replica.LogPosition,
+        last: log_records.LogPosition,
         held_back: list[Decided],
-    ) -> tuple[replica.Entry, ...]:
+    ) -> tuple[log_records.Entry, ...]:
         """Have the view decide commands one after the other; the entries that come of it, folded already."""
         own = self.own
-        entries: list[replica.Entry] = []
+        entries: list[log_records.Entry] = []
         for waiting in batch:
             if waiting.reply.done():
                 continue
@@ -346,7 +346,7 @@
                 LOG.exception("pair {} could not decide {}", own.group_id, type(waiting.command).__name__)
                 events, reply = (), result.RequestError(result.ResultCode.INTERNAL, detail=repr(error))
             for event in events:
-                entries.append(replica.Entry(standing.epoch, last.sequence + len(entries) + 1, codec.tagged(event)))
+                entries.append(log_records.Entry(standing.epoch, last.sequence + len(entries) + 1, codec.tagged(event)))
                 own.replica.apply(entries[-1], event)
             held_back.append(Decided(waiting, reply))
         return tuple(entries)
--- a/aspencroft/replication/primary_test.py
+++ b/aspencroft/replication/primary_test.py
@@ -217,14 +217,14 @@
         await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
         await those.write("a")
         own = those.group_replicas["n0:1"]
-        writes = own.replica.write_items
+        writes = own.replica.storage.write_items
 
         async def failing(*values) -> None:
             await clock.sleep(clock.seconds(0.01))
-            own.replica.write_items = writes
+            own.replica.storage.write_items = writes
             raise OSError("no space left on the device")
 
-        own.replica.write_items = failing
+        own.replica.storage.write_items = failing
         try:
             await those.write("b")
             raise AssertionError("answered")
--- a/aspencroft/replication/replica_memory_test.py
+++ b/aspencroft/replication/replica_memory_test.py
@@ -1,4 +1,4 @@
-"""Test of what a start costs in memory: reading a copy must not take several times what it holds."""
+"""What a start costs in memory: reading a replica must not take several times what it holds."""
 
 import pathlib
 import random
@@ -6,26 +6,26 @@
 
 import aspencroft.simulation.disk as sim_disk
 import aspencroft.simulation.loop as sim_loop
-from aspencroft.replication import replica
+from aspencroft.replication import log_records, replica
 from aspencroft.runtime import clock, environment
 from aspencroft.sessions import entry, lane_sessions, messages
 from aspencroft.transport import codec
 
 TURNS, INPUT_BYTES = 400, 14_000
-MOST_TIMES_HELD = 2.3
+MAX_TIMES_STATE = 2.3
 """The state, and beside it one whole copy of the snapshot while it is read; a little for objects."""
 
 
-def made(folder: pathlib.Path) -> replica.Replica:
-    """A copy of a talk group over a simulated disk."""
+def make_replica(folder: pathlib.Path) -> replica.Replica:
+    """A replica of a talk group on a simulated disk."""
     disk = sim_disk.SimDisk(folder, random.Random(1))
     disk.delay = 0
-    around = environment.Environment(None, disk, None, random.Random(2), None)
-    return replica.Replica(around, folder / "group", 1, lane_sessions.Talk)
+    node_environment = environment.Environment(None, disk, None, random.Random(2), None)
+    return replica.Replica(node_environment, folder / "group", 1, lane_sessions.Talk)
 
 
-async def keep_turn(one: replica.Replica, number: int) -> None:
-    """One kept turn of a program of its own."""
+async def append_turn(local: replica.Replica, number: int) -> None:
+    """Append a turn that is retained, of a program that has no other."""
     attempt, now = f"attempt-{number}", clock.seconds(9)
     begin = entry.BeginTurn(
         f"program-{number}", "", attempt, "", 10, 1000, True, clock.seconds(60), clock.seconds(3), "edge", "", ()
@@ -33,36 +33,38 @@
     body = random.Random(number).randbytes(INPUT_BYTES)
     end = entry.EndTurn(f"program-{number}", "", attempt, messages.DONE, body, b"out", 7, "worker")
     for command in (begin, end):
-        events, _ = one.state_machine.decide(command, now, 1)
-        place = one.last().sequence
+        events, _ = local.state_machine.decide(command, now, 1)
+        last_sequence = local.last().sequence
         numbered = enumerate(events, 1)
-        await one.append(tuple(replica.Entry(1, place + later, codec.tagged(event)) for later, event in numbered))
+        await local.append(
+            tuple(log_records.Entry(1, last_sequence + offset, codec.tagged(event)) for offset, event in numbered)
+        )
 
 
 def test_a_start_takes_little_more_memory_than_the_state_and_one_copy_of_it(tmp_path):
     async def fill() -> None:
-        one = made(tmp_path)
-        await one.open()
+        local = make_replica(tmp_path)
+        await local.open()
         for number in range(TURNS):
-            await keep_turn(one, number)
-        while one.longer_than(1, 1):
-            one.rest_end = one.next_snapshot = clock.ZERO
-            await one.compact()
-            break
+            await append_turn(local, number)
+        schedule = local.snapshotter.schedule
+        if schedule.is_longer_than(local.log, local.state_machine.size(), 1, 1):
+            schedule.early_compact_at = schedule.retry_at = clock.ZERO
+            await local.compact()
 
     async def start() -> tuple[int, int]:
-        one = made(tmp_path)
+        local = make_replica(tmp_path)
         before, _ = tracemalloc.get_traced_memory()
         tracemalloc.reset_peak()
-        await one.open()
+        await local.open()
         _, peak = tracemalloc.get_traced_memory()
-        return peak - before, one.state_machine.payload_bytes()
+        return peak - before, local.state_machine.payload_bytes()
 
     sim_loop.SimLoop().run_until_complete(fill())
     tracemalloc.start()
     try:
-        peak, held = sim_loop.SimLoop().run_until_complete(start())
+        peak, state_bytes = sim_loop.SimLoop().run_until_complete(start())
     finally:
         tracemalloc.stop()
-    assert held >= TURNS * INPUT_BYTES
-    assert peak <= MOST_TIMES_HELD * held, f"{peak / held:.2f} times"
+    assert state_bytes >= TURNS * INPUT_BYTES
+    assert peak <= MAX_TIMES_STATE * state_bytes, f"{peak / state_bytes:.2f} times"
--- a/aspencroft/replication/replica_moves_test.py
+++ b/aspencroft/replication/replica_moves_test.py
@@ -144,8 +144,8 @@
         left = those.group_replicas["n1:1"]
         await recorded_out(those)
         identity, held = left.replica.identity, stored_bytes(those.folders["n1:1"])
-        assert left.replica.holds_state()
-        took = await those.until(lambda: not left.replica.holds_state(), 30)
+        assert left.replica.has_state()
+        took = await those.until(lambda: not left.replica.has_state(), 30)
         assert took > group_replica.RELEASE_AFTER.total_seconds() / 2
         assert left.replica.identity != identity
         assert left.replica.memory().journal_entries == 0
@@ -153,7 +153,7 @@
         assert left.replica.state_machine.document.get("services", {}) == {}
         again = await those.reopened("n1:1")
         assert again.replica.identity == left.replica.identity
-        assert not again.replica.holds_state()
+        assert not again.replica.has_state()
 
     members.play(tmp_path, 4, acts)
 
@@ -162,7 +162,7 @@
     async def acts(those: members.Members) -> None:
         left = those.group_replicas["n1:1"]
         await recorded_out(those)
-        await those.until(lambda: not left.replica.holds_state(), 30)
+        await those.until(lambda: not left.replica.has_state(), 30)
         those.stop("n2:1")
         those.stop("n3:1")
         those.gone.update(("n2:1", "n3:1"))
@@ -181,7 +181,7 @@
         await recorded_out(those)
         those.silent.add(those.register.standing().primary.address)
         await clock.sleep(group_replica.RELEASE_AFTER * 2)
-        assert left.replica.holds_state()
+        assert left.replica.has_state()
 
     members.play(tmp_path, 4, acts, copies=2)
 
@@ -191,7 +191,7 @@
         left = those.group_replicas["n1:1"]
         await serving(those)
         await left.release()
-        assert left.replica.holds_state()
+        assert left.replica.has_state()
         assert those.same("n0:1", "n1:1")
 
     members.play(tmp_path, 4, acts)
--- a/aspencroft/replication/snapshot_transfer.py
+++ b/aspencroft/replication/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Sending a large snapshot to another member in bounded parts, taken up again where a connection broke."""
+"""Sending a large snapshot to another member in bounded chunks, resumed where a connection broke."""
 
 import asyncio
 import collections.abc
@@ -7,31 +7,39 @@
 
 from aspencroft.consensus import replica_set
 from aspencroft.errors import result
-from aspencroft.replication import group_state, messages, replica
+from aspencroft.replication import group_state, log_records, messages
 from aspencroft.runtime import clock
 
-PART_BYTES = 256 << 10
-PART_TIME = clock.seconds(3)
-INSTALL_TIME = clock.seconds(5)
+CHUNK_BYTES = 256 << 10
+"""Bytes of a snapshot in one message, so that no message holds up the others of its connection for long."""
+
+CHUNK_TIMEOUT = clock.seconds(3)
+CHUNK_ATTEMPTS = 5
+"""How long a chunk may take to be acknowledged, and how often it is sent if the member can't be reached."""
+
+INSTALL_TIMEOUT = clock.seconds(5)
 INSTALL_BYTES_PER_SECOND = 4 << 20
-TRIES = 5
-FORGOTTEN_AFTER = clock.seconds(30)
+"""How long an installation may take: so long, and more by the snapshot's size, at what the slowest disk writes."""
+
+DISCARD_AFTER = clock.seconds(30)
+"""The memory of an incomplete transfer is freed when no chunk came for so long."""
 
 
-def parts_from(pieces: tuple[bytes, ...], offset: int) -> collections.abc.Iterator[bytes]:
-    """The bytes of all pieces from an offset on, in parts of bounded size, none copied that is not sent.
+def split_chunks(pieces: tuple[bytes, ...], offset: int) -> collections.abc.Iterator[bytes]:
+    """The bytes of all pieces from an offset on, in chunks of bounded size; nothing is copied that is not sent.
 
-    Example: ``list(parts_from((b"abc", b"def"), 4)) == [b"ef"]``
+    Example: ``list(split_chunks((b"abc", b"def"), 4)) == [b"ef"]``
     """
-    waiting, size, place = [], 0, 0
+    waiting: list[memoryview] = []
+    size, piece_offset = 0, 0
     for piece in pieces:
-        rest = memoryview(piece)[max(0, offset - place) :]
-        place += len(piece)
-        while rest:
-            taken, rest = rest[: PART_BYTES - size], rest[PART_BYTES - size :]
+        unsent = memoryview(piece)[max(0, offset - piece_offset) :]
+        piece_offset += len(piece)
+        while unsent:
+            taken, unsent = unsent[: CHUNK_BYTES - size], unsent[CHUNK_BYTES - size :]
             waiting.append(taken)
             size += len(taken)
-            if size == PART_BYTES:
+            if size == CHUNK_BYTES:
                 yield b"".join(waiting)
                 waiting, size = [], 0
     if waiting:
@@ -39,110 +47,137 @@
 
 
 class IncomingSnapshot:
-    """The parts of a snapshot that a member has received, in memory and apart from its copy until they are
-    all there.
-    """
+    """The chunks that a member has received of a snapshot; its log is what it was until all of them are there."""
 
-    def __init__(self):
-        self.transfer = 0
-        self.parts: list[bytes] = []
+    def __init__(self) -> None:
+        self.transfer_id = 0
+        self.chunks: list[bytes] = []
         self.size = 0
         self.expiry: asyncio.TimerHandle | None = None
 
-    def take(self, part: messages.SnapshotChunk) -> int:
-        """Add a part that follows the last one; how many bytes of its transfer are held then."""
-        if part.transfer != self.transfer:
-            self.forget()
-            self.transfer = part.transfer
-        if part.body and part.offset == self.size:
-            self.parts.append(part.body)
-            self.size += len(part.body)
+    def add_chunk(self, chunk: messages.SnapshotChunk) -> int:
+        """Add a chunk if it follows the last one; how many bytes of its transfer were received then."""
+        if chunk.transfer_id != self.transfer_id:
+            self.clear()
+            self.transfer_id = chunk.transfer_id
+        if chunk.body and chunk.offset == self.size:
+            self.chunks.append(chunk.body)
+            self.size += len(chunk.body)
         if self.expiry is not None:
             self.expiry.cancel()
-        self.expiry = asyncio.get_running_loop().call_later(FORGOTTEN_AFTER.total_seconds(), self.forget)
+        self.expiry = asyncio.get_running_loop().call_later(DISCARD_AFTER.total_seconds(), self.clear)
         return self.size
 
-    def whole(self, end: messages.InstallSnapshot) -> replica.EncodedSnapshot:
-        """The snapshot; refused unless all of its bytes are held."""
-        if end.transfer != self.transfer or end.size != self.size:
+    def assemble(self, end: messages.InstallSnapshot) -> log_records.EncodedSnapshot:
+        """The complete snapshot.
+
+        Raises:
+            RequestError: Not all of its bytes were received, or they are another transfer's.
+
+        """
+        if end.transfer_id != self.transfer_id or end.size != self.size:
             raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="parts of the snapshot are missing")
-        return replica.EncodedSnapshot(end.epoch, end.sequence, end.digest, tuple(self.parts))
+        return log_records.EncodedSnapshot(end.epoch, end.sequence, end.digest, tuple(self.chunks))
 
-    def forget(self) -> None:
-        """Let all parts go."""
-        self.transfer, self.parts, self.size = 0, [], 0
+    def clear(self) -> None:
+        """Free all chunks."""
+        self.transfer_id, self.chunks, self.size = 0, [], 0
 
 
 @dataclasses.dataclass(frozen=True)
 class Transfer:
-    """A snapshot that is sent, under a number that no other snapshot has."""
+    """A snapshot that is sent, under an id that no other snapshot has."""
 
-    number: int
-    snapshot: replica.EncodedSnapshot
+    transfer_id: int
+    snapshot: log_records.EncodedSnapshot
 
 
 class SnapshotSender:
-    """The sending side."""
+    """Sends a primary's snapshots to members that are repaired."""
 
-    def __init__(self, own: group_state.GroupState):
-        self.own = own
+    def __init__(self, own: group_state.GroupState) -> None:
+        self.group = own
         self.current: Transfer | None = None
 
-    def transfer_of(self, snapshot: replica.EncodedSnapshot) -> Transfer:
-        """The transfer of this very snapshot; a later try or another receiver takes it up under the same number."""
+    def record(self) -> replica_set.ReplicaSet:
+        """The replica set under which this primary sends."""
+        assert self.group.known is not None, f"a primary of group {self.group.group_id} has a replica set"
+        return self.group.known
+
+    def transfer_of(self, snapshot: log_records.EncodedSnapshot) -> Transfer:
+        """The transfer of this very snapshot: a retry, or another receiver, resumes it under the same id."""
         if self.current is None or self.current.snapshot is not snapshot:
-            number = self.own.replica.environment.randomness.getrandbits(62) + 1
-            self.current = Transfer(number, snapshot)
+            transfer_id = self.group.replica.environment.randomness.getrandbits(62) + 1
+            self.current = Transfer(transfer_id, snapshot)
         return self.current
 
-    async def send(self, peer: replica_set.ReplicaId, snapshot: replica.EncodedSnapshot) -> replica.LogPosition:
-        """Have a member hold the whole snapshot and install it; its newest entry then.
+    async def send(self, peer: replica_set.ReplicaId, snapshot: log_records.EncodedSnapshot) -> log_records.LogPosition:
+        """Have a member receive and install a snapshot; the end of its log then.
+
+        Compaction here waits meanwhile, so that the entries behind this snapshot are there to be sent next.
+
+        Raises:
+            RequestError: The member can't be reached, or rejects the snapshot.
 
-        Snapshots of this copy are held back meanwhile, so that the entries behind this one are there to be sent next.
         """
         transfer = self.transfer_of(snapshot)
-        self.own.replica.sending += 1
+        replica = self.group.replica
+        replica.snapshotter.schedule.begin_transfer()
         try:
-            await self.send_parts(peer, transfer)
+            await self.send_chunks(peer, transfer)
             return await self.install(peer, transfer)
         finally:
-            self.own.replica.sending -= 1
-            if not self.own.replica.sending:
-                self.current = None if self.own.replica.snapshot is not snapshot else self.current
+            is_last = replica.snapshotter.schedule.end_transfer()
+            if is_last and replica.log.snapshot is not snapshot:
+                self.current = None
+
+    async def send_chunks(self, peer: replica_set.ReplicaId, transfer: Transfer) -> None:
+        """Send what the member has not received of a transfer yet.
 
-    async def send_parts(self, peer: replica_set.ReplicaId, transfer: Transfer) -> None:
-        """Send what the member does not hold of a transfer yet."""
+        An empty chunk asks how much that is; whenever the answer is not what was sent, the transfer goes on from there.
+        """
         size = transfer.snapshot.size()
-        held = await self.send_part(peer, transfer, 0, b"")
-        while held < size:
-            for body in parts_from(transfer.snapshot.pieces, held):
-                before, held = held, await self.send_part(peer, transfer, held, body)
-                if held != before + len(body):
+        received = await self.send_chunk(peer, transfer, 0, b"")
+        while received < size:
+            for body in split_chunks(transfer.snapshot.pieces, received):
+                expected = received + len(body)
+                received = await self.send_chunk(peer, transfer, received, body)
+                if received != expected:
                     break
 
-    async def send_part(self, peer: replica_set.ReplicaId, transfer: Transfer, offset: int, body: bytes) -> int:
-        """Send one part, again after a broken connection; how many bytes the member holds then."""
-        message = messages.SnapshotChunk(self.own.known, peer.identity, transfer.number, offset, body)
-        for _ in range(TRIES - 1):
+    async def send_chunk(self, peer: replica_set.ReplicaId, transfer: Transfer, offset: int, body: bytes) -> int:
+        """Send one chunk, again after a broken connection; how many bytes the member has received then.
+
+        Raises:
+            RequestError: The member can't be reached, or rejects the chunk.
+
+        """
+        message = messages.SnapshotChunk(self.record(), peer.identity, transfer.transfer_id, offset, body)
+        for _ in range(CHUNK_ATTEMPTS - 1):
             try:
-                return (await self.own.link.request(peer.address, message, PART_TIME)).held
+                return (await self.group.link.request(peer.address, message, CHUNK_TIMEOUT)).received_bytes
             except result.RequestError as refusal:
                 if refusal.result is not result.ResultCode.UNREACHABLE:
                     raise
             await clock.sleep(group_state.RETRY)
-        return (await self.own.link.request(peer.address, message, PART_TIME)).held
+        return (await self.group.link.request(peer.address, message, CHUNK_TIMEOUT)).received_bytes
+
+    async def install(self, peer: replica_set.ReplicaId, transfer: Transfer) -> log_records.LogPosition:
+        """Have the member replace its log by the snapshot that it received; the end of its log then.
 
-    async def install(self, peer: replica_set.ReplicaId, transfer: Transfer) -> replica.LogPosition:
-        """Have the member replace its copy by the snapshot that it holds."""
+        Raises:
+            RequestError: The member can't be reached, or lacks a part of the snapshot.
+
+        """
         snapshot, size = transfer.snapshot, transfer.snapshot.size()
         message = messages.InstallSnapshot(
-            self.own.known,
+            self.record(),
             peer.identity,
-            transfer.number,
+            transfer.transfer_id,
             snapshot.epoch,
             snapshot.sequence,
             snapshot.digest,
             size,
         )
-        within: datetime.timedelta = INSTALL_TIME + clock.seconds(size / INSTALL_BYTES_PER_SECOND)
-        return (await self.own.link.request(peer.address, message, within)).last
+        timeout: datetime.timedelta = INSTALL_TIMEOUT + clock.seconds(size / INSTALL_BYTES_PER_SECOND)
+        return (await self.group.link.request(peer.address, message, timeout)).last
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -21,7 +21,7 @@
 
 from aspencroft.configuration import control_state
 from aspencroft.consensus import replica_set, witness
-from aspencroft.replication import replica
+from aspencroft.replication import log_records, replica, snapshotting
 from aspencroft.runtime import clock, environment
 from aspencroft.sessions import entry, lane_sessions, messages
 from aspencroft.storage import store
@@ -35,7 +35,7 @@
 HOLDERS = (replica_set.ReplicaId("a:1", "identity a"), replica_set.ReplicaId("b:2", "identity b"))
 FIRST_VOTERS = replica_set.VoterSet(1, ("w:1", "w:2", "w:3"), ())
 NEXT_VOTERS = replica_set.VoterSet(2, ("w:1", "w:2", "w:3"), ("w:1", "w:4"))
-GOAL = replica.RepairGoal(9000, b"goal 009")
+GOAL = log_records.RepairGoal(9000, b"goal 009")
 
 
 class Disk(store.Inline):
@@ -67,7 +67,7 @@
         events, _ = one.state_machine.decide(command, NOW, EPOCH)
         last = one.last().sequence
         await one.append(
-            tuple(replica.Entry(EPOCH, last + place, codec.tagged(event)) for place, event in enumerate(events, 1))
+            tuple(log_records.Entry(EPOCH, last + place, codec.tagged(event)) for place, event in enumerate(events, 1))
         )
 
 
@@ -163,7 +163,7 @@
 
 def make_data_file() -> None:
     """Write the data file, unless there is one."""
-    replica.COMPACT_ENTRIES = 4
+    snapshotting.COMPACT_ENTRIES = 4
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         asyncio.run(write_all(folder))
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("name", ["control", "talk", "witness"])
 def test_the_same_commands_write_the_same_records_byte_for_byte(name, tmp_path, monkeypatch):
-    monkeypatch.setattr(replica, "COMPACT_ENTRIES", 4)
+    monkeypatch.setattr(snapshotting, "COMPACT_ENTRIES", 4)
     asyncio.run(write_all(tmp_path / "fresh"))
     former = records(lay_out(name, tmp_path / "former"))
     assert len(former) == {"control": 9, "talk": 20, "witness": 10}[name]
@@ -218,11 +218,11 @@
     assert one.identity == "f2a74de452e6b438"
     assert one.record == replica_set.ReplicaSet(group, 3, HOLDERS[0], (HOLDERS[1],))
     assert (one.goal.sequence, one.goal.digest) == (9000, b"goal 009")
-    assert (one.snapshot.epoch, one.snapshot.sequence, one.snapshot.digest.hex()) == snapshot
+    assert (one.log.snapshot.epoch, one.log.snapshot.sequence, one.log.snapshot.digest.hex()) == snapshot
     assert (one.last().sequence, one.last().digest.hex()) == last
-    assert [kept.epoch for kept in one.entries] == [3] * len(kinds)
-    assert [kept.sequence for kept in one.entries] == list(range(snapshot[1] + 1, last[0] + 1))
-    assert [int.from_bytes(kept.body[:2], "big") for kept in one.entries] == kinds
+    assert [kept.epoch for kept in one.log.entries] == [3] * len(kinds)
+    assert [kept.sequence for kept in one.log.entries] == list(range(snapshot[1] + 1, last[0] + 1))
+    assert [int.from_bytes(kept.body[:2], "big") for kept in one.log.entries] == kinds
     assert hashlib.sha256(one.state_machine.snapshot()).hexdigest() == state
     assert records(folder) == before
 
@@ -235,7 +235,7 @@
         one = group_replica(folder, group)
         await one.open()
         before = [item.payload for item in store.load(folder, Disk())[1]]
-        await one.rewrite(one.snapshot, one.entries)
+        await one.storage.rewrite(one.log.snapshot, one.log.entries)
         after = [item.payload for item in store.load(folder, Disk())[1]]
         assert sorted(after) == sorted(before)
 
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -27,7 +27,7 @@
 from aspencroft.errors import result
 from aspencroft.node import drain_order, node, settings
 from aspencroft.proxy import call, forwarder, instance, instances
-from aspencroft.replication import replica
+from aspencroft.replication import snapshotting
 from aspencroft.runtime import clock, environment
 from aspencroft.simulation import rules, simulated_cluster, wire
 from aspencroft.workers import list_reader, pool
@@ -1187,7 +1187,7 @@
         held.append(Day(world, random.Random(seed * 7 + 1), kinds, count, closing, rate))
         await held[0].run()
 
-    replica.COMPACT_ENTRIES, witness.COMPACT = (40, 60) if seed % 3 else (4000, 2000)
+    snapshotting.COMPACT_ENTRIES, witness.COMPACT = (40, 60) if seed % 3 else (4000, 2000)
     began, wrong, played = time.perf_counter(), [], None
     try:
         played = play(seed, story, size)
--- a/aspencroft/simulation/keeping_test.py
+++ b/aspencroft/simulation/keeping_test.py
@@ -3,7 +3,7 @@
 import asyncio
 import datetime
 
-from aspencroft.replication import replica
+from aspencroft.replication import snapshotting
 from aspencroft.simulation import guarantees, simulated_cluster
 
 
@@ -53,8 +53,8 @@
 
 
 def test_history_is_there_until_its_keep_time_ends_also_after_takeovers_and_its_room_is_given_back():
-    kept = replica.COMPACT_ENTRIES
-    replica.COMPACT_ENTRIES = 60
+    kept = snapshotting.COMPACT_ENTRIES
+    snapshotting.COMPACT_ENTRIES = 60
 
     async def acts(stage: guarantees.Stage) -> None:
         one = stage.scene
@@ -100,4 +100,4 @@
     try:
         guarantees.play(92, acts)
     finally:
-        replica.COMPACT_ENTRIES = kept
+        snapshotting.COMPACT_ENTRIES = kept
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -132,7 +132,7 @@
     Mutation(
         "a started member does not ask the other one",
         "replication/log_shipping.py",
-        "        if not own.unsure and not own.replica.incomplete():\n            return True\n",
+        "        if not own.unsure and not own.replica.is_incomplete():\n            return True\n",
         "        return True\n",
         (
             "simulation/guarantees_test.py::test_a_disk_that_lost_just_its_last_synced_value_loses_nothing_that_was_acknowledged",
@@ -405,7 +405,7 @@
     Mutation(
         "a copy that was let go of counts as a lost disk",
         "replication/log_shipping.py",
-        "                if not compared.identity.startswith(replica.RELEASED):\n",
+        "                if not compared.identity.startswith(log_records.RELEASED_PREFIX):\n",
         "                if True:\n",
         ("replication/primary_test.py",),
     ),
@@ -782,8 +782,8 @@
     Mutation(
         "a cancelled append is written but not remembered",
         "replication/replica.py",
-        "        await uninterrupted.finish(self.write_and_fold(entries))\n",
-        "        await self.write_and_fold(entries)\n",
+        "        await uninterrupted.finish(self.write_and_apply(entries))\n",
+        "        await self.write_and_apply(entries)\n",
         (
             "replication/interrupted_write_test.py::test_an_append_that_is_cancelled_at_any_moment_is_whole_in_memory_or_not_on_the_disk",
             "replication/interrupted_write_test.py::test_a_backup_whose_handler_is_cancelled_mid_write_never_holds_an_entry_twice",
@@ -809,8 +809,8 @@
     Mutation(
         "half a snapshot is installed",
         "replication/snapshot_transfer.py",
-        "        if end.transfer != self.transfer or end.size != self.size:\n",
-        "        if end.transfer != self.transfer:\n",
+        "        if end.transfer_id != self.transfer_id or end.size != self.size:\n",
+        "        if end.transfer_id != self.transfer_id:\n",
         ("replication/snapshot_transfer_test.py::test_half_a_snapshot_is_not_installed_and_two_are_not_mixed",),
     ),
     Mutation(
@@ -825,7 +825,7 @@
     Mutation(
         "a copy whose repair broke off may lead",
         "replication/log_shipping.py",
-        "        if not own.unsure and not own.replica.incomplete():\n            return True\n",
+        "        if not own.unsure and not own.replica.is_incomplete():\n            return True\n",
         "        if not own.unsure:\n            return True\n",
         (
             "replication/snapshot_transfer_test.py::test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged",
@@ -834,7 +834,7 @@
     Mutation(
         "patience ends also for a copy whose repair broke off",
         "replication/log_shipping.py",
-        "        if own.replica.incomplete():\n            own.status_reason",
+        "        if own.replica.is_incomplete():\n            own.status_reason",
         "        if False:\n            own.status_reason",
         (
             "replication/snapshot_transfer_test.py::test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged",
@@ -843,7 +843,7 @@
     Mutation(
         "a repair's goal does not last",
         "replication/replica.py",
-        "            await self.write(goal)\n",
+        "            await self.write_records(goal)\n",
         "",
         (
             "replication/snapshot_transfer_test.py::test_a_transfer_that_breaks_goes_on_where_it_was_and_is_not_used_before",
@@ -851,15 +851,15 @@
     ),
     Mutation(
         "snapshots wait for the changes of a whole day",
-        "replication/replica.py",
-        "        return clock.now() >= self.rest_end and self.longer_than(RESTED_ENTRIES, RESTED_BYTES)\n",
+        "replication/snapshotting.py",
+        "        return is_early and self.is_longer_than(log, state_size, EARLY_COMPACT_ENTRIES, EARLY_COMPACT_BYTES)\n",
         "        return False\n",
         ("replication/interrupted_write_test.py::test_disk_and_start_follow_the_state_and_not_the_number_of_changes",),
     ),
     Mutation(
         "a repair that cuts a copy back leaves no mark",
         "replication/replica.py",
-        "            await self.write(goal)\n            self.goal = goal\n",
+        "            await self.write_records(goal)\n            self.goal = goal\n",
         "            self.goal = None\n",
         (
             "replication/interrupted_write_test.py::test_an_end_at_any_sync_of_appends_snapshots_and_repairs_keeps_what_was_acknowledged",
@@ -877,7 +877,7 @@
     Mutation(
         "a rewritten generation forgets that a repair is under way",
         "replication/replica.py",
-        "            [self.goal] if self.incomplete() else [],\n",
+        "            *([self.goal] if self.goal is not None and self.is_incomplete() else []),\n",
         "",
         (
             "replication/interrupted_write_test.py::test_an_end_at_any_sync_of_appends_snapshots_and_repairs_keeps_what_was_acknowledged",
@@ -885,15 +885,15 @@
     ),
     Mutation(
         "copies are compared by ranges alone",
-        "replication/replica.py",
-        "DENSE = 1024\n",
-        "DENSE = 0\n",
+        "replication/replica_log.py",
+        "DENSE_DIGEST_ENTRIES = 1024\n",
+        "DENSE_DIGEST_ENTRIES = 0\n",
         ("replication/snapshot_transfer_test.py::test_a_repair_never_cuts_a_backup_back_below_what_was_acknowledged",),
     ),
     Mutation(
         "of two entries with one number both count",
         "replication/replica.py",
-        "                self.cut(slice(max(0, value.sequence - self.snapshot.sequence - 1), None))\n",
+        "            self.log.truncate_to(max(0, record.sequence - self.log.snapshot.sequence - 1))\n",
         "",
         ("replication/interrupted_write_test.py::test_of_two_entries_with_one_number_the_later_one_counts",),
     ),
