--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -58,9 +58,11 @@
 async def append_command(local: replica.Replica, command, now: datetime.timedelta) -> None:
     """Have a command decided by a replica's state machine and its events appended, as a primary would."""
     events, _ = local.state_machine.decide(command, now, 1)
-    changed = local.last().sequence
+    last_sequence = local.last().sequence
     await local.append(
-        tuple(log_records.Entry(1, changed + number, codec.tagged(event)) for number, event in enumerate(events, 1))
+        tuple(
+            log_records.Entry(1, last_sequence + number, codec.tagged(event)) for number, event in enumerate(events, 1)
+        )
     )
 
 
