--- a/aspencroft/consensus/proposer.py
+++ b/aspencroft/consensus/proposer.py
@@ -1,41 +1,62 @@
-"""Asking the witnesses: ballots in both phases, and leases."""
+"""A proposer: sends both phases of ballots and lease requests to the voters."""
 
 import asyncio
 import collections.abc
 import contextlib
 import datetime
+import typing
+
+import logbook
 
 from aspencroft.consensus import ballot as ballots
 from aspencroft.consensus import replica_set
 from aspencroft.errors import result
 from aspencroft.runtime import clock, environment
-from aspencroft.transport import codec, connections
+from aspencroft.transport import codec
+
+LOG = logbook.Logger("consensus.proposer")
+REQUEST_TIMEOUT = clock.seconds(0.4)
+"""How long a voter may take to reply: well below the lease, so that a renewal can be tried again in time."""
+
+ChosenValue = ballots.ChosenValue
+
+
+class MessageLink(typing.Protocol):
+    """The way to other nodes, of which consensus needs only this."""
 
-ASK = clock.seconds(0.4)
-Chosen = ballots.Chosen
+    async def request(self, address: str, message: typing.Any, within: datetime.timedelta) -> typing.Any:
+        """Send a message and return its reply.
+
+        Raises: ``result.RequestError`` where the peer rejects it or no reply came in time.
+        """
+        ...
+
+    def notify(self, address: str, message: typing.Any) -> None:
+        """Send a message that needs no reply."""
+        ...
 
 
 class Proposer:
-    """The witnesses as a node knows them."""
+    """Proposes values to the voters; owns the newest voter set and the highest ballot that this node has seen."""
 
-    def __init__(self, around: environment.Environment, links: connections.Link, first_voter_set: replica_set.VoterSet):
-        self.environment = around
-        self.link = links
+    def __init__(self, env: environment.Environment, link: MessageLink, first_voter_set: replica_set.VoterSet):
+        self.environment = env
+        self.link = link
         self.voter_set = first_voter_set
         self.highest = 0
 
-    def ballot(self) -> int:
-        """A ballot number above all that were seen, and nobody else's."""
+    def next_ballot(self) -> int:
+        """A ballot number above all that were seen, and no other proposer's."""
         self.highest = ballots.next_ballot(self.highest, self.environment.randomness)
         return self.highest
 
-    def heed(self, answers: dict) -> None:
-        """Learn higher ballots and newer voter sets from answers; tell witnesses that are behind of the newest set."""
-        for one in answers.values():
-            self.highest = max(self.highest, one.ballot.raised)
-            self.learn(one.voter_set)
-        for address, one in answers.items():
-            if one.voter_set.number < self.voter_set.number:
+    def learn_from_replies(self, replies: ballots.BallotReplies) -> None:
+        """Learn higher ballots and newer voter sets from replies; notify voters that are behind of the newest set."""
+        for reply in replies.values():
+            self.highest = max(self.highest, reply.ballot.promised)
+            self.learn(reply.voter_set)
+        for address, reply in replies.items():
+            if reply.voter_set.number < self.voter_set.number:
                 self.link.notify(address, replica_set.VoterSetChosen(self.voter_set))
 
     def learn(self, voter_set: replica_set.VoterSet) -> None:
@@ -43,73 +64,82 @@
         if voter_set.number > self.voter_set.number:
             self.voter_set = voter_set
 
-    async def ask_all(
-        self, messages: dict[str, object], enough: collections.abc.Callable[[dict], bool]
+    async def request_all(
+        self,
+        messages: collections.abc.Mapping[str, object],
+        is_enough: collections.abc.Callable[[ballots.BallotReplies], bool],
     ) -> dict[str, replica_set.BallotReply]:
-        """Ask witnesses at once; answers by address, as soon as they are enough or nobody is left."""
-        answers: dict[str, replica_set.BallotReply] = {}
+        """Send messages at once; the replies by address, as soon as they are enough or nobody is left."""
+        replies: dict[str, replica_set.BallotReply] = {}
 
-        async def ask(address: str, message) -> None:
+        async def request(address: str, message: object) -> None:
             with contextlib.suppress(result.RequestError):
-                answers[address] = await self.link.request(address, message, ASK)
+                replies[address] = await self.link.request(address, message, REQUEST_TIMEOUT)
 
-        waiting = [asyncio.ensure_future(ask(address, message)) for address, message in messages.items()]
+        waiting = [asyncio.ensure_future(request(address, message)) for address, message in messages.items()]
         try:
-            while waiting and not enough(answers):
+            while waiting and not is_enough(replies):
                 await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
                 waiting = [task for task in waiting if not task.done()]
         finally:
             for task in waiting:
                 task.cancel()
-        return dict(answers)
+        return dict(replies)
 
-    async def ask_voters(
-        self, voter_set: replica_set.VoterSet, messages: dict[str, object]
+    async def request_voters(
+        self, voter_set: replica_set.VoterSet, messages: collections.abc.Mapping[str, object]
     ) -> dict[str, replica_set.BallotReply]:
-        """Ask voters until more answers change nothing, and learn from what they tell."""
-        answers = await self.ask_all(messages, lambda found: ballots.settled(voter_set, found))
-        self.heed(answers)
-        return answers
+        """Send messages to voters until more replies change nothing, and learn from the replies."""
+        replies = await self.request_all(messages, lambda received: ballots.is_decided(voter_set, received))
+        self.learn_from_replies(replies)
+        return replies
 
-    async def change(self, register: int, asker: str, function: collections.abc.Callable[[bytes], bytes]) -> Chosen:
-        """One ballot: learn the newest value that may be chosen, record what the function makes of it.
+    async def change(
+        self, register: int, requester: str, function: collections.abc.Callable[[bytes], bytes]
+    ) -> ChosenValue:
+        """Run one ballot: learn the newest value that may be chosen, and propose what the function makes of it.
 
-        The value is finished, unchanged, when the function hands it back. Refused with the time to
-        wait when a lease stands in the way or another ballot is higher.
+        A value that the function returns unchanged is finished as it is.
+
+        Raises: ``result.RequestError`` with ``NO_CLAIM`` and the time to wait when no majority promised (another's
+        lease is in force, or another ballot is higher); with ``OUTCOME_UNKNOWN`` when no majority accepted in time;
+        and whatever the function raises.
         """
         voter_set, started = self.voter_set, clock.now()
-        ballot = self.ballot()
-        prepare = replica_set.Prepare(register, ballot, asker, voter_set.number)
-        answers = await self.ask_voters(voter_set, dict.fromkeys(voter_set.everyone(), prepare))
-        promised = ballots.granted(answers)
-        if not voter_set.quorum(promised):
+        ballot = self.next_ballot()
+        prepare = replica_set.Prepare(register, ballot, requester, voter_set.number)
+        replies = await self.request_voters(voter_set, dict.fromkeys(voter_set.everyone(), prepare))
+        promises = ballots.granting_replies(replies)
+        if not voter_set.has_quorum(promises):
             raise result.RequestError(
                 result.ResultCode.NO_CLAIM,
-                retry=ballots.wait_before_retry(answers),
-                detail=f"{len(promised)} of {len(voter_set.everyone())} witnesses promised",
+                retry=ballots.wait_before_retry(replies),
+                detail=f"{len(promises)} of {len(voter_set.everyone())} witnesses promised",
             )
-        value = function(ballots.newest_accepted(promised).value)
-        accepts = ballots.accept_messages(voter_set, register, ballot, value, promised)
-        answers = await self.ask_voters(voter_set, accepts)
-        if not ballots.is_chosen(voter_set, answers, started, clock.now()):
+        value = function(ballots.newest_accepted(promises).value)
+        accepts = ballots.accept_messages(voter_set, register, ballot, value, promises)
+        replies = await self.request_voters(voter_set, accepts)
+        if not ballots.is_chosen(voter_set, replies, started, clock.now()):
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the ballot did not finish"
             )
-        return ballots.Chosen(ballot, value)
+        LOG.info(
+            "ballot {} of register {} chosen: proposed by {}, voter set {}", ballot, register, requester, voter_set
+        )
+        return ChosenValue(ballot, value)
 
     async def request_lease(
-        self, chosen: Chosen, register: int, lease_holder: str, length: datetime.timedelta
-    ) -> tuple[datetime.timedelta | None, bytes, bool]:
-        """Renew a lease: its end, counted from before it was asked for, or none; the newest value; if most answered."""
+        self, chosen: ChosenValue, register: int, lease_holder: str, length: datetime.timedelta
+    ) -> ballots.LeaseOutcome:
+        """Renew a lease on a chosen value; its end is counted from when the request was sent."""
         voter_set, started = self.voter_set, clock.now()
         message = replica_set.LeaseRequest(
             register, chosen.ballot, chosen.value, lease_holder, length, voter_set.number
         )
-        answers = await self.ask_voters(voter_set, dict.fromkeys(voter_set.everyone(), message))
-        outcome = ballots.lease_outcome(voter_set, answers, chosen, started, length)
-        return outcome.end, outcome.newest, outcome.answered
+        replies = await self.request_voters(voter_set, dict.fromkeys(voter_set.everyone(), message))
+        return ballots.lease_outcome(voter_set, replies, chosen, started, length)
 
 
 def replica_set_of(value: bytes) -> replica_set.ReplicaSet | None:
-    """The replica set in a register's value."""
+    """The replica set in a register's value, none in an empty one."""
     return codec.untagged(value) if value else None
--- a/aspencroft/consensus/replica_placement.py
+++ b/aspencroft/consensus/replica_placement.py
@@ -10,7 +10,7 @@
 
 from aspencroft.consensus import replica_set
 
-LEAST_GAIN = 2
+MIN_GAIN = 2
 """By how many replicas one disk must exceed another for a move between them to even them out."""
 
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """A member whose place in a group is better taken by another disk."""
+    """A member of a replica set that another disk should replace."""
 
     leaving: replica_set.ReplicaId
     target: Candidate
@@ -35,73 +35,86 @@
     return collections.Counter(member.address for record in records for member in record.members())
 
 
-def stable_order(group: int, address: str) -> int:
+def stable_order(group_id: int, address: str) -> int:
     """A number by which a group orders disks that are equally good; each group has an order of its own.
 
     Example: ``stable_order(1, "a:1") == stable_order(1, "a:1")``
     """
-    return zlib.crc32(f"{group} {address}".encode())
+    return zlib.crc32(f"{group_id} {address}".encode())
 
 
-def preferred(
-    group: int,
+def rank_candidates(
+    group_id: int,
     candidates: collections.abc.Iterable[Candidate],
     areas: collections.abc.Collection[str],
-    held: collections.Counter[str],
+    counts: collections.Counter[str],
 ) -> list[Candidate]:
-    """Candidates for one more member of a group that has members in some areas, the best first."""
+    """Candidates for one more member of a group that has members in some areas, the best first.
+
+    ``counts`` are the replicas that each address holds.
+    """
     return sorted(
         candidates,
-        key=lambda one: (one.area in areas, held[one.address], stable_order(group, one.address)),
+        key=lambda candidate: (
+            candidate.area in areas,
+            counts[candidate.address],
+            stable_order(group_id, candidate.address),
+        ),
     )
 
 
-def first_members(
-    group: int,
+def choose_first_members(
+    group_id: int,
     candidates: collections.abc.Sequence[Candidate],
-    copies: int,
-    founded: collections.abc.Collection[replica_set.ReplicaSet],
+    replica_count: int,
+    assigned: collections.abc.Collection[replica_set.ReplicaSet],
 ) -> list[Candidate]:
-    """The first members of a group beside groups founded before it, the primary first.
+    """The first members of a group beside groups assigned before it, the primary first.
 
     Primaries are spread first, as they do the most work, then replicas.
     """
-    held = replica_counts(founded)
-    led = collections.Counter(record.primary.address for record in founded)
-    order = {one: place for place, one in enumerate(candidates)}
-    chosen = [min(candidates, key=lambda one: (led[one.address], held[one.address], order[one]))]
-    while len(chosen) < min(copies, len(candidates)):
-        areas = {one.area for one in chosen}
-        free = [one for one in candidates if one not in chosen]
-        chosen.append(preferred(group, free, areas, held)[0])
+    counts = replica_counts(assigned)
+    primaries = collections.Counter(record.primary.address for record in assigned)
+    order = {candidate: index for index, candidate in enumerate(candidates)}
+    chosen = [
+        min(
+            candidates,
+            key=lambda candidate: (primaries[candidate.address], counts[candidate.address], order[candidate]),
+        )
+    ]
+    while len(chosen) < min(replica_count, len(candidates)):
+        areas = {member.area for member in chosen}
+        free = [candidate for candidate in candidates if candidate not in chosen]
+        chosen.append(rank_candidates(group_id, free, areas, counts)[0])
     return chosen
 
 
-def improving_move(
-    standing: replica_set.ReplicaSet,
+def find_improving_move(
+    record: replica_set.ReplicaSet,
     candidates: collections.abc.Collection[Candidate],
-    held: collections.Counter[str],
+    counts: collections.Counter[str],
 ) -> Move | None:
-    """The move of one member that spreads a group over more areas, or else evens out how much disks hold; none without.
+    """The move of one member that spreads a group over more areas, or else evens out how much disks hold; or none.
 
     Nothing is to be moved while a member is not among the candidates, the live disks: repair comes first. Each move
-    adds an area, or keeps their number and brings two disks nearer to each other, so that a row of them ends.
+    adds an area, or leaves their number and brings two disks nearer to each other, so that a row of them ends.
     Of equally good moves one of a backup is taken: a primary has to hand over first, and the next one would do so too.
     """
-    area_of = {one.address: one.area for one in candidates}
-    members = standing.members()
-    if any(one.address not in area_of for one in members):
+    area_of = {candidate.address: candidate.area for candidate in candidates}
+    members = record.members()
+    if any(member.address not in area_of for member in members):
         return None
-    free = [one for one in candidates if all(one.address != member.address for member in members)]
-    areas_now = len({area_of[one.address] for one in members})
+    taken = {member.address for member in members}
+    free = [candidate for candidate in candidates if candidate.address not in taken]
+    areas_now = len({area_of[member.address] for member in members})
     best, best_gain = None, (0, 0, False, 0)
     for leaving in members:
-        rest = {area_of[one.address] for one in members if one != leaving}
+        remaining = {area_of[member.address] for member in members if member != leaving}
         for target in free:
-            more_areas = len(rest | {target.area}) - areas_now
-            evened = held[leaving.address] - held[target.address]
-            gain = (more_areas, evened, leaving != standing.primary, stable_order(standing.group_id, target.address))
-            better = more_areas > 0 or (more_areas == 0 and evened >= LEAST_GAIN)
-            if better and gain > best_gain:
+            more_areas = len(remaining | {target.area}) - areas_now
+            evened = counts[leaving.address] - counts[target.address]
+            gain = (more_areas, evened, leaving != record.primary, stable_order(record.group_id, target.address))
+            is_better = more_areas > 0 or (more_areas == 0 and evened >= MIN_GAIN)
+            if is_better and gain > best_gain:
                 best, best_gain = Move(leaving, target), gain
     return best
--- a/aspencroft/consensus/replica_set.py
+++ b/aspencroft/consensus/replica_set.py
@@ -1,4 +1,8 @@
-"""Who holds a group: the one record that witnesses agree on, and the family of records around it."""
+"""The replica set of a group, the voter set, and the messages between proposers and voters (witnesses).
+
+The encoding is by position: fields may be renamed, never moved. ``str(ReplicaId)`` names lease holders in messages,
+so that the name and the fields of this one type stay.
+"""
 
 import collections.abc
 import dataclasses
@@ -7,14 +11,16 @@
 from aspencroft.transport import codec
 
 VOTER_SET = -1
-FOUNDING = 1
+"""The register of the voter set; those of replica sets are the groups' numbers, from zero on."""
+FIRST_VOTER_SET_NUMBER = 1
 CONTROL, TALK = "control", "talk"
+"""Kinds of groups, as settings name them: the one of the control state, and those of sessions."""
 
 
-def sort_of(group_id: int) -> str:
-    """The sort of a group by its number: which disks may hold it.
+def group_kind(group_id: int) -> str:
+    """The kind of a group by its number: which disks may hold it.
 
-    Example: ``sort_of(0) == CONTROL``
+    Example: ``group_kind(0) == CONTROL``
     """
     return TALK if group_id else CONTROL
 
@@ -22,7 +28,7 @@
 @codec.kind(20)
 @dataclasses.dataclass(frozen=True)
 class ReplicaId:
-    """A copy's holder: the node's address and the identity that its store was born with."""
+    """A replica: its node's address, and the identity that its store got when it was created."""
 
     address: str
     identity: str
@@ -31,7 +37,7 @@
 @codec.kind(21)
 @dataclasses.dataclass(frozen=True)
 class ReplicaSet:
-    """Primary and backups of a group under an epoch: each of them holds all that was answered."""
+    """Primary and backups of a group under an epoch: each of them has synced all that was acknowledged."""
 
     group_id: int
     epoch: int
@@ -46,7 +52,7 @@
 @codec.kind(22)
 @dataclasses.dataclass(frozen=True)
 class VoterSet:
-    """The witnesses: the set in force and, while it changes, the set to come.
+    """The voters: the set in force and, while it changes, the set to come (a joint voter set).
 
     Number zero is what settings name before any voter set is in force,
     number one what they name to witnesses that vote from their
@@ -58,25 +64,25 @@
     coming: tuple[str, ...]
 
     def everyone(self) -> tuple[str, ...]:
-        """All witnesses to ask."""
+        """All present and coming voters."""
         return tuple(dict.fromkeys(self.present + self.coming))
 
-    def quorum(self, answered) -> bool:
-        """Whether those who answered are a majority of each set."""
+    def has_quorum(self, answered: collections.abc.Collection[str]) -> bool:
+        """Whether the voters that answered are a majority of each set."""
         return all(
-            2 * len(set(group) & set(answered)) > len(set(group)) for group in (self.present, self.coming) if group
+            2 * len(set(voters) & set(answered)) > len(set(voters)) for voters in (self.present, self.coming) if voters
         )
 
     def losses_left(self, live: collections.abc.Collection[str]) -> int:
-        """How many of the live witnesses may be lost before no quorum is left; below zero, how many lack for one.
+        """How many of the live voters may be lost before no quorum is left; below zero, how many a quorum lacks.
 
         Example: ``VoterSet(1, ("a", "b", "c"), ()).losses_left({"a", "b"}) == 0``
         """
         return min(
             (
-                len(set(group) & set(live)) - (len(set(group)) // 2 + 1)
-                for group in (self.present, self.coming)
-                if group
+                len(set(voters) & set(live)) - (len(set(voters)) // 2 + 1)
+                for voters in (self.present, self.coming)
+                if voters
             ),
             default=0,
         )
@@ -85,10 +91,10 @@
 @codec.kind(23)
 @dataclasses.dataclass(frozen=True)
 class Ballot:
-    """What a witness keeps of a register: the ballot raised, and the value last accepted in one."""
+    """A voter's state of a register: the ballot promised last, and the ballot and value accepted last."""
 
     register: int
-    raised: int
+    promised: int
     accepted: int
     value: bytes
 
@@ -96,18 +102,21 @@
 @codec.kind(24)
 @dataclasses.dataclass(frozen=True)
 class Prepare:
-    """First phase: promise this ballot and tell what was accepted."""
+    """First phase: promise this ballot and reply with what was accepted."""
 
     register: int
     ballot: int
-    asker: str
+    requester: str
     voter_set: int
 
 
 @codec.kind(25)
 @dataclasses.dataclass(frozen=True)
 class BallotReply:
-    """Answer to a raise or a record; refused ones tell the ballot or voter set that stands in the way."""
+    """Reply to a prepare, accept or lease request; if not granted, with the ballot or voter set in the way.
+
+    ``wait`` is how long a lease in the way may still be in force.
+    """
 
     granted: bool
     incarnation: int
@@ -119,7 +128,7 @@
 @codec.kind(26)
 @dataclasses.dataclass(frozen=True)
 class Accept:
-    """Second phase: accept a value in a ballot that this incarnation of the witness promised."""
+    """Second phase: accept a value in a ballot that this incarnation of the voter promised."""
 
     register: int
     ballot: int
@@ -131,7 +140,7 @@
 @codec.kind(27)
 @dataclasses.dataclass(frozen=True)
 class LeaseRequest:
-    """Renew a primary's claim; carries the chosen value so that a witness that missed it learns it."""
+    """Renew a primary's lease; carries the chosen value so that a voter that missed it learns it."""
 
     register: int
     ballot: int
@@ -144,15 +153,15 @@
 @codec.kind(28)
 @dataclasses.dataclass(frozen=True)
 class WitnessStateRequest:
-    """Ask a witness for all that it keeps."""
+    """Ask a voter for its whole state."""
 
-    asker: str
+    requester: str
 
 
 @codec.kind(29)
 @dataclasses.dataclass(frozen=True)
-class WitnessState:
-    """A witness's state; one that is blank does not vote."""
+class WitnessStateReply:
+    """A voter's state; one that is blank does not vote."""
 
     voting: bool
     incarnation: int
@@ -163,7 +172,7 @@
 @codec.kind(30)
 @dataclasses.dataclass(frozen=True)
 class InstallWitnessState:
-    """Give blank witnesses their first state, or the one that the members' disks hold."""
+    """Give blank voters their first state, or the one that the members' disks hold."""
 
     voter_set: VoterSet
     ballots: tuple[Ballot, ...]
@@ -172,19 +181,19 @@
 @codec.kind(31)
 @dataclasses.dataclass(frozen=True)
 class Acknowledged:
-    """Plain yes."""
+    """A reply without content."""
 
 
 @codec.kind(32)
 @dataclasses.dataclass(frozen=True)
 class ReplicaReportRequest:
-    """Ask a node which copies its disk holds."""
+    """Ask a node which replicas its disk holds."""
 
 
 @codec.kind(35)
 @dataclasses.dataclass(frozen=True)
 class VoterSetChosen:
-    """A voter set that the witnesses chose, for those that had no part in the ballot."""
+    """A voter set that was chosen, for nodes that had no part in the ballot."""
 
     voter_set: VoterSet
 
@@ -192,7 +201,7 @@
 @codec.kind(36)
 @dataclasses.dataclass(frozen=True)
 class RememberedCluster:
-    """What a node's disk remembers of the fleet: the voter set in force and the nodes with disks."""
+    """What a node's disk remembers of the cluster: the voter set in force and the nodes with disks."""
 
     voter_set: VoterSet
     disks: tuple[str, ...]
@@ -201,7 +210,7 @@
 @codec.kind(33)
 @dataclasses.dataclass(frozen=True)
 class ReplicaReport:
-    """One copy on a disk: identity, the newest replica set known, and the last sequence."""
+    """One replica on a disk: identity, the newest replica set known, and the last sequence."""
 
     group_id: int
     identity: str
@@ -212,9 +221,17 @@
 @codec.kind(34)
 @dataclasses.dataclass(frozen=True)
 class ReplicaReports:
-    """All copies on a node's disk; ``first_start`` says that a blank one of them is new, not lost."""
+    """All replicas on a node's disk; ``first_start`` says that a blank one of them is new, not lost."""
 
     area: str
     copies: tuple[ReplicaReport, ...]
     known: RememberedCluster
     first_start: bool = True
+
+
+@codec.kind(55)
+@dataclasses.dataclass(frozen=True)
+class ReplicaSetNotice:
+    """A replica set that the voters chose, for a member that had no part in the ballot."""
+
+    record: ReplicaSet
--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -1,4 +1,4 @@
-"""A witness on its node: applies messages to its state one after the other, and syncs each change before it is told."""
+"""A voter (witness) on its node: applies messages to its state in order, and syncs each change before it replies."""
 
 import asyncio
 import pathlib
@@ -14,30 +14,33 @@
 LOG = logbook.Logger("consensus.witness")
 LEASE = witness_state.LEASE
 LEASE_MARGIN = witness_state.LEASE_MARGIN
-COMPACT = 2000
+COMPACT_VALUES = 2000
+"""How many values the store may hold before it is replaced by one of the newest alone."""
+
+Reply = typing.TypeVar("Reply")
 
 
 class Witness:
-    """One witness: its state and its store; diskless ones lose it at a restart and then do not vote at first."""
+    """One voter: owns its state and its store; without a disk it is blank after a restart."""
 
     def __init__(
         self,
-        around: environment.Environment,
+        env: environment.Environment,
         folder: pathlib.Path | None,
         address: str,
         incarnation: int,
         first_voter_set: replica_set.VoterSet,
     ):
-        self.environment = around
+        self.environment = env
         self.folder = folder
         self.state = witness_state.WitnessState(address, incarnation, first_voter_set)
         self.known = replica_set.RememberedCluster(first_voter_set, ())
-        self.kept: store.Store | None = None
-        self.writing = asyncio.Lock()
+        self.store: store.Store | None = None
+        self.write_lock = asyncio.Lock()
 
     @property
     def voting(self) -> bool:
-        """Whether this witness answers askers."""
+        """Whether this voter votes, that is, is not blank."""
         return self.state.voting
 
     @property
@@ -47,85 +50,102 @@
 
     @property
     def ballots(self) -> typing.Mapping[int, replica_set.Ballot]:
-        """What is kept of each register."""
+        """The ballot of each register."""
         return self.state.ballots
 
     def ballot(self, register: int) -> replica_set.Ballot:
-        """What is kept of a register."""
+        """The ballot of a register."""
         return self.state.ballot(register)
 
     def waits_out_leases(self) -> bool:
-        """Whether leases that were granted in an earlier life may still be in force."""
-        return clock.now() < self.state.awake
+        """Whether leases that were granted by an earlier incarnation may still be in force."""
+        return clock.now() < self.state.leases_expired_at
 
-    async def start(self, founding: bool = False) -> None:
-        """Read what the disk holds; with ``founding`` an empty disk is one that never held anything."""
-        values, condition = [], None
+    async def start(self, is_first_start: bool = False) -> None:
+        """Read the store; with ``is_first_start`` an empty disk is one that never held anything."""
+        values: list[typing.Any] = []
+        condition = None
         if self.folder is not None:
-            self.kept, items, condition = await self.environment.disk.perform(
+            self.store, items, condition = await self.environment.disk.perform(
                 store.load, self.folder, self.environment.disk
             )
             values = [codec.untagged(item.payload) for item in items]
         if condition is store.Condition.DAMAGED:
-            LOG.warning("the witness's store was damaged; it starts blank")
+            LOG.warning("voter {} blank: its store was damaged", self.state.address)
         for value in values:
             if isinstance(value, replica_set.RememberedCluster):
                 self.known = value
-        founds = founding and condition is store.Condition.EMPTY
-        state, writes = self.state.started(values, clock.now(), founds)
-        await self.keep(*writes)
-        self.state = state
-
-    async def keep(self, *values) -> None:
-        """Sync values before anybody is told of them."""
-        if self.kept is None or not values:
+        is_new = is_first_start and condition is store.Condition.EMPTY
+        step = self.state.restore(values, clock.now(), is_new)
+        await self.persist(*step.writes)
+        self.state = step.state
+
+    async def persist(self, *values: typing.Any) -> None:
+        """Sync values before anything is replied that rests on them."""
+        if self.store is None or not values:
             return
-        async with self.writing:
-            compacts = self.kept.count > COMPACT
-            if compacts:
-                remembered = witness_state.lasting(self.known)
+        async with self.write_lock:
+            is_compaction = self.store.count > COMPACT_VALUES
+            if is_compaction:
+                remembered = witness_state.written_twice(self.known)
                 values = (*self.ballots.values(), self.voter_set, *remembered)
             items = tuple(store.Item(0, codec.tagged(value)) for value in values)
-            work = self.kept.replace if compacts else self.kept.append
-            await self.environment.disk.perform(work, items)
+            write = self.store.replace if is_compaction else self.store.append
+            await self.environment.disk.perform(write, items)
 
-    async def settle(self, step: witness_state.Step) -> replica_set.BallotReply | None:
-        """Take a step's state into memory, sync it, and then hand out its reply.
+    async def apply_step(self, step: witness_state.Step[Reply]) -> Reply:
+        """Take a step's state into memory, sync it, and then return its reply.
 
-        An asker that needs no more answers may go away in the middle; what memory holds is synced all the same.
+        A proposer that needs no more replies may cancel this in the middle; what memory holds is synced all the same.
         """
         self.state = step.state
         if step.writes:
-            await asyncio.shield(asyncio.ensure_future(self.keep(*step.writes)))
+            await asyncio.shield(asyncio.ensure_future(self.persist(*step.writes)))
         return step.reply
 
     async def prepare(self, message: replica_set.Prepare) -> replica_set.BallotReply:
         """First phase of a ballot."""
-        return await self.settle(self.state.prepare(message, clock.now()))
+        return await self.apply_step(self.state.prepare(message, clock.now()))
 
     async def accept(self, message: replica_set.Accept) -> replica_set.BallotReply:
         """Second phase of a ballot."""
-        return await self.settle(self.state.accept(message))
+        return await self.apply_step(self.state.accept(message))
 
     async def renew_lease(self, message: replica_set.LeaseRequest) -> replica_set.BallotReply:
-        """Renew a primary's lease; a chosen value that was missed is learnt first."""
-        await self.settle(self.state.learn_chosen(message))
-        return await self.settle(self.state.renew(message, clock.now()))
+        """Renew a primary's lease; a chosen value that was missed is learnt first.
+
+        Raises: ``result.RequestError``, as the two phases do, while this voter is blank.
+        """
+        await self.apply_step(self.state.learn_chosen(message))
+        return await self.apply_step(self.state.renew(message, clock.now()))
 
     async def adopt(self, voter_set: replica_set.VoterSet) -> None:
         """Take a newer voter set that was chosen."""
-        await self.settle(self.state.adopt(voter_set))
+        previous = self.state
+        await self.apply_step(self.state.adopt(voter_set))
+        if previous.voting and previous.voter_set.number < voter_set.number:
+            LOG.info(
+                "voter {} adopted voter set {}: present {}, coming {}, {}",
+                previous.address,
+                voter_set.number,
+                voter_set.present,
+                voter_set.coming,
+                "voting" if previous.address in voter_set.everyone() else "no member, so blank from now on",
+            )
 
     async def remember(self, known: replica_set.RememberedCluster) -> None:
-        """Keep what this node knows of the cluster, for the start after a full stop."""
+        """Persist what this node knows of the cluster, for the start after a full stop."""
         if known != self.known:
             self.known = known
-            await self.keep(known)
+            await self.persist(known)
 
-    def survey(self) -> replica_set.WitnessState:
-        """All that is kept, for a blank witness that wants to learn."""
+    def survey(self) -> replica_set.WitnessStateReply:
+        """All registers and the voter set, for a blank voter that wants to learn."""
         return self.state.survey()
 
     async def learn(self, voter_set: replica_set.VoterSet, ballots: tuple[replica_set.Ballot, ...]) -> None:
-        """Take the newest of what others keep, and vote from now on."""
-        await self.settle(self.state.learn(voter_set, ballots, clock.now()))
+        """Take the newest ballots of other voters, and vote from now on."""
+        was_voting = self.voting
+        await self.apply_step(self.state.learn(voter_set, ballots, clock.now()))
+        if not was_voting:
+            LOG.info("voter {} votes: learnt {} registers, voter set {}", self.state.address, len(ballots), voter_set)
--- a/aspencroft/consensus/witness_changes.py
+++ b/aspencroft/consensus/witness_changes.py
@@ -1,40 +1,53 @@
-"""Changing the witnesses while the fleet runs: through a joint voter set, recorded with both majorities."""
+"""Changing the voters while the cluster runs: through a joint voter set, chosen with both majorities.
+
+The steps follow the joint consensus of Raft (Ongaro and Ousterhout, 2014, section 6).
+"""
 
 import collections.abc
 import contextlib
 import datetime
+import typing
 
 import logbook
 
 from aspencroft.consensus import proposer, replica_set, witness, witness_bootstrap
 from aspencroft.errors import result
 from aspencroft.runtime import clock, supervision
-from aspencroft.transport import codec, connections
+from aspencroft.transport import codec
 
 LOG = logbook.Logger("consensus.witness_changes")
-STEP = clock.seconds(0.5)
-JOINT_STEP = clock.seconds(0.2)
-ASK = clock.seconds(0.4)
-JOINT_LEAST = witness.LEASE + 2 * witness.LEASE_MARGIN
+CHECK_INTERVAL = clock.seconds(0.5)
+JOINT_CHECK_INTERVAL = clock.seconds(0.2)
+"""Time between two looks at a joint voter set: shorter, as it needs more voters than either set alone."""
+REQUEST_TIMEOUT = clock.seconds(0.4)
+MIN_JOINT_TIME = witness.LEASE + 2 * witness.LEASE_MARGIN
+"""How long a joint voter set stays in force at least, so that leases granted under the former one have expired."""
+
+
+class JointStart(typing.NamedTuple):
+    """The number of a joint voter set, and when it was first seen in force."""
 
+    number: int
+    since: datetime.timedelta
 
-def following(value: bytes, voter_set: replica_set.VoterSet, fresh: replica_set.VoterSet) -> bytes:
-    """What a ballot on the voter set records: the fresh one, unless one newer than the one it follows may be chosen."""
-    standing = codec.untagged(value) if value else voter_set
-    return value if standing.number > voter_set.number else codec.tagged(fresh)
 
+def choose_voter_set_value(value: bytes, voter_set: replica_set.VoterSet, proposed: replica_set.VoterSet) -> bytes:
+    """What a ballot proposes: the proposed voter set, unless one newer than the one it replaces may be chosen."""
+    accepted = codec.untagged(value) if value else voter_set
+    return value if accepted.number > voter_set.number else codec.tagged(proposed)
 
-def may_end(
+
+def can_leave_joint(
     voter_set: replica_set.VoterSet, ready: collections.abc.Collection[str], waited: datetime.timedelta
 ) -> bool:
     """Whether a joint voter set may give way to the coming one.
 
-    Leases of before it must have run out, and a majority of the coming voters must vote under it.
+    Leases of before it must have expired, and a majority of the coming voters must vote under it.
     """
-    return waited > JOINT_LEAST and 2 * len(set(voter_set.coming) & set(ready)) > len(set(voter_set.coming))
+    return waited > MIN_JOINT_TIME and 2 * len(set(voter_set.coming) & set(ready)) > len(set(voter_set.coming))
 
 
-def in_force(voter_set: replica_set.VoterSet, ready: collections.abc.Collection[str]) -> bool:
+def is_joint_in_force(voter_set: replica_set.VoterSet, ready: collections.abc.Collection[str]) -> bool:
     """Whether a majority of the present voters votes under a joint set, so that no quorum of the former one is left.
 
     Leases that the former set granted run from before that moment.
@@ -43,103 +56,115 @@
 
 
 class WitnessChanges:
-    """The control primary's work on the voter set; any later primary goes on where this one stopped."""
+    """The control primary's work on the voter set; any later primary continues where this one stopped."""
 
     def __init__(
         self,
-        links: connections.Link,
+        link: proposer.MessageLink,
         voters: proposer.Proposer,
         address: str,
-        leads: collections.abc.Callable[[], bool],
-        wished: collections.abc.Callable[[], tuple[str, ...]],
+        is_leader: collections.abc.Callable[[], bool],
+        target_voters: collections.abc.Callable[[], tuple[str, ...]],
     ):
-        self.link = links
+        self.link = link
         self.proposer = voters
         self.address = address
-        self.leads = leads
-        self.wished = wished
-        self.joint_since: tuple[int, datetime.timedelta] = (0, clock.ZERO)
+        self.is_leader = is_leader
+        self.target_voters = target_voters
+        self.joint_start = JointStart(0, clock.ZERO)
         self.counts = {"rosters": 0}
 
     async def run(self) -> None:
-        """One step at a time while this node leads the control group."""
+        """Make one step at a time while this node leads the control group."""
         while True:
-            await clock.sleep(JOINT_STEP if self.proposer.voter_set.coming else STEP)
-            if self.leads() and self.proposer.voter_set.number > 0:
+            await clock.sleep(JOINT_CHECK_INTERVAL if self.proposer.voter_set.coming else CHECK_INTERVAL)
+            if self.is_leader() and self.proposer.voter_set.number > 0:
                 try:
                     await self.step()
                 except result.RequestError as refusal:
-                    LOG.info("{}", refusal)
+                    LOG.info("change of voter set {} failed: {}", self.proposer.voter_set.number, refusal)
 
     async def step(self) -> None:
-        """Begin a change that is wished for, or end one that is under way.
+        """Begin a change where the target differs, or go on with one that is under way.
 
-        A joint voter set is ended only once leases of before it ran out, and a majority of the coming
-        witnesses vote under it.
+        Raises: ``result.RequestError`` as ``Proposer.change`` does.
         """
         voter_set = self.proposer.voter_set
         if voter_set.coming:
             await self.step_joint(voter_set)
             return
-        wished = self.wished()
-        if wished and set(wished) != set(voter_set.present):
-            await self.record(voter_set, voter_set.present, wished)
+        target = self.target_voters()
+        if target and set(target) != set(voter_set.present):
+            await self.propose(voter_set, voter_set.present, target)
 
     async def step_joint(self, voter_set: replica_set.VoterSet) -> None:
-        """End a joint voter set if it may end; else tell those who do not vote under it yet."""
-        ready = await self.ready(voter_set)
-        if in_force(voter_set, ready) and self.joint_since[0] != voter_set.number:
-            self.joint_since = (voter_set.number, clock.now())
-        known = self.joint_since[0] == voter_set.number
-        if known and may_end(voter_set, ready, clock.now() - self.joint_since[1]):
-            await self.record(voter_set, voter_set.coming, ())
+        """End a joint voter set if it may end; else announce it to those that do not vote under it yet.
+
+        Raises: ``result.RequestError`` as ``Proposer.change`` does.
+        """
+        ready = await self.voters_under(voter_set)
+        if is_joint_in_force(voter_set, ready) and self.joint_start.number != voter_set.number:
+            self.joint_start = JointStart(voter_set.number, clock.now())
+        is_known = self.joint_start.number == voter_set.number
+        if is_known and can_leave_joint(voter_set, ready, clock.now() - self.joint_start.since):
+            await self.propose(voter_set, voter_set.coming, ())
         else:
-            await self.tell(voter_set, (), frozenset(ready))
+            await self.announce(voter_set, (), frozenset(ready))
 
-    async def ready(self, voter_set: replica_set.VoterSet) -> list[str]:
-        """The present and coming witnesses that vote under this voter set."""
+    async def voters_under(self, voter_set: replica_set.VoterSet) -> list[str]:
+        """The present and coming voters that vote under this voter set."""
         ready = []
 
-        async def ask(address: str) -> None:
+        async def survey(address: str) -> None:
             with contextlib.suppress(result.RequestError):
-                reply = await self.link.request(address, replica_set.WitnessStateRequest(self.address), ASK)
+                reply = await self.link.request(address, replica_set.WitnessStateRequest(self.address), REQUEST_TIMEOUT)
                 if reply.voting and reply.voter_set.number == voter_set.number:
                     ready.append(address)
 
         async with supervision.Group() as group:
             for address in voter_set.everyone():
-                group.create_task(ask(address))
+                group.create_task(survey(address))
         return ready
 
-    async def record(self, voter_set: replica_set.VoterSet, present: tuple[str, ...], coming: tuple[str, ...]) -> None:
-        """Have the next voter set chosen by those who vote under this one, and tell everybody concerned."""
-        counter = voter_set.number // witness_bootstrap.COUNTER_UNIT + 1
-        fresh = replica_set.VoterSet(
-            witness_bootstrap.numbered(counter, self.proposer.environment.randomness), present, coming
-        )
+    async def propose(self, voter_set: replica_set.VoterSet, present: tuple[str, ...], coming: tuple[str, ...]) -> None:
+        """Have the next voter set chosen by those that vote under this one, and announce it to all concerned.
 
+        Raises: ``result.RequestError`` as ``Proposer.change`` does.
+        """
+        counter = voter_set.number // witness_bootstrap.COUNTER_UNIT + 1
+        number = witness_bootstrap.voter_set_number(counter, self.proposer.environment.randomness)
+        proposed = replica_set.VoterSet(number, present, coming)
         chosen = await self.proposer.change(
-            replica_set.VOTER_SET, self.address, lambda value: following(value, voter_set, fresh)
+            replica_set.VOTER_SET, self.address, lambda value: choose_voter_set_value(value, voter_set, proposed)
         )
         self.counts["rosters"] += 1
-        settled = codec.untagged(chosen.value)
-        LOG.info("witnesses: {}", settled)
-        self.proposer.learn(settled)
-        await self.tell(settled, voter_set.everyone())
+        successor = codec.untagged(chosen.value)
+        LOG.info(
+            "voter set {} chosen in ballot {}: present {}, coming {}; was {}: present {}, coming {}",
+            successor.number,
+            chosen.ballot,
+            successor.present,
+            successor.coming,
+            voter_set.number,
+            voter_set.present,
+            voter_set.coming,
+        )
+        self.proposer.learn(successor)
+        await self.announce(successor, voter_set.everyone())
 
-    async def tell(
+    async def announce(
         self,
         voter_set: replica_set.VoterSet,
-        others: tuple[str, ...] = (),
+        former: tuple[str, ...] = (),
         informed: frozenset[str] = frozenset(),
     ) -> None:
-        """Tell present, coming and former witnesses of a chosen voter set, but for those that know it."""
+        """Send a chosen voter set to present, coming and former voters, but for those that know it."""
 
-        async def one(address: str) -> None:
+        async def send(address: str) -> None:
             with contextlib.suppress(result.RequestError):
-                await self.link.request(address, replica_set.VoterSetChosen(voter_set), ASK)
+                await self.link.request(address, replica_set.VoterSetChosen(voter_set), REQUEST_TIMEOUT)
 
         async with supervision.Group() as group:
-            for address in dict.fromkeys((*voter_set.everyone(), *others)):
+            for address in dict.fromkeys((*voter_set.everyone(), *former)):
                 if address not in informed:
-                    group.create_task(one(address))
+                    group.create_task(send(address))
--- a/aspencroft/consensus/witness_placement.py
+++ b/aspencroft/consensus/witness_placement.py
@@ -1,23 +1,22 @@
-"""Which nodes should be witnesses where the core keeps the replica set: a pure choice with little movement."""
+"""Which nodes should be voters (witnesses) where the core has them: a pure choice with little movement."""
 
-MOST = 9
+MAX_WITNESSES = 9
+"""More voters would make each ballot and renewal dearer and bear no loss that matters."""
 
 
-def witnesses(
-    present: tuple[str, ...], cores: tuple[str, ...], lost: frozenset[str], most: int = MOST
+def choose_witnesses(
+    present: tuple[str, ...], cores: tuple[str, ...], lost: frozenset[str], limit: int = MAX_WITNESSES
 ) -> tuple[str, ...]:
-    """The witnesses wished for: the present ones that are not lost, then other live cores, an odd number.
+    """The voters to have: the present ones that are not lost, then other live cores, an odd number.
 
-    ``cores`` are the live core nodes in ring order, ``lost`` those of the present witnesses that have been gone for
-    long. A lost
-    one is replaced by a live core that is no witness yet; without such a one it stays, as it may come back.
-    There are never
-    fewer witnesses than before.
+    ``cores`` are the live core nodes in ring order, ``lost`` the present voters that have been gone for long. A lost
+    one is replaced by a live core that is no voter yet; without such a core it stays, as it may come back. There are
+    never fewer voters than before.
 
-    Example: ``witnesses(("a", "b", "c"), ("a", "b", "d"), frozenset({"c"})) == ("a", "b", "d")``
+    Example: ``choose_witnesses(("a", "b", "c"), ("a", "b", "d"), frozenset({"c"})) == ("a", "b", "d")``
     """
-    kept = [one for one in present if one not in lost]
-    spare = [one for one in cores if one not in present]
-    able = min(most, len(kept) + len(spare))
-    size = max(len(present), able - (able + 1) % 2)
-    return tuple(sorted([*kept, *spare, *sorted(lost & set(present))][:size]))
+    remaining = [address for address in present if address not in lost]
+    spare = [address for address in cores if address not in present]
+    available = min(limit, len(remaining) + len(spare))
+    size = max(len(present), available - (available + 1) % 2)
+    return tuple(sorted([*remaining, *spare, *sorted(lost & set(present))][:size]))
--- a/aspencroft/node/drain_order.py
+++ b/aspencroft/node/drain_order.py
@@ -158,7 +158,7 @@
         group_ids = [
             group_id
             for group_id in range(self.own.settings.group_count)
-            if member is None or replica_set.sort_of(group_id) in member.holds
+            if member is None or replica_set.group_kind(group_id) in member.holds
         ]
         return await self.whole_without(address, group_ids, end)
 
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -104,7 +104,7 @@
         )
         self.group_replicas: dict[int, group_replica.GroupReplica] = {}
         if data is not None:
-            for group_id in [one for one in range(place.group_count) if replica_set.sort_of(one) in place.held]:
+            for group_id in [one for one in range(place.group_count) if replica_set.group_kind(one) in place.held]:
                 held = replica.Replica(
                     around,
                     data / f"pair-{group_id}",
@@ -112,7 +112,7 @@
                     lane_sessions.Talk if group_id else control_state.ControlState,
                 )
                 around_it = group_state.GroupPolicy(
-                    functools.partial(self.holders, replica_set.sort_of(group_id)),
+                    functools.partial(self.holders, replica_set.group_kind(group_id)),
                     self.is_drained,
                     self.failure_detector.learn_record,
                     self.gone,
@@ -224,7 +224,7 @@
             if self.failure_detector.state(address) == cluster_member.LIVE
             and self.failure_detector.peers[address].role == settings.CORE
         )
-        return witness_placement.witnesses(present, cores, lost)
+        return witness_placement.choose_witnesses(present, cores, lost)
 
     def is_drained(self, address: str) -> bool:
         """Whether a node is to hold no copies: drained by an operator, or stopping."""
@@ -286,7 +286,7 @@
                 return await self.group_replica(message.record.group_id).install_snapshot(message)
             case replication_messages.ReplicaSetQuery():
                 return self.group_replica(message.group_id).stands(message)
-            case replication_messages.ReplicaSetNotice():
+            case replica_set.ReplicaSetNotice():
                 return await self.group_replica(message.record.group_id).appoint(message)
             case updates.WriteEverywhere():
                 return await self.write_here(message)
--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -118,7 +118,7 @@
         lease=witness.LEASE,
         lease_margin=witness.LEASE_MARGIN,
         renewal=primary.RENEW,
-        ballot_ask=proposer.ASK,
+        ballot_ask=proposer.REQUEST_TIMEOUT,
         primary_silence=backup.PRIMARY_SILENCE,
         takeover_turn=backup.TURN,
         takeover_retry=group_state.RETRY,
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -205,7 +205,7 @@
             self.incoming.forget()
             return messages.Appended(self.replica.last())
 
-    async def appoint(self, message: messages.ReplicaSetNotice) -> replica_set.Acknowledged:
+    async def appoint(self, message: replica_set.ReplicaSetNotice) -> replica_set.Acknowledged:
         """Hear at once of a record that names this node."""
         self.learn(message.record)
         return replica_set.Acknowledged()
--- a/aspencroft/replication/group_replica_test.py
+++ b/aspencroft/replication/group_replica_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from aspencroft.replication import messages
+from aspencroft.consensus import replica_set
 from aspencroft.simulation import groups, simulated_cluster
 
 THREE = simulated_cluster.Size(2, 3, 5, apart=True)
@@ -211,7 +211,7 @@
             async def cut_before_telling(
                 address, message, *rest, request=request, group_id=group_id, primary=primary, third=third
             ):
-                told = message.record if isinstance(message, messages.ReplicaSetNotice) else None
+                told = message.record if isinstance(message, replica_set.ReplicaSetNotice) else None
                 if told is not None and told.group_id == group_id and third in str(told.backups):
                     one.power_off(primary)
                     one.disks[primary].wipe()
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -69,7 +69,7 @@
         self.area = area
         self.around = around
         self.known: replica_set.ReplicaSet | None = None
-        self.chosen: proposer.Chosen | None = None
+        self.chosen: proposer.ChosenValue | None = None
         self.chosen_record: replica_set.ReplicaSet | None = None
         self.lease_end = clock.ZERO
         self.leading = False
@@ -147,7 +147,7 @@
 
     async def ballot(
         self, function: collections.abc.Callable[[replica_set.ReplicaSet], replica_set.ReplicaSet]
-    ) -> proposer.Chosen:
+    ) -> proposer.ChosenValue:
         """One ballot on the replica set; what it chose is known from then on.
 
         Witnesses may have told of a record that was accepted by few and never chosen. Where the chosen one bears no
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -70,7 +70,7 @@
                 if not compared.identity.startswith(replica.RELEASED):
                     self.lost.add(peer)
                 return False
-            await own.link.request(peer.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
+            await own.link.request(peer.address, replica_set.ReplicaSetNotice(own.known), group_state.REPLY)
             return await self.repair_from(peer, compared) == own.replica.last()
         except result.RequestError as refusal:
             LOG.info("pair {}: mending {}: {}", own.group_id, peer.address, refusal)
--- a/aspencroft/replication/messages.py
+++ b/aspencroft/replication/messages.py
@@ -100,14 +100,6 @@
     size: int
 
 
-@codec.kind(55)
-@dataclasses.dataclass(frozen=True)
-class ReplicaSetNotice:
-    """The witnesses recorded these holders."""
-
-    record: replica_set.ReplicaSet
-
-
 @codec.kind(58)
 @dataclasses.dataclass(frozen=True)
 class FetchLog:
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -142,7 +142,7 @@
             own.check_tenure()
             await clock.sleep(RENEW if end is not None else group_state.RETRY)
 
-    def outdated(self, used: proposer.Chosen, newest: bytes, answered: bool) -> bool:
+    def outdated(self, used: proposer.ChosenValue, newest: bytes, answered: bool) -> bool:
         """Whether a refused lease calls for a ballot: a newer record was seen.
 
         Or a majority answered and the lease is over.
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -44,7 +44,7 @@
             areas.add(own.area)
         free = [one for one in able if one.address not in members and not own.around.is_drained(one.address)]
         held = replica_placement.replica_counts(own.around.records())
-        best_first = replica_placement.preferred(own.group_id, free, areas, held)
+        best_first = replica_placement.rank_candidates(own.group_id, free, areas, held)
         return sorted(best_first, key=lambda one: own.doubts(one.address))
 
     def lacking(self) -> bool:
@@ -98,7 +98,7 @@
                 return False
             own.counts["recruits"] += 1
             await own.link.request(
-                peer.address, messages.ReplicaSetNotice(proposer.replica_set_of(chosen.value)), group_state.REPLY
+                peer.address, replica_set.ReplicaSetNotice(proposer.replica_set_of(chosen.value)), group_state.REPLY
             )
             return True
         except result.RequestError as refusal:
@@ -169,7 +169,7 @@
             for one in own.around.candidates()
             if not own.around.is_drained(one.address) and not own.doubts(one.address)
         ]
-        move = replica_placement.improving_move(own.known, able, held)
+        move = replica_placement.find_improving_move(own.known, able, held)
         return move.leaving if move is not None else None
 
     def turn(self, leaving: replica_set.ReplicaId) -> int:
@@ -227,7 +227,7 @@
         own = self.own
         own.handing_over = True
         await own.ballot(lambda standing: record_changes.hand_over(standing, own.me(), heir))
-        await own.link.request(heir.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
+        await own.link.request(heir.address, replica_set.ReplicaSetNotice(own.known), group_state.REPLY)
         own.check_tenure()
         own.handing_over = False
 
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -130,7 +130,7 @@
 async def write_witness(folder: pathlib.Path) -> None:
     """A founding witness that takes part in a ballot, a change of the voter set, and remembers the cluster."""
     one = new_witness(folder)
-    await one.start(founding=True)
+    await one.start(is_first_start=True)
     value = codec.tagged(replica_set.ReplicaSet(TALK_GROUP, EPOCH, HOLDERS[0], HOLDERS[1:]))
     assert (await one.prepare(replica_set.Prepare(TALK_GROUP, 17, "a:1", 1))).granted
     assert (await one.accept(replica_set.Accept(TALK_GROUP, 17, value, 5, 1))).granted
--- a/aspencroft/simulation/campaign.py
+++ b/aspencroft/simulation/campaign.py
@@ -422,7 +422,7 @@
         held.append(Day(one, random.Random(seed * 7 + 1), kinds, count))
         await held[0].run()
 
-    replica.COMPACT_ENTRIES, witness.COMPACT = (40, 60) if seed % 3 else (4000, 2000)
+    replica.COMPACT_ENTRIES, witness.COMPACT_VALUES = (40, 60) if seed % 3 else (4000, 2000)
     weather = wire.Weather(jitter=0.004, double=0.002, reset=0.0005)
     wrong = []
     began = time.perf_counter()
--- a/aspencroft/simulation/consensus_model.py
+++ b/aspencroft/simulation/consensus_model.py
@@ -105,7 +105,7 @@
     state: witness_state.WitnessState
     durable: tuple
     last: object
-    surveys: tuple[tuple[str, replica_set.WitnessState], ...] = ()
+    surveys: tuple[tuple[str, replica_set.WitnessStateReply], ...] = ()
     untaught: bool = False
     fault: str = ""
 
@@ -119,7 +119,7 @@
             tuple(sorted(state.ballots.items(), key=lambda one: one[0])),
             tuple(sorted(state.grants.items(), key=lambda one: one[0])),
             state.voting,
-            state.awake,
+            state.leases_expired_at,
             self.durable,
             self.last,
             self.surveys,
@@ -137,7 +137,7 @@
     def restarted(self, values: tuple, last: object) -> "VoterNode":
         """The node's next life with what its disk holds."""
         fresh = dataclasses.replace(self.state, incarnation=self.state.incarnation + 1)
-        state, _ = fresh.started([one for one in (*values, last) if one is not None], NOW)
+        state = fresh.restore([one for one in (*values, last) if one is not None], NOW).state
         return VoterNode(state, values, last, untaught=self.untaught or not any((*values, last)))
 
 
@@ -160,7 +160,7 @@
 class LeaseRun:
     """A candidate's lease request under way."""
 
-    chosen: ballots.Chosen
+    chosen: ballots.ChosenValue
     voter_set: replica_set.VoterSet
     started: datetime.timedelta
     answers: tuple[tuple[str, replica_set.BallotReply], ...] = ()
@@ -175,7 +175,7 @@
     voter_set: replica_set.VoterSet
     highest: int = FIRST_BALLOT
     life: int = 0
-    chosen: ballots.Chosen | None = None
+    chosen: ballots.ChosenValue | None = None
     leading: bool = False
     handing_over: bool = False
     lease_end: datetime.timedelta = clock.ZERO
@@ -292,9 +292,11 @@
                 voters.append(VoterNode(blank, (), None))
                 continue
             node = VoterNode(blank, (), None).after(blank.learn(voter_set, (ballot,), NOW))
-            voters.append(dataclasses.replace(node, state=dataclasses.replace(node.state, awake=clock.ZERO)))
+            voters.append(
+                dataclasses.replace(node, state=dataclasses.replace(node.state, leases_expired_at=clock.ZERO))
+            )
         candidates = [Candidate(place, first, voter_set) for place in range(self.scenario.candidates)]
-        chosen = ballots.Chosen(FIRST_BALLOT, codec.tagged(first))
+        chosen = ballots.ChosenValue(FIRST_BALLOT, codec.tagged(first))
         candidates[0] = dataclasses.replace(candidates[0], chosen=chosen, leading=True)
         return State(
             tuple(map(self.interner.of, voters)),
@@ -430,7 +432,7 @@
                 return candidate
             run = dataclasses.replace(run, answers=answered(run.answers, sent.target, reply))
         own = dataclasses.replace(
-            own, ballot=run, lease=lease, highest=max(own.highest, reply.ballot.raised), voter_set=newer(own, reply)
+            own, ballot=run, lease=lease, highest=max(own.highest, reply.ballot.promised), voter_set=newer(own, reply)
         )
         return self.interner.of(own)
 
@@ -536,12 +538,12 @@
         """The product's rule for the end of a joint voter set."""
         own = self.part(candidate)
         ready = self.ready(state, own.voter_set.number)
-        return witness_changes.may_end(own.voter_set, ready, NOW - own.joint_since[1])
+        return witness_changes.can_leave_joint(own.voter_set, ready, NOW - own.joint_since[1])
 
     def joint_in_force(self, state: State, candidate: int) -> bool:
         """The product's rule for the moment from which leases of the former voter set are counted."""
         voter_set = self.part(candidate).voter_set
-        return witness_changes.in_force(voter_set, self.ready(state, voter_set.number))
+        return witness_changes.is_joint_in_force(voter_set, self.ready(state, voter_set.number))
 
     def ready(self, state: State, number: int) -> list[str]:
         """The voters that vote under a voter set."""
@@ -568,10 +570,10 @@
         run, answers = own.ballot, dict(own.ballot.answers)
         if run.answers:
             add(GIVES_UP, None, self.unfinished(own), ended=phase_of(run))
-        if not ballots.settled(run.voter_set, answers):
+        if not ballots.is_decided(run.voter_set, answers):
             return
-        granting = ballots.granted(answers)
-        if not run.accepting and run.voter_set.quorum(granting):
+        granting = ballots.granting_replies(answers)
+        if not run.accepting and run.voter_set.has_quorum(granting):
             newest = ballots.newest_accepted(granting)
             value = self.proposal(own, newest.value)
             messages = ballots.accept_messages(run.voter_set, run.register, run.number, value, granting)
@@ -591,7 +593,9 @@
                 (run.voter_set.coming, ()) if run.purpose == "final" else (run.voter_set.present, self.scenario.coming)
             )
             number = (run.voter_set.number // COUNTER + 1) * COUNTER + own.place
-            return witness_changes.following(newest, run.voter_set, replica_set.VoterSet(number, present, coming))
+            return witness_changes.choose_voter_set_value(
+                newest, run.voter_set, replica_set.VoterSet(number, present, coming)
+            )
         standing = codec.untagged(newest)
         fresh = standing
         if run.purpose == "take over":
@@ -611,7 +615,7 @@
                 own = dataclasses.replace(own, voter_set=fresh)
             return own, told
         if fresh.primary == own.me():
-            own = dataclasses.replace(own, chosen=ballots.Chosen(run.number, run.value))
+            own = dataclasses.replace(own, chosen=ballots.ChosenValue(run.number, run.value))
         own = dataclasses.replace(knowing(own, fresh), handing_over=False)
         return own, []
 
@@ -630,7 +634,7 @@
             )
             envelopes = [Envelope(own.place, address, message) for address in own.voter_set.everyone()]
             add("asks for a lease", "leases", dataclasses.replace(own, lease=run), envelopes)
-        elif own.lease is not None and ballots.settled(own.lease.voter_set, dict(own.lease.answers)):
+        elif own.lease is not None and ballots.is_decided(own.lease.voter_set, dict(own.lease.answers)):
             run = own.lease
             outcome = ballots.lease_outcome(
                 run.voter_set, dict(run.answers), run.chosen, run.started, witness_state.LEASE
@@ -697,9 +701,9 @@
     def asks(self, voter: int) -> bool:
         """Whether a voter is blank and the leases of its earlier life are over."""
         state = self.part(voter).state
-        return not state.voting and state.awake <= NOW
+        return not state.voting and state.leases_expired_at <= NOW
 
-    def sources(self, node: VoterNode) -> tuple[replica_set.VoterSet, dict[str, replica_set.WitnessState]]:
+    def sources(self, node: VoterNode) -> tuple[replica_set.VoterSet, dict[str, replica_set.WitnessStateReply]]:
         """The newest voter set that a blank voter was told of, and those that told it."""
         first = replica_set.VoterSet(1, self.scenario.voters, ())
         told = max([first, *(one.voter_set for _, one in node.surveys)], key=lambda one: one.number)
@@ -719,7 +723,9 @@
     def lesson(self, node: VoterNode) -> witness_state.Step | None:
         """What the product makes of the surveys; none while too few have told."""
         told, voting = self.sources(node)
-        if node.state.address not in told.everyone() or not witness_state.taught(told, node.state.address, voting):
+        if node.state.address not in told.everyone() or not witness_state.has_sources_to_learn(
+            told, node.state.address, voting
+        ):
             return None
         return node.state.learn(told, [ballot for one in voting.values() for ballot in one.ballots], NOW)
 
@@ -776,7 +782,9 @@
             register: dataclasses.replace(one, end=past(one.end, self.scenario.step))
             for register, one in node.state.grants.items()
         }
-        state = dataclasses.replace(node.state, awake=past(node.state.awake, self.scenario.step), grants=grants)
+        state = dataclasses.replace(
+            node.state, leases_expired_at=past(node.state.leases_expired_at, self.scenario.step), grants=grants
+        )
         return self.interner.of(dataclasses.replace(node, state=state))
 
     def candidate_later(self, candidate: int) -> int:
@@ -820,7 +828,7 @@
         able = [
             voter_set
             for number, voter_set in sets.items()
-            if voter_set.quorum({one.address for one in states if one.voting and one.voter_set.number == number})
+            if voter_set.has_quorum({one.address for one in states if one.voting and one.voter_set.number == number})
         ]
         return f"two voter sets can decide: {able}" if len(able) > 1 else None
 
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -1187,7 +1187,7 @@
         held.append(Day(world, random.Random(seed * 7 + 1), kinds, count, closing, rate))
         await held[0].run()
 
-    replica.COMPACT_ENTRIES, witness.COMPACT = (40, 60) if seed % 3 else (4000, 2000)
+    replica.COMPACT_ENTRIES, witness.COMPACT_VALUES = (40, 60) if seed % 3 else (4000, 2000)
     began, wrong, played = time.perf_counter(), [], None
     try:
         played = play(seed, story, size)
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -35,7 +35,7 @@
         """The record that stands."""
         return codec.untagged(self.value)
 
-    async def change(self, _, asker: str, function: collections.abc.Callable[[bytes], bytes]) -> proposer.Chosen:
+    async def change(self, _, asker: str, function: collections.abc.Callable[[bytes], bytes]) -> proposer.ChosenValue:
         """As ``electorate.Electorate.change``."""
         await clock.sleep(clock.seconds(0.001))
         if self.refusing:
@@ -46,14 +46,14 @@
         if self.unknown:
             self.unknown = False
             raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN)
-        return proposer.Chosen(self.number, self.value)
+        return proposer.ChosenValue(self.number, self.value)
 
-    async def request_lease(self, chosen: proposer.Chosen, _, lease_holder: str, length):
+    async def request_lease(self, chosen: proposer.ChosenValue, _, lease_holder: str, length):
         """As ``electorate.Electorate.claim``."""
         started = clock.now()
         self.lengths.append(length)
         if self.deaf:
-            await clock.sleep(proposer.ASK)
+            await clock.sleep(proposer.REQUEST_TIMEOUT)
             return None, b"", False
         await clock.sleep(clock.seconds(0.001))
         standing = chosen.value == self.value and str(self.standing().primary) == lease_holder
@@ -154,7 +154,7 @@
         """Tell all nodes of the record that stands, a while after it was chosen, as witnesses do."""
         while True:
             standing = self.register.standing()
-            await clock.sleep(record_recovery.UNHEARD)
+            await clock.sleep(record_recovery.UNANNOUNCED_DELAY)
             for name, host in self.group_replicas.items():
                 if name not in self.silent:
                     host.learn(standing)
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -141,7 +141,7 @@
     Mutation(
         "claims are granted below a raised ballot",
         "consensus/witness_state.py",
-        "            or current.raised != message.ballot\n",
+        "            or current.promised != message.ballot\n",
         "",
         ("consensus/witness_test.py::test_no_claim_is_granted_below_a_raised_ballot",),
     ),
@@ -370,8 +370,8 @@
     Mutation(
         "lost disks found holders",
         "consensus/witness_bootstrap.py",
-        "            if lost:\n",
-        "            if False:\n",
+        "        if lost:\n",
+        "        if False:\n",
         ("consensus/witness_bootstrap_test.py::test_lost_disks_are_never_taken_for_a_new_fleet",),
     ),
     Mutation(
@@ -682,14 +682,14 @@
     Mutation(
         "a newcomer learns from witnesses that still vote under the former voter set",
         "consensus/witness_state.py",
-        "{one for one, survey in voting.items() if survey.voter_set.number == voter_set.number}",
+        "{source for source, survey in voting.items() if survey.voter_set.number == voter_set.number}",
         "set(voting)",
         ("consensus/witness_changes_test.py::test_a_newcomer_learns_only_from_witnesses_that_hold_its_voter_set",),
     ),
     Mutation(
         "witnesses that missed a voter set are not told of it",
         "consensus/proposer.py",
-        "if one.voter_set.number < self.voter_set.number:",
+        "if reply.voter_set.number < self.voter_set.number:",
         "if False:",
         (
             "consensus/witness_changes_test.py::test_witnesses_that_were_not_told_of_a_voter_set_hear_of_it_before_the_next_loss",
@@ -986,8 +986,8 @@
     Mutation(
         "model: a ballot is promised while a lease stands",
         "consensus/witness_state.py",
-        "        if wait > clock.ZERO or message.ballot <= current.raised:\n",
-        "        if message.ballot <= current.raised:\n",
+        "        if wait > clock.ZERO or message.ballot <= current.promised:\n",
+        "        if message.ballot <= current.promised:\n",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: takeover]",
         ),
@@ -995,7 +995,7 @@
     Mutation(
         "model: a value is accepted below a promised ballot",
         "consensus/witness_state.py",
-        "        if message.incarnation != self.incarnation or current.raised != message.ballot:\n",
+        "        if message.incarnation != self.incarnation or current.promised != message.ballot:\n",
         "        if message.incarnation != self.incarnation:\n",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: two ballots]",
@@ -1004,8 +1004,8 @@
     Mutation(
         "model: not the newest accepted value is taken",
         "consensus/ballot.py",
-        "    return max((one.ballot for one in promised.values()), key=lambda one: one.accepted)\n",
-        "    return min((one.ballot for one in promised.values()), key=lambda one: one.accepted)\n",
+        "    return max((reply.ballot for reply in promises.values()), key=lambda ballot: ballot.accepted)\n",
+        "    return min((reply.ballot for reply in promises.values()), key=lambda ballot: ballot.accepted)\n",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: two ballots]",
         ),
@@ -1013,8 +1013,8 @@
     Mutation(
         "model: a wiped voter is taught by one other",
         "consensus/witness_state.py",
-        "    return 2 * len([one for one in others if one in voting]) > len(others)\n",
-        "    return bool([one for one in others if one in voting])\n",
+        "    return 2 * len([voter for voter in others if voter in voting]) > len(others)\n",
+        "    return bool([voter for voter in others if voter in voting])\n",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: lost disk and ballots]",
         ),
@@ -1032,8 +1032,8 @@
     Mutation(
         "model: a restarted voter waits out no lease",
         "consensus/witness_state.py",
-        "            voting=recorded and self.address in voter_set.everyone(),\n            awake=now + LEASE + LEASE_MARGIN,\n",
-        "            voting=recorded and self.address in voter_set.everyone(),\n            awake=clock.ZERO,\n",
+        "            voting=recorded and self.address in voter_set.everyone(),\n            leases_expired_at=now + LEASE + LEASE_MARGIN,\n",
+        "            voting=recorded and self.address in voter_set.everyone(),\n            leases_expired_at=clock.ZERO,\n",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: restart and lease]",
         ),
@@ -1041,8 +1041,8 @@
     Mutation(
         "model: a taught voter writes its voter set before its ballots",
         "consensus/witness_state.py",
-        "        return Step(state, None, (*held.values(), *lasting(state.voter_set)))\n",
-        "        return Step(state, None, (state.voter_set, *held.values()))\n",
+        "        return Step(state, None, (*newest.values(), *written_twice(state.voter_set)))\n",
+        "        return Step(state, None, (state.voter_set, *newest.values()))\n",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: power lost in a write]",
         ),
@@ -1068,8 +1068,8 @@
     Mutation(
         "model: a joint voter set needs one majority",
         "consensus/replica_set.py",
-        "for group in (self.present, self.coming) if group\n",
-        "for group in (self.coming or self.present,) if group\n",
+        "for voters in (self.present, self.coming) if voters\n",
+        "for voters in (self.coming or self.present,) if voters\n",
         ("consensus/replica_set_test.py",),
     ),
     Mutation(
--- a/aspencroft/simulation/voters.py
+++ b/aspencroft/simulation/voters.py
@@ -99,7 +99,7 @@
     async def guided(self, address: str) -> None:
         """Work on the voter set as the control group's primary does, while this node is up."""
         while True:
-            await clock.sleep(witness_changes.STEP)
+            await clock.sleep(witness_changes.CHECK_INTERVAL)
             if self.leader == address and address not in self.network.down:
                 try:
                     await self.changes[address].step()
