--- a/aspencroft/consensus/__init__.py
+++ b/aspencroft/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Witnesses, ballots, leases and the replica-set record."""
+"""Voters (witnesses) and proposers: ballots, leases, voter sets and the replica sets that they choose."""
--- a/aspencroft/consensus/witness_changes_test.py
+++ b/aspencroft/consensus/witness_changes_test.py
@@ -12,7 +12,7 @@
 def replace_lost(voters: simulated_voters.Voters) -> None:
     """A machine is gone for good, and the wished set names another one in its place."""
     voters.network.down.add(LOST)
-    voters.wished = (*(one for one in voters.present if one != LOST), voters.addresses[-1])
+    voters.wished = (*(address for address in voters.present if address != LOST), voters.addresses[-1])
 
 
 def lose_at(step_of_loss: int, lost: tuple[str, ...], present: int) -> None:
@@ -21,29 +21,29 @@
     Writes go on and the wished set comes into force.
     """
 
-    async def acts(voters: simulated_voters.Voters) -> None:
+    async def scenario(voters: simulated_voters.Voters) -> None:
         await voters.written(1, 4)
         replace_lost(voters)
-        begun = voters.network.steps
-        happened = []
+        first_step = voters.network.steps
+        losses = []
 
         def second_loss(step: int) -> None:
-            if step == begun + step_of_loss:
+            if step == first_step + step_of_loss:
                 voters.network.down.update(lost)
                 if voters.leader in lost:
                     voters.leader = "b:1"
-                happened.append(step)
+                losses.append(step)
 
         voters.network.before = second_loss
         number = 2
-        while not (voters.settled() and happened) and number < 60:
+        while not (voters.settled() and losses) and number < 60:
             await voters.written(number, 3.5)
             await simulated_voters.clock.sleep(simulated_voters.clock.seconds(0.2))
             number += 1
         assert voters.settled(), voters.state()
         await voters.written(number, 3.5)
 
-    simulated_voters.play(acts, present)
+    simulated_voters.play(scenario, present)
 
 
 def test_a_second_loss_at_every_step_of_a_voters_replacement_leaves_a_quorum_and_all_that_was_chosen():
@@ -59,17 +59,17 @@
 
 
 def test_a_set_that_a_single_witness_accepted_stops_nobody():
-    async def acts(voters: simulated_voters.Voters) -> None:
+    async def scenario(voters: simulated_voters.Voters) -> None:
         await voters.written(1, 4)
         replace_lost(voters)
 
-        def lost(address: str, message) -> bool:
+        def is_lost(address: str, message) -> bool:
             if isinstance(message, replica_set.Accept) and message.register == replica_set.VOTER_SET:
                 return address != "d:1" and not codec.untagged(message.value).coming
             return False
 
-        voters.network.lost = lost
-        await voters.until(lambda: any(one.voter_set.coming for one in voters.network.voters.values()), 4)
+        voters.network.lost = is_lost
+        await voters.until(lambda: any(voter.voter_set.coming for voter in voters.network.voters.values()), 4)
         for number in range(2, 30):
             await voters.written(number, 2)
             await simulated_voters.clock.sleep(simulated_voters.clock.seconds(0.1))
@@ -80,11 +80,11 @@
         voters.leader = "b:1"
         await voters.until(voters.settled, 5)
 
-    simulated_voters.play(acts)
+    simulated_voters.play(scenario)
 
 
 def test_witnesses_that_were_not_told_of_a_voter_set_hear_of_it_before_the_next_loss():
-    async def acts(voters: simulated_voters.Voters) -> None:
+    async def scenario(voters: simulated_voters.Voters) -> None:
         await voters.written(1, 4)
         replace_lost(voters)
         voters.network.lost = lambda address, message: (
@@ -96,19 +96,19 @@
         voters.network.lost = lambda address, message: False
         await voters.written(2, 3)
         await simulated_voters.clock.sleep(simulated_voters.clock.seconds(0.1))
-        assert len({voters.network.voters[one].voter_set.number for one in ("a:1", "b:1", "c:1", "d:1")}) == 1
+        assert len({voters.network.voters[address].voter_set.number for address in ("a:1", "b:1", "c:1", "d:1")}) == 1
         voters.leader = "b:1"
         await voters.until(voters.settled, 6)
         voters.network.down.update(("a:1",))
         await voters.written(3, 3)
 
-    simulated_voters.play(acts)
+    simulated_voters.play(scenario)
 
 
 def test_a_newcomer_learns_only_from_witnesses_that_hold_its_voter_set():
     """What a quorum of the former set chose after the newcomer was taught would be unknown to a quorum of the next."""
 
-    async def acts(voters: simulated_voters.Voters) -> None:
+    async def scenario(voters: simulated_voters.Voters) -> None:
         joint = replica_set.VoterSet(voters.first.number * 2, voters.present, (*voters.present[:4], FRESH))
         voters.leader = ""
         voters.proposers[FRESH].learn(joint)
@@ -119,4 +119,4 @@
             await voters.network.voters[address].adopt(joint)
         await voters.until(lambda: voters.network.voters[FRESH].voting, 3)
 
-    simulated_voters.play(acts)
+    simulated_voters.play(scenario)
