--- a/aspencroft/layers_test.py
+++ b/aspencroft/layers_test.py
@@ -34,7 +34,6 @@
     ("cli.local_cluster_command", "simulation.oracle"),
     ("cli.local_cluster_command", "simulation.register"),
     ("configuration.alert_expression", "alerts.sample"),
-    ("consensus.witness_bootstrap", "replication.messages"),
     ("proxy.forwarder", "gateway.path"),
     ("residency.residency", "node.node"),
     ("workers.list_reader", "node.node"),
--- a/aspencroft/replication/messages.py
+++ b/aspencroft/replication/messages.py
@@ -103,14 +103,6 @@
     size: int
 
 
-@codec.kind(55)
-@dataclasses.dataclass(frozen=True)
-class ReplicaSetNotice:
-    """The voters chose this replica set."""
-
-    record: replica_set.ReplicaSet
-
-
 @codec.kind(58)
 @dataclasses.dataclass(frozen=True)
 class FetchLog:
--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -157,7 +157,7 @@
         reopened = make_replica(tmp_path / "a", disk)
         await reopened.open()
         for each in (local, reopened):
-            inputs = {id(kept.turn.input) for kept in each.state_machine.calls.turns.values()}
+            inputs = {id(kept.turn.input) for kept in each.state_machine.calls.history.retained.values()}
             assert len(inputs) == 100 and inputs <= {id(piece) for piece in each.log.snapshot.pieces}
 
     run_simulated(scenario())
