--- a/aspencroft/cli/daemon.py
+++ b/aspencroft/cli/daemon.py
@@ -39,7 +39,7 @@
     """The HTTP server of a node, not yet started; the operator's interface is loaded when it is first asked."""
 
     def application() -> collections.abc.Callable:
-        return importlib.import_module("aspencroft.node.operator").application(own, more)
+        return importlib.import_module("aspencroft.node.operator_api").application(own, more)
 
     host, port = own.settings.http.rsplit(":", 1)
     return Server(
--- a/aspencroft/consensus/witness_bootstrap_test.py
+++ b/aspencroft/consensus/witness_bootstrap_test.py
@@ -20,7 +20,7 @@
 
 def test_founding_does_not_wait_for_a_disk_that_was_heard_of_and_fell_silent():
     async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(lambda: len(one.nodes["core-0"].holders("talk")) == 3, 3, "heard of")
+        await one.until(lambda: len(one.nodes["core-0"].replica_candidates("talk")) == 3, 3, "heard of")
         one.power_off("storage-2")
         assert await one.until(one.formed, 8, "formed") < 3.5
 
--- a/aspencroft/gateway/callers.py
+++ b/aspencroft/gateway/callers.py
@@ -10,7 +10,7 @@
 from aspencroft.configuration import lane
 from aspencroft.errors import result
 from aspencroft.gateway import call, path
-from aspencroft.node import operator
+from aspencroft.node import operator_api
 from aspencroft.runtime import clock
 
 SLACK = clock.seconds(0.3)
@@ -114,17 +114,17 @@
         identity = path.new_identity(edge.node.environment.randomness)
         headers = {"X-Request": identity}
         try:
-            body = operator.json_body(await request.body())
+            body = operator_api.json_body(await request.body())
             edge.check_open()
             one = edge.take_in(request_of(body, edge.node.relay.configuration.lanes, identity))
         except result.RequestError as refusal:
             edge.traces.add(identity, "", clock.ZERO, "refused at the door", str(refusal))
-            response = operator.refusal_response(refusal)
+            response = operator_api.refusal_response(refusal)
             response.headers.update(headers)
             return response
         event = await next_event(one)
         if isinstance(event, call.Ended) and event.refusal is not None:
-            response = operator.refusal_response(event.refusal)
+            response = operator_api.refusal_response(event.refusal)
             response.headers.update(headers)
             return response
         if one.lane.kind == lane.TURNS:
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -72,7 +72,7 @@
         self.mean = {True: clock.seconds(0.2), False: clock.seconds(0.05)}
         self.woken: dict[str, datetime.timedelta] = {}
         self.counts: collections.Counter = collections.Counter()
-        own.sampled.append(self.samples)
+        own.sample_sources.append(self.samples)
 
     # -- taking in -------------------------------------------------------------------------------
 
--- a/aspencroft/node/drain_order.py
+++ b/aspencroft/node/drain_order.py
@@ -5,20 +5,22 @@
 import datetime
 import enum
 import json
-import typing
+
+import logbook
 
 from aspencroft.configuration import control_state
 from aspencroft.consensus import replica_set
 from aspencroft.distribution import updates
 from aspencroft.errors import result
 from aspencroft.membership import cluster_member
+from aspencroft.node import node_view
 from aspencroft.runtime import clock, supervision
 
-if typing.TYPE_CHECKING:
-    from aspencroft.node import node
-
-MEMBERS_KNOWN = clock.seconds(3)
-RETURNING = clock.seconds(10)
+LOG = logbook.Logger("node.drain_order")
+MEMBERS_KNOWN_AFTER = clock.seconds(3)
+"""A node that ran for this long has learnt of all members; before, a name that it does not know may be a member's."""
+RETURN_EXPECTED_WITHIN = clock.seconds(10)
+"""How long a disk that left or went down is expected back, before it is counted as missing."""
 
 
 class DrainState(enum.Enum):
@@ -35,17 +37,25 @@
     become whole; a node that can't tell answers that the outcome is not known.
     """
 
-    def __init__(self, own: "node.Node"):
-        self.own = own
-        self.began = clock.ZERO
+    def __init__(self, node: node_view.NodeView):
+        self.node = node
+        self.started_at = clock.ZERO
+        self.logged_states: dict[str, tuple[DrainState, tuple[int, ...]]] = {}
 
     def find(self, name: str) -> cluster_member.ClusterMember | None:
         """The member of a name, the newest run of it where several are known."""
-        found = [one for one in self.own.failure_detector.peers.values() if name in (one.name, one.address)]
-        return max(found, key=lambda one: (one.state != cluster_member.DOWN, one.incarnation), default=None)
+        found = [
+            member for member in self.node.failure_detector.peers.values() if name in (member.name, member.address)
+        ]
+        return max(found, key=lambda member: (member.state != cluster_member.DOWN, member.incarnation), default=None)
 
     def member(self, name: str) -> cluster_member.ClusterMember:
-        """The member of a name; UNKNOWN_RESOURCE only where all members must be known."""
+        """The member of a name.
+
+        Raises:
+            RequestError: UNKNOWN_RESOURCE where all members must be known, UNREACHABLE before.
+
+        """
         found = self.find(name)
         if found is not None:
             return found
@@ -55,21 +65,21 @@
 
     def members_known(self) -> bool:
         """Whether this node has run for long enough to have heard of all members."""
-        return clock.now() - self.began >= MEMBERS_KNOWN
+        return clock.now() - self.started_at >= MEMBERS_KNOWN_AFTER
 
-    def ordered(self, name: str) -> str | None:
+    def ordered_address(self, name: str) -> str | None:
         """The address of the machine of a name that is to drain or was removed since; none without such an order."""
-        drained, found = self.own.relay.configuration.drained, self.find(name)
+        drained, found = self.node.relay.configuration.drained, self.find(name)
         if found is not None:
             return found.address if found.address in drained else None
-        machines = self.own.relay.document.get("machines", {})
+        machines = self.node.relay.document.get("machines", {})
         named = (address for address in drained if name in (address, machines.get(address, {}).get("name")))
         return next(named, None)
 
-    async def newest_configuration(self, end: datetime.timedelta) -> None:
+    async def wait_for_newest_configuration(self, end: datetime.timedelta) -> None:
         """Wait until the plan here is as new as the control group's when this was called."""
-        relay = self.own.relay
-        newest = await self.own.submit(0, control_state.ReadResources(relay.revision), end - clock.now())
+        relay = self.node.relay
+        newest = await self.node.submit(0, control_state.ReadResources(relay.revision), end - clock.now())
         try:
             async with clock.limit(end - clock.now()):
                 while relay.revision < newest.revision:
@@ -79,63 +89,71 @@
                 result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the newest plan did not come in time"
             ) from None
 
-    def check_enough_left(self, member: cluster_member.ClusterMember) -> None:
+    def check_enough_disks_left(self, member: cluster_member.ClusterMember) -> None:
         """Refuse with TOO_FEW_LEFT where too few disks would hold the groups that a machine may hold.
 
         Disks that are away for a moment may come back: until then it is not known.
         """
         for sort in member.holds:
             left = [
-                one
-                for one in self.own.holders(sort)
-                if one.address != member.address and not self.own.is_drained(one.address)
+                candidate
+                for candidate in self.node.replica_candidates(sort)
+                if candidate.address != member.address and not self.node.is_drained(candidate.address)
             ]
-            if len(left) >= self.own.settings.copies:
+            if len(left) >= self.node.settings.copies:
                 continue
-            returning = [one for one in self.away(sort) if one.address != member.address]
-            if not self.members_known() or len(left) + len(returning) >= self.own.settings.copies:
+            returning = [candidate for candidate in self.returning_members(sort) if candidate.address != member.address]
+            if not self.members_known() or len(left) + len(returning) >= self.node.settings.copies:
                 raise result.RequestError(result.ResultCode.UNREACHABLE, detail=f"disks for {sort} are away")
             raise result.RequestError(result.ResultCode.TOO_FEW_LEFT, detail=f"{len(left)} disks for {sort}")
 
-    def away(self, sort: str) -> collections.abc.Iterator[cluster_member.ClusterMember]:
+    def returning_members(self, sort: str) -> collections.abc.Iterator[cluster_member.ClusterMember]:
         """Machines that may hold a sort of group, are not to drain, and left or went down a short time ago."""
-        now, detector = clock.now(), self.own.failure_detector
-        for one in detector.peers.values():
-            if sort not in one.holds or one.address in self.own.relay.configuration.drained:
+        now, detector = clock.now(), self.node.failure_detector
+        for member in detector.peers.values():
+            if sort not in member.holds or member.address in self.node.relay.configuration.drained:
                 continue
-            down = one.state == cluster_member.DOWN
-            if one.state == cluster_member.LEAVING or (
-                down and now - detector.down_since.get(one.address, now) < RETURNING
+            down = member.state == cluster_member.DOWN
+            if member.state == cluster_member.LEAVING or (
+                down and now - detector.down_since.get(member.address, now) < RETURN_EXPECTED_WITHIN
             ):
-                yield one
+                yield member
 
     async def order(self, name: str, within: datetime.timedelta) -> None:
         """Have a machine's groups moved to others, so that it may be taken away; saying it twice does no harm.
 
-        Refused when no machine bears the name (UNKNOWN_RESOURCE), when too few disks would be left for the groups that
-        it may hold (TOO_FEW_LEFT); OUTCOME_UNKNOWN when the order is not known to be kept after ``within``. The write
-        names the revision that was checked, so that of two orders that together leave too few only one is taken.
+        The write names the revision that was checked, so that of two orders that together leave too few only one is
+        taken.
+
+        Raises:
+            RequestError: UNKNOWN_RESOURCE when no machine bears the name, TOO_FEW_LEFT when too few disks would be left
+                for the groups that it may hold, OUTCOME_UNKNOWN when the order is not known to be stored after
+                ``within``, UNREACHABLE when this node can't tell.
+
         """
         end = clock.now() + within
         while True:
-            await self.newest_configuration(end)
-            if self.ordered(name) is not None:
+            await self.wait_for_newest_configuration(end)
+            if self.ordered_address(name) is not None:
                 return
             member = self.member(name)
-            self.check_enough_left(member)
+            self.check_enough_disks_left(member)
             try:
-                return await self.write(member, end)
+                await self.write(member, end)
             except result.RequestError as refusal:
                 if refusal.result is not result.ResultCode.REVISION_DIFFERS:
                     raise
+            else:
+                LOG.info("machine {} ({}) is to drain: the order is stored", member.name, member.address)
+                return
 
     async def write(self, member: cluster_member.ClusterMember, end: datetime.timedelta) -> None:
         """Write the order on top of the plan that is known here."""
         body = json.dumps({"machines": {member.address: {"emptied": True, "name": member.name}}})
-        write = control_state.WriteResources("merge", "", "", body, self.own.relay.revision)
+        write = control_state.WriteResources("merge", "", "", body, self.node.relay.revision)
         try:
             async with clock.limit(end - clock.now()):
-                await self.own.write_resources(write)
+                await self.node.write_resources(write)
         except TimeoutError:
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, f"draining {member.name}"
@@ -148,26 +166,43 @@
         that was ordered to drain, was removed and is forgotten since is still known by its order.
         """
         end = clock.now() + within
-        if self.ordered(name) is None:
-            await self.newest_configuration(end)
-        address = self.ordered(name)
+        if self.ordered_address(name) is None:
+            await self.wait_for_newest_configuration(end)
+        address = self.ordered_address(name)
         if address is None:
             self.member(name)
             return DrainState.IN_SERVICE
-        member = self.own.failure_detector.peers.get(address)
+        member = self.node.failure_detector.peers.get(address)
         group_ids = [
             group_id
-            for group_id in range(self.own.settings.group_count)
+            for group_id in range(self.node.settings.group_count)
             if member is None or replica_set.sort_of(group_id) in member.holds
         ]
-        return await self.whole_without(address, group_ids, end)
+        return await self.state_without(address, group_ids, end)
 
-    async def whole_without(self, address: str, group_ids: list[int], end: datetime.timedelta) -> DrainState:
-        """Whether all of some groups are whole without a machine, as far as their primaries say so in time."""
-        asked: list[asyncio.Task] = []
+    async def state_without(self, address: str, group_ids: list[int], end: datetime.timedelta) -> DrainState:
+        """Whether all of some groups are complete without a machine, as far as their primaries say so in time."""
+        client, copies = self.node.group_client, self.node.settings.copies
+        queries: list[asyncio.Task[bool]] = []
         try:
             async with clock.limit(end - clock.now()), supervision.Group() as group:
-                asked = [group.create_task(self.own.stands(group_id, address)) for group_id in group_ids]
+                queries = [
+                    group.create_task(client.is_complete_without(group_id, address, copies)) for group_id in group_ids
+                ]
         except TimeoutError:
             return DrainState.IN_SERVICE
-        return DrainState.DRAINED if all(task.result() for task in asked) else DrainState.IN_SERVICE
+        incomplete = tuple(group_id for group_id, query in zip(group_ids, queries, strict=True) if not query.result())
+        state = DrainState.IN_SERVICE if incomplete else DrainState.DRAINED
+        self.log_change(address, state, incomplete)
+        return state
+
+    def log_change(self, address: str, state: DrainState, incomplete: tuple[int, ...]) -> None:
+        """Log a machine's drain state when it, or the groups that still need the machine, changed since last time."""
+        if self.logged_states.get(address) == (state, incomplete):
+            return
+        self.logged_states[address] = state, incomplete
+        if state is DrainState.DRAINED:
+            LOG.info("machine {} is drained: all groups are complete without it", address)
+        else:
+            groups = ", ".join(str(group_id) for group_id in incomplete)
+            LOG.info("machine {} is draining: groups {} are not known to be complete without it", address, groups)
--- a/aspencroft/node/drain_order_test.py
+++ b/aspencroft/node/drain_order_test.py
@@ -32,7 +32,7 @@
         self.failure_detector = types.SimpleNamespace(peers={MACHINE: member}, down_since={})
         self.written: list[control_state.WriteResources] = []
 
-    def holders(self, sort: str) -> tuple:
+    def replica_candidates(self, sort: str) -> tuple:
         return ()
 
     def is_drained(self, address: str) -> bool:
@@ -57,7 +57,7 @@
 
     async def whole():
         orders = drain_order.DrainOrders(own)
-        orders.began = clock.now() - drain_order.MEMBERS_KNOWN
+        orders.started_at = clock.now() - drain_order.MEMBERS_KNOWN_AFTER
         return await orders.order("storage-0", clock.seconds(0.85))
 
     async def begun():
--- a/aspencroft/node/node_test.py
+++ b/aspencroft/node/node_test.py
@@ -180,7 +180,7 @@
         await one.until(lambda: orders.find(away).state == cluster_member.DOWN, 10, "seen down")
         answer = await stage.ask_node(one.cores[0], orders.order(victim, WITHIN))
         assert answer.result is result.ResultCode.UNREACHABLE
-        await asyncio.sleep(drain_order.RETURNING.total_seconds())
+        await asyncio.sleep(drain_order.RETURN_EXPECTED_WITHIN.total_seconds())
         answer = await stage.ask_node(one.cores[0], orders.order(victim, WITHIN))
         assert answer.result is result.ResultCode.TOO_FEW_LEFT
         one.start(away)
@@ -205,7 +205,7 @@
                 answer = await stage.ask_node(asked, work)
                 unknown = answer.result is result.ResultCode.UNKNOWN_RESOURCE
                 assert unknown or answer.result.status >= 500
-                assert not unknown or one.loop.time() - began >= drain_order.MEMBERS_KNOWN.total_seconds()
+                assert not unknown or one.loop.time() - began >= drain_order.MEMBERS_KNOWN_AFTER.total_seconds()
                 seen.append(unknown)
             await asyncio.sleep(0.1)
         assert seen[-1] and not seen[0]
--- a/aspencroft/node/root_test.py
+++ b/aspencroft/node/root_test.py
@@ -6,7 +6,7 @@
 
 from aspencroft.configuration import control_state
 from aspencroft.errors import result
-from aspencroft.node import node, settings
+from aspencroft.node import configuration_service, node, settings
 from aspencroft.runtime import clock, environment
 from aspencroft.simulation import groups, loop
 
@@ -44,7 +44,7 @@
         around = environment.Environment(None, None, None, random.Random(1), lambda: EPOCH)
         own = node.Node(settings.check(PLACE), around)
         primary = own.group_replicas[0] = Primary()
-        running = asyncio.ensure_future(own.root())
+        running = asyncio.ensure_future(own.configuration_service.run_root())
         await clock.sleep(clock.seconds(2))
         assert not own.is_root() and own.relay.currency_end == clock.ZERO
         primary.readable = True
@@ -70,9 +70,9 @@
         own = scene.nodes[victim]
         orders = own.drain_orders
         for work in (
-            orders.order("nobody", node.APPLY),
-            orders.order("storage-2", node.APPLY),
-            orders.state("storage-2", node.APPLY),
+            orders.order("nobody", configuration_service.APPLY_TIMEOUT),
+            orders.order("storage-2", configuration_service.APPLY_TIMEOUT),
+            orders.state("storage-2", configuration_service.APPLY_TIMEOUT),
         ):
             began = scene.loop.time()
             refused = await stage.ask_node(victim, work)
--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -153,8 +153,9 @@
     found: list[Inequality] = []
 
     def demand(name: str, left: datetime.timedelta, *allowed: tuple[str, datetime.timedelta | None]) -> None:
-        if all(bound is not None for _, bound in allowed):
-            right = sum((bound for _, bound in allowed), clock.ZERO)
+        spans = [bound for _, bound in allowed if bound is not None]
+        if len(spans) == len(allowed):
+            right = sum(spans, clock.ZERO)
             found.append(Inequality(name, left, " + ".join(allowed_name for allowed_name, _ in allowed), right))
 
     contact, apply = ("contact", bounds.contact), ("apply", bounds.apply)
@@ -188,4 +189,4 @@
 def violations(times: Times, bounds: Bounds) -> tuple[str, ...]:
     """The inequalities that do not hold, as text; none when the bounds can be met."""
     checked = own_inequalities(times) + bound_inequalities(times, bounds)
-    return tuple(one.text() for one in checked if not one.holds())
+    return tuple(inequality.text() for inequality in checked if not inequality.holds())
--- a/aspencroft/node/timing_check_test.py
+++ b/aspencroft/node/timing_check_test.py
@@ -8,7 +8,7 @@
 import logbook
 import pytest
 
-from aspencroft.node import node, settings, timing_check
+from aspencroft.node import configuration_service, node, settings, timing_check
 from aspencroft.runtime import clock, environment
 
 SMALL = {"contact": 3, "acknowledge": 4, "apply": 2, "drain": 3, "recovery": 12, "unsettled": 5}
@@ -29,7 +29,10 @@
 def times(**changed) -> timing_check.Times:
     members = timing_check.CONTROL_MEMBERS
     return dataclasses.replace(
-        timing_check.times_in_force(clock.seconds(12), clock.seconds(0.25), node.APPLY, members), **changed
+        timing_check.times_in_force(
+            clock.seconds(12), clock.seconds(0.25), configuration_service.APPLY_TIMEOUT, members
+        ),
+        **changed,
     )
 
 
--- a/aspencroft/platform_check/timing_bounds_test.py
+++ b/aspencroft/platform_check/timing_bounds_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from aspencroft.node import node, timing_check
+from aspencroft.node import configuration_service, timing_check
 from aspencroft.runtime import clock
 
 import settings_file
@@ -45,7 +45,9 @@
     if timing_bounds is not None:
         document["timing-bounds"] = timing_bounds
     place = settings_file.of(document).settings
-    times = timing_check.times_in_force(place.currency, place.confirm, node.APPLY, timing_check.CONTROL_MEMBERS)
+    times = timing_check.times_in_force(
+        place.currency, place.confirm, configuration_service.APPLY_TIMEOUT, timing_check.CONTROL_MEMBERS
+    )
     return timing_check.violations(times, place.bounds)
 
 
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -127,7 +127,7 @@
         self.draining = False
         self.closed = False
         self.counts: collections.Counter = collections.Counter()
-        own.sampled.append(self.samples)
+        own.sample_sources.append(self.samples)
 
     async def run(self) -> None:
         """The standing work beside the calls: the ends of calls that nobody waits for."""
--- a/aspencroft/simulation/groups.py
+++ b/aspencroft/simulation/groups.py
@@ -44,7 +44,7 @@
         """Whether every group is served with as many members as it is to have."""
         leaders = {group_id: self.scene.leader(group_id) for group_id in range(3)}
         return all(
-            name and len(self.record(group_id).members()) >= self.scene.nodes[name].goal(group_id)
+            name and len(self.record(group_id).members()) >= self.scene.nodes[name].target_replica_count(group_id)
             for group_id, name in leaders.items()
         )
 
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -439,9 +439,9 @@
     ),
     Mutation(
         "a machine counts as drained at once",
-        "node/node.py",
-        "        return reply.drained and len(members) >= self.settings.copies and all(one.address != address for one in members)\n",
-        "        return reply.drained\n",
+        "node/group_client.py",
+        "reply.drained and len(members) >= replica_count and all(member.address != address for member in members)\n",
+        "reply.drained\n",
         ("node/node_test.py::test_emptying_a_machine_completes_and_nothing_is_lost",),
     ),
     Mutation(
@@ -610,14 +610,14 @@
     Mutation(
         "a drain order is checked against whatever plan the node has",
         "node/drain_order.py",
-        "            await self.newest_configuration(end)\n            if self.ordered",
-        "            if self.ordered",
+        "            await self.wait_for_newest_configuration(end)\n            if self.ordered_address",
+        "            if self.ordered_address",
         ("node/drain_order_test.py",),
     ),
     Mutation(
         "a drain order does not name the plan that it was checked against",
         "node/drain_order.py",
-        '"", "", body, self.own.relay.revision)',
+        '"", "", body, self.node.relay.revision)',
         '"", "", body, None)',
         (
             "node/node_test.py::test_of_two_drain_orders_at_once_that_leave_too_few_together_one_is_taken_wherever_they_are_sent",
@@ -713,7 +713,7 @@
     Mutation(
         "records whose proposer died are settled by nobody",
         "node/node.py",
-        '                "records": self.record_recovery.run,\n',
+        '            "records": self.record_recovery.run,\n',
         "",
         (
             "replication/group_replica_test.py"
@@ -1151,22 +1151,22 @@
     ),
     Mutation(
         "a new primary is the root before its first read",
-        "node/node.py",
-        "            except result.RequestError:\n                await clock.sleep(STEP / 5)\n            else:\n                if not self.relay.root and held.has_lease():\n                    self.relay.become_root()\n",
-        "            except result.RequestError:\n                await clock.sleep(STEP / 5)\n            if not self.relay.root and held.has_lease():\n                self.relay.become_root()\n",
+        "node/configuration_service.py",
+        "            except result.RequestError:\n                await clock.sleep(COMMIT_WAIT / 5)\n            else:\n                if not relay.root and held.has_lease():\n                    relay.become_root()\n",
+        "            except result.RequestError:\n                await clock.sleep(COMMIT_WAIT / 5)\n            if not relay.root and held.has_lease():\n                relay.become_root()\n",
         ("node/root_test.py",),
     ),
     Mutation(
         "a core says from its own view that a machine is in service",
         "node/drain_order.py",
-        "        if self.ordered(name) is None:\n            await self.newest_configuration(end)\n",
+        "        if self.ordered_address(name) is None:\n            await self.wait_for_newest_configuration(end)\n",
         "",
         ("node/root_test.py",),
     ),
     Mutation(
         "time bounds that cannot be met are not said",
         "node/timing_check.py",
-        "    return tuple(one.text() for one in checked if not one.holds())\n",
+        "    return tuple(inequality.text() for inequality in checked if not inequality.holds())\n",
         "    return ()\n",
         ("node/timing_check_test.py",),
     ),
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -14,7 +14,7 @@
 from aspencroft.consensus import replica_set
 from aspencroft.emulator import caller, shape, world
 from aspencroft.gateway import callers, path
-from aspencroft.node import node, operator, settings
+from aspencroft.node import node, operator_api, settings
 from aspencroft.power import machine_power
 from aspencroft.residency import residency
 from aspencroft.runtime import environment
@@ -154,7 +154,7 @@
             async with asyncio.TaskGroup() as group:
                 group.create_task(own.run())
                 await own.started.wait()
-                self.wire.pages[f"{name}:80"] = (name, operator.application(own, more))
+                self.wire.pages[f"{name}:80"] = (name, operator_api.application(own, more))
                 for work in works:
                     group.create_task(work())
         except BaseExceptionGroup as error:
