--- a/aspencroft/node/drain_order_test.py
+++ b/aspencroft/node/drain_order_test.py
@@ -51,28 +51,28 @@
         self.written.append(write)
 
 
-def ordered(own: LaggingNode):
+def order_drain(node: LaggingNode):
     simulated = loop.SimLoop()
     simulated.begin("outside")
 
-    async def whole():
-        orders = drain_order.DrainOrders(own)
+    async def order():
+        orders = drain_order.DrainOrders(node)
         orders.started_at = clock.now() - drain_order.MEMBERS_KNOWN_AFTER
         return await orders.order("storage-0", clock.seconds(0.85))
 
-    async def begun():
-        return await asyncio.get_running_loop().create_task(whole(), context=simulated.context_of("outside"))
+    async def run_on_simulated_node():
+        return await asyncio.get_running_loop().create_task(order(), context=simulated.context_of("outside"))
 
-    return simulated.run_until_complete(begun())
+    return simulated.run_until_complete(run_on_simulated_node())
 
 
 def test_an_order_that_was_taken_is_done_again_on_a_node_that_had_not_heard_of_it_yet():
-    own = LaggingNode(learns=True)
-    assert ordered(own) is None
-    assert own.written == []
+    node = LaggingNode(learns=True)
+    assert order_drain(node) is None
+    assert node.written == []
 
 
 def test_a_node_that_does_not_hear_of_the_newest_plan_refuses_nothing():
     with pytest.raises(result.RequestError) as caught:
-        ordered(LaggingNode(learns=False))
+        order_drain(LaggingNode(learns=False))
     assert caught.value.result is result.ResultCode.OUTCOME_UNKNOWN and caught.value.ran is result.Ran.UNKNOWN
--- a/aspencroft/node/memory_report.py
+++ b/aspencroft/node/memory_report.py
@@ -10,9 +10,11 @@
 from aspencroft.runtime import clock, process_memory
 
 LOG = logbook.Logger("node.memory_report")
-LOOK_EVERY = clock.seconds(1)
+CHECK_PERIOD = clock.seconds(1)
 WARN_SHARE = 0.7
+"""Share of the limit from which on warnings are logged."""
 STEP_SHARE = 0.05
+"""Share of the limit by which memory has to grow for the next warning."""
 MEGABYTE = 1e6
 
 
@@ -68,7 +70,7 @@
             "{:.1f} of {:.1f} MB in use; groups: {}",
             resident / MEGABYTE,
             self.limit / MEGABYTE,
-            "; ".join(one.text() for one in self.groups()),
+            "; ".join(group.text() for group in self.groups()),
         )
 
     def samples(self) -> list[sample.Sample]:
@@ -88,4 +90,4 @@
         """Look again and again."""
         while True:
             self.look()
-            await clock.sleep(LOOK_EVERY)
+            await clock.sleep(CHECK_PERIOD)
--- a/aspencroft/node/root_test.py
+++ b/aspencroft/node/root_test.py
@@ -11,7 +11,7 @@
 from aspencroft.simulation import groups, loop
 
 EPOCH = datetime.datetime(2030, 1, 1, tzinfo=datetime.UTC)
-PLACE = {
+SETTINGS = {
     "address": "127.0.0.1:7000",
     "http": "127.0.0.1:7001",
     "area": "north",
@@ -40,43 +40,43 @@
 
 
 def test_a_primary_is_no_root_before_its_first_read_and_none_after_its_lease():
-    async def acts() -> None:
-        around = environment.Environment(None, None, None, random.Random(1), lambda: EPOCH)
-        own = node.Node(settings.check(PLACE), around)
-        primary = own.group_replicas[0] = Primary()
-        running = asyncio.ensure_future(own.configuration_service.run_root())
+    async def scenario() -> None:
+        node_environment = environment.Environment(None, None, None, random.Random(1), lambda: EPOCH)
+        root_node = node.Node(settings.check(SETTINGS), node_environment)
+        primary = root_node.group_replicas[0] = Primary()
+        running = asyncio.ensure_future(root_node.configuration_service.run_root())
         await clock.sleep(clock.seconds(2))
-        assert not own.is_root() and own.relay.currency_end == clock.ZERO
+        assert not root_node.is_root() and root_node.relay.currency_end == clock.ZERO
         primary.readable = True
         await clock.sleep(clock.seconds(0.5))
-        assert own.is_root() and own.relay.stranger_end > clock.now()
+        assert root_node.is_root() and root_node.relay.stranger_end > clock.now()
         primary.leased = False
-        assert not own.is_root()
+        assert not root_node.is_root()
         await clock.sleep(clock.seconds(0.5))
         primary.leased, primary.readable = True, False
         await clock.sleep(clock.seconds(1))
-        assert not own.is_root(), "a second tenure begins with a read as well"
+        assert not root_node.is_root(), "a second tenure begins with a read as well"
         running.cancel()
 
-    loop.SimLoop().run_until_complete(acts())
+    loop.SimLoop().run_until_complete(scenario())
 
 
 def test_a_core_that_is_cut_off_neither_refuses_nor_answers_orders_to_drain():
-    async def acts(stage: groups.Stage) -> None:
-        scene = stage.scene
-        victim = scene.leader(0)
-        scene.wire.cut([victim], [name for name in scene.names() if name != victim])
+    async def scenario(stage: groups.Stage) -> None:
+        cluster = stage.scene
+        victim = cluster.leader(0)
+        cluster.wire.cut([victim], [name for name in cluster.names() if name != victim])
         await asyncio.sleep(8)
-        own = scene.nodes[victim]
-        orders = own.drain_orders
+        cut_off_node = cluster.nodes[victim]
+        orders = cut_off_node.drain_orders
         for work in (
             orders.order("nobody", configuration_service.APPLY_TIMEOUT),
             orders.order("storage-2", configuration_service.APPLY_TIMEOUT),
             orders.state("storage-2", configuration_service.APPLY_TIMEOUT),
         ):
-            began = scene.loop.time()
+            started_at = cluster.loop.time()
             refused = await stage.ask_node(victim, work)
             assert isinstance(refused, result.RequestError) and refused.result.status >= 500, refused
-            assert refused.retry > clock.ZERO and scene.loop.time() - began < 0.95
+            assert refused.retry > clock.ZERO and cluster.loop.time() - started_at < 0.95
 
-    groups.play(7, acts)
+    groups.play(7, scenario)
