--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1152,8 +1152,8 @@
     Mutation(
         "a new primary is the root before its first read",
         "node/configuration_service.py",
-        "            except result.RequestError:\n                await clock.sleep(COMMIT_WAIT / 5)\n            else:\n                if not relay.root and held.has_lease():\n                    relay.become_root()\n",
-        "            except result.RequestError:\n                await clock.sleep(COMMIT_WAIT / 5)\n            if not relay.root and held.has_lease():\n                relay.become_root()\n",
+        '            except result.RequestError:\n                await clock.sleep(COMMIT_WAIT / 5)\n            else:\n                if not relay.root and held.has_lease():\n                    relay.become_root()\n                    LOG.info("{} became the configuration root: {}", self.node.address, self.newest())\n',
+        '            except result.RequestError:\n                await clock.sleep(COMMIT_WAIT / 5)\n            if not relay.root and held.has_lease():\n                relay.become_root()\n                LOG.info("{} became the configuration root: {}", self.node.address, self.newest())\n',
         ("node/root_test.py",),
     ),
     Mutation(
