--- a/aspencroft/consensus/witness_bootstrap_test.py
+++ b/aspencroft/consensus/witness_bootstrap_test.py
@@ -20,7 +20,7 @@
 
 def test_founding_does_not_wait_for_a_disk_that_was_heard_of_and_fell_silent():
     async def scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
-        await cluster.until(lambda: len(cluster.nodes["core-0"].holders("talk")) == 3, 3, "heard of")
+        await cluster.until(lambda: len(cluster.nodes["core-0"].replica_candidates("talk")) == 3, 3, "heard of")
         cluster.power_off("storage-2")
         assert await cluster.until(cluster.formed, 8, "formed") < 3.5
 
