--- a/aspencroft/node/operator_api.py
+++ b/aspencroft/node/operator_api.py
@@ -77,7 +77,6 @@
         RequestError: MALFORMED where it is no JSON.
 
     Example: ``json_body(b"{}") == {}``
-
     """
     try:
         return json_input.parsed(raw)
--- a/aspencroft/platform_check/order_races.py
+++ b/aspencroft/platform_check/order_races.py
@@ -47,8 +47,6 @@
 
     Once all is calm every order is sent again to nodes drawn by lot: what was taken is acknowledged again, what was
     refused is not, and what got no clear answer gets the one that the final chain of versions allows.
-
-    Example: ``race(1)[1] == []``
     """
     total: collections.Counter = collections.Counter()
     found: list[str] = []
@@ -126,10 +124,7 @@
 
 
 def drain_race(seed: int) -> list[str]:
-    """Orders to drain more machines than may go, all at once, while the control primary is hurt; what broke the rules.
-
-    Example: ``drain_race(1) == []``
-    """
+    """Orders to drain more machines than may go, all at once, while the control primary is hurt; what broke the rules."""
     found: list[str] = []
     size = dataclasses.replace(SIZE, storages=5)
 
--- a/aspencroft/simulation/behaviour_digests.py
+++ b/aspencroft/simulation/behaviour_digests.py
@@ -55,10 +55,7 @@
         self.numbers: dict[str, int] = {}
 
     def __call__(self, word: str) -> int:
-        """The number of a word.
-
-        Example: ``words("done")``
-        """
+        """The number of a word."""
         return self.numbers.setdefault(word, len(self.numbers))
 
 
@@ -105,20 +102,14 @@
 
 
 def digest(*observations) -> str:
-    """The SHA-256 of observations in their canonical form.
-
-    Example: ``digest([1, 2], 0.5)``
-    """
+    """The SHA-256 of observations in their canonical form."""
     text = json.dumps(plain(observations), separators=(",", ":"))
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 @contextlib.contextmanager
 def days_made(module) -> collections.abc.Iterator[list]:
-    """The days that a campaign makes inside the context, for it returns no more than summaries of them.
-
-    Example: ``with days_made(campaign) as days: campaign.run_day(1)``
-    """
+    """The days that a campaign makes inside the context, for it returns no more than summaries of them."""
     make, days = module.Day, []
 
     def noted(*arguments, **named):
@@ -130,10 +121,7 @@
 
 
 def final_versions(cluster: simulated_cluster.SimulatedCluster) -> list:
-    """Each living node at the end, with the version of the configuration that it holds.
-
-    Example: ``final_versions(cluster)[0] == ["edge-0", 3]``
-    """
+    """Each living node at the end, with the version of the configuration that it holds."""
     return [
         [name, cluster.nodes[name].relay.configuration.version]
         for name in cluster.names()
@@ -166,10 +154,7 @@
 
 
 def campaign_day(seed: int, apart: bool) -> Observed:
-    """A day of the older campaigns; ``apart`` puts the control group on the cores' disks.
-
-    Example: ``campaign_day(1, False).broken == 0``
-    """
+    """A day of the older campaigns; ``apart`` puts the control group on the cores' disks."""
     with days_made(campaign) as days:
         if apart:
             shown = campaign.run_day(seed, APART_KINDS, APART_FAULTS, APART, {"witnesses": "core"})
@@ -204,10 +189,7 @@
 
 
 def forwarding_day(seed: int) -> Observed:
-    """A day of opaque calls.
-
-    Example: ``forwarding_day(1).broken == 0``
-    """
+    """A day of opaque calls."""
     with days_made(forwarding) as days:
         shown = forwarding.run_day(seed, count=FORWARDING_FAULTS)
     day, word = days[0], Words()
@@ -254,10 +236,7 @@
 
 
 def cutoff_day(seed: int) -> Observed:
-    """A day of orders and reads while cores and edges are cut off.
-
-    Example: ``cutoff_day(1).broken == 0``
-    """
+    """A day of orders and reads while cores and edges are cut off."""
 
     async def trouble(cluster: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
         await cutoff.random_trouble(cluster, trial, CUTOFF_ROUNDS)
@@ -277,20 +256,14 @@
 
 
 def model_day(checks: tuple[model_check.Check, ...]) -> Observed:
-    """Bounded explorations of the protocol's models: states, steps and depth of each.
-
-    Example: ``model_day(model_check.copies_checks()).broken == 0``
-    """
+    """Bounded explorations of the protocol's models: states, steps and depth of each."""
     found = [explorer.explore(one.model(), MODEL_STATES) for one in checks]
     rows = [[one.states, one.steps, one.depth, one.complete, one.violation is not None] for one in found]
     return Observed(digest(rows), broken=sum(one.violation is not None for one in found))
 
 
 def days() -> dict[str, tuple[collections.abc.Callable[..., Observed], tuple]]:
-    """All days by name, the long ones first.
-
-    Example: ``days()["forwarding 1"]``
-    """
+    """All days by name, the long ones first."""
     return {
         **{f"cutoff {seed}": (cutoff_day, (seed,)) for seed in CUTOFF_SEEDS},
         **{f"campaign {seed}": (campaign_day, (seed, False)) for seed in CAMPAIGN_SEEDS},
@@ -303,26 +276,17 @@
 
 
 def model_voters(voters: int) -> Observed:
-    """The checks of so many voters.
-
-    Example: ``model_voters(3).broken == 0``
-    """
+    """The checks of so many voters."""
     return model_day(model_check.voting_checks(model_check.FIVE[:voters]))
 
 
 def model_copies() -> Observed:
-    """The checks of a group's copies.
-
-    Example: ``model_copies().broken == 0``
-    """
+    """The checks of a group's copies."""
     return model_day(model_check.copies_checks())
 
 
 def play(name: str) -> Observed:
-    """Play a day by its name.
-
-    Example: ``play("model of copies").digest``
-    """
+    """Play a day by its name."""
     function, arguments = days()[name]
     began = time.perf_counter()
     observed = function(*arguments)
@@ -330,10 +294,7 @@
 
 
 def play_apart(names: collections.abc.Iterable[str], processes: int) -> dict[str, Observed]:
-    """Play days, each in a fresh process with the same hash seed, so that none depends on another.
-
-    Example: ``play_apart(["forwarding 3"], 1)``
-    """
+    """Play days, each in a fresh process with the same hash seed, so that none depends on another."""
     names, spawn = list(names), multiprocessing.get_context("spawn")
     with unittest.mock.patch.dict(os.environ, PYTHONHASHSEED="0"):
         pool = concurrent.futures.ProcessPoolExecutor(
@@ -352,10 +313,7 @@
 
 
 def missing(found: collections.abc.Iterable[Observed]) -> list[str]:
-    """Kinds of faults that the campaigns know and no day met.
-
-    Example: ``missing([])``
-    """
+    """Kinds of faults that the campaigns know and no day met."""
     met = {kind for one in found for kind in one.kinds}
     return sorted({*campaign.FAULTS, *campaign.APART, *forwarding.FAULTS} - met)
 
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -208,8 +208,6 @@
 
     Counted from the restart where
     all lost power.
-
-    Example: ``group_run("freeze", 0, 1, 1) < 3``
     """
     took: list[float] = []
 
