--- a/aspencroft/replication/append_patience_test.py
+++ b/aspencroft/replication/append_patience_test.py
@@ -18,9 +18,9 @@
         return super().time() + self.stalled
 
 
-def play(acts: collections.abc.Callable) -> None:
+def play(scenario: collections.abc.Callable) -> None:
     """Play a scene in simulated time."""
-    StallingLoop().run_until_complete(acts(append_patience.AppendPatience()))
+    StallingLoop().run_until_complete(scenario(append_patience.AppendPatience()))
 
 
 async def asked(patience: append_patience.AppendPatience, *seconds: float) -> list[bool]:
@@ -32,50 +32,50 @@
 
 
 def test_a_new_primary_waits_the_most_until_it_knows_better():
-    async def acts(patience):
+    async def scenario(patience):
         await asyncio.sleep(100)
         patience.begin()
-        assert patience.limit() == append_patience.MOST
+        assert patience.limit() == append_patience.MAX_TIMEOUT
         assert await asked(patience, 0.6) == [False]
 
-    play(acts)
+    play(scenario)
 
 
 def test_a_silent_backup_is_given_up_after_the_least_while_answers_are_quick():
-    async def acts(patience):
+    async def scenario(patience):
         for _ in range(500):
             assert await asked(patience, 0.02, 0.03) == [False, False]
         began = clock.now()
         assert await asked(patience, 0.02, 60.0) == [False, True]
-        assert clock.now() - began <= append_patience.LEAST + append_patience.LOOK
+        assert clock.now() - began <= append_patience.MIN_TIMEOUT + append_patience.POLL_PERIOD
 
-    play(acts)
+    play(scenario)
 
 
 def test_slow_disks_are_waited_for_as_long_as_they_were_lately():
-    async def acts(patience):
+    async def scenario(patience):
         for _ in range(10):
             assert await asked(patience, 0.12) == [False]
         assert patience.limit() > clock.seconds(0.55)
         assert await asked(patience, 0.5) == [False]
-        assert patience.limit() == append_patience.MOST
+        assert patience.limit() == append_patience.MAX_TIMEOUT
         await asyncio.sleep(120)
-        assert patience.limit() == append_patience.LEAST
+        assert patience.limit() == append_patience.MIN_TIMEOUT
 
-    play(acts)
+    play(scenario)
 
 
 def test_after_a_backup_was_given_up_the_patience_is_doubled_for_a_while():
-    async def acts(patience):
+    async def scenario(patience):
         await asyncio.sleep(60)
         assert await asked(patience, 0.4) == [True]
         assert await asked(patience, 0.4) == [False], "it was not lost, it is slow"
 
-    play(acts)
+    play(scenario)
 
 
 def test_a_standstill_of_the_primary_itself_is_not_held_against_its_backups():
-    async def acts(patience):
+    async def scenario(patience):
         stalling = asyncio.get_running_loop()
         answer = stalling.create_future()
         waits = asyncio.ensure_future(asyncio.wait((answer,)))
@@ -88,4 +88,4 @@
         await patience.wait_for((waits,))
         assert not waits.cancelled()
 
-    play(acts)
+    play(scenario)
--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -9,54 +9,94 @@
 
 LOG = logbook.Logger("replication.backup")
 PRIMARY_SILENCE = clock.seconds(0.7)
-TURN = clock.seconds(0.25)
-AGAIN = clock.seconds(0.1)
+"""How long the first backup waits for a sign of life of the primary before it tries to take over."""
+TAKEOVER_STAGGER = clock.seconds(0.25)
+"""How much longer for each backup before it in the record, so that two of them seldom ask the voters at once."""
+MIN_WATCH_PERIOD = clock.seconds(0.1)
+"""Shortest pause between two looks at the primary's silence."""
 
 
 class Backup:
     """What a node does while it is a group's backup."""
 
-    def __init__(self, own: group_state.GroupState, copies: log_shipping.LogShipping):
-        self.own = own
-        self.log_shipping = copies
+    def __init__(self, state: group_state.GroupState, shipping: log_shipping.LogShipping):
+        self.state = state
+        self.log_shipping = shipping
         self.watched: replica_set.ReplicaId | None = None
+        self.last_refusal = ""
 
     async def follow(self) -> None:
-        """Hold the backup's copy; take over once the primary is silent and its claim ran out, the first
-        backup first.
+        """Hold the backup's replica; take over once the primary is silent and its lease ran out.
+
+        The first backup of the record tries first. Returns once another record is known.
         """
-        own = self.own
-        if self.watched != own.known.primary:
-            self.watched, own.heard = own.known.primary, clock.now()
-        own.status_reason = "backup"
-        standing = own.known
-        await own.replica.persist_record(standing)
-        silence = PRIMARY_SILENCE + standing.backups.index(own.me()) * TURN
-        pause = own.heard + silence - clock.now()
-        while own.known == standing:
+        try:
+            await self.watch_primary()
+        finally:
+            self.state.role_state.end_campaign()
+
+    async def watch_primary(self) -> None:
+        """Wait for the primary's silence, and try to take over as long as it lasts."""
+        state = self.state
+        if self.watched != state.record.primary:
+            self.watched = state.record.primary
+            state.primary_contact.note()
+        state.status_reason = "backup"
+        record = state.record
+        await state.replica.persist_record(record)
+        silence = PRIMARY_SILENCE + record.backups.index(state.me()) * TAKEOVER_STAGGER
+        pause = state.primary_contact.at + silence - clock.now()
+        while state.record == record:
             try:
-                async with clock.limit(max(pause, AGAIN)):
-                    await own.changed.wait()
+                async with clock.limit(max(pause, MIN_WATCH_PERIOD)):
+                    await state.changed.wait()
                 return
             except TimeoutError:
                 pass
-            pause = own.heard + silence - clock.now()
-            if clock.now() - own.heard > silence:
+            pause = state.primary_contact.at + silence - clock.now()
+            if clock.now() - state.primary_contact.at <= silence:
+                state.role_state.end_campaign()
+                state.update_role("the primary is heard again")
+            else:
                 try:
-                    await self.take_over(standing)
+                    await self.take_over(record)
                 except result.RequestError as refusal:
-                    LOG.info("pair {}: taking over: {}", own.group_id, refusal)
+                    self.log_refusal(refusal)
                     pause = min(group_state.RETRY if refusal.retry is None else refusal.retry, group_state.RETRY)
 
-    async def take_over(self, standing: replica_set.ReplicaSet) -> None:
+    async def take_over(self, record: replica_set.ReplicaSet) -> None:
         """Become the primary through the witnesses; only as a backup of the newest record.
 
         And only of the silent primary.
         """
-        own = self.own
-        if not await self.log_shipping.made_sure():
+        state = self.state
+        if not await self.log_shipping.confirm_log():
             return
-        own.doubt(standing.primary.address)
-        chosen = await own.ballot(lambda newest: record_changes.take_over(newest, own.me(), standing.primary))
-        if proposer.replica_set_of(chosen.value).primary == own.me():
-            own.counts["takeovers"] += 1
+        state.suspected_peers.suspect(record.primary.address)
+        state.role_state.begin_campaign()
+        state.update_role(f"the primary {record.primary} is silent")
+        chosen = await state.ballot(lambda newest: record_changes.take_over(newest, state.me(), record.primary))
+        fresh = proposer.replica_set_of(chosen.value)
+        if fresh is not None and fresh.primary == state.me():
+            state.counts["takeovers"] += 1
+            self.last_refusal = ""
+            LOG.info(
+                "group {}: takeover succeeded, epoch {}, member {}: in the place of {}",
+                state.group_id,
+                state.record.epoch,
+                state.me(),
+                record.primary,
+            )
+
+    def log_refusal(self, refusal: result.RequestError) -> None:
+        """Log why a takeover was refused, once for each reason in a row: it is tried several times a second."""
+        if str(refusal) != self.last_refusal:
+            self.last_refusal = str(refusal)
+            state = self.state
+            LOG.info(
+                "group {}: takeover refused, epoch {}, member {}: {}",
+                state.group_id,
+                state.record.epoch,
+                state.me(),
+                refusal,
+            )
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -20,7 +20,7 @@
 from aspencroft.transport import connections
 
 LOG = logbook.Logger("replication.group_replica")
-PATIENCE = witness.LEASE + witness.LEASE_MARGIN
+START_PATIENCE = witness.LEASE + witness.LEASE_MARGIN
 """How long a member that started waits for another one before it goes on with what it holds.
 
 Each member of the record synced all that was answered, so its own copy is enough: the wait is for a disk that
@@ -28,6 +28,7 @@
 the start are waited out in any case.
 """
 STEP_ASIDE = clock.seconds(4)
+"""How long a member whose disk failed does nothing: longer than the lease and the silence before a takeover."""
 RELEASE_AFTER = clock.seconds(3)
 """How long a node that is no member keeps its copy: what leaves is to be gone before much else is moved here."""
 
@@ -45,13 +46,13 @@
         voters: proposer.Proposer,
         address: str,
         area: str,
-        around: group_state.GroupPolicy,
+        policy: group_state.GroupPolicy,
     ):
-        super().__init__(held, links, voters, address, area, around)
+        super().__init__(held, links, voters, address, area, policy)
         self.log_shipping = log_shipping.LogShipping(self)
         self.replica_changes = replica_changes.ReplicaChanges(self, self.log_shipping)
-        self.serving = primary.Primary(self, self.log_shipping, self.replica_changes)
-        self.following = backup.Backup(self, self.log_shipping)
+        self.primary = primary.Primary(self, self.log_shipping, self.replica_changes)
+        self.backup = backup.Backup(self, self.log_shipping)
         self.incoming = snapshot_transfer.IncomingSnapshot()
 
     async def run(self) -> None:
@@ -61,25 +62,39 @@
         which is longer than the
         lease and the silence after which a backup takes over.
         """
-        self.patience_end = clock.now() + PATIENCE
+        self.recovery.await_peers_until(clock.now() + START_PATIENCE)
         if self.replica.record is not None:
             self.learn(self.replica.record)
         while True:
             self.changed.clear()
-            standing = self.known
+            record = self.known
+            self.update_role("the newest record says so")
             try:
-                if standing is not None and standing.primary == self.me():
-                    await self.serving.lead()
-                elif standing is not None and self.me() in standing.backups:
-                    await self.following.follow()
+                if record is not None and record.primary == self.me():
+                    await self.primary.lead()
+                elif record is not None and self.me() in record.backups:
+                    await self.backup.follow()
                 else:
                     await self.stand_by()
-            except* (group_state.Deposed, result.RequestError) as group:
-                LOG.info("pair {}: {}", self.group_id, group.exceptions)
+            except* (group_state.DeposedError, result.RequestError) as group:
+                LOG.info(
+                    "group {}: member {} leaves its role, epoch {}: {}",
+                    self.group_id,
+                    self.me(),
+                    self.known.epoch if self.known else None,
+                    "; ".join(str(error) for error in group.exceptions),
+                )
                 supervision.heed()
                 await clock.sleep(group_state.RETRY)
             except* OSError as group:
-                LOG.warning("group {}: the disk failed: {}", self.group_id, group.exceptions)
+                LOG.warning(
+                    "group {}: disk fault at member {}, epoch {}, steps aside for {} s: {}",
+                    self.group_id,
+                    self.me(),
+                    self.known.epoch if self.known else None,
+                    STEP_ASIDE.total_seconds(),
+                    "; ".join(str(error) for error in group.exceptions),
+                )
                 supervision.heed()
                 self.status_reason = "the disk failed"
                 self.counts["disk failures"] += 1
@@ -94,7 +109,7 @@
                 async with clock.limit(RELEASE_AFTER):
                     await self.changed.wait()
             except TimeoutError:
-                if clock.now() - max(began, self.heard) >= RELEASE_AFTER and self.replica.holds_state():
+                if clock.now() - max(began, self.primary_contact.at) >= RELEASE_AFTER and self.replica.holds_state():
                     await self.release()
 
     async def release(self) -> None:
@@ -103,34 +118,42 @@
         The copy is born anew under another identity, as one whose disk was lost: whoever should still count on it, by a
         ballot that is under way, finds that it is not the member that was meant.
         """
-        standing = self.known
-        if standing is None:
+        record = self.known
+        if record is None:
             return
         try:
             stands = await self.link.request(
-                standing.primary.address, messages.ReplicaSetQuery(self.group_id, self.address), group_state.REPLY
+                record.primary.address, messages.ReplicaSetQuery(self.group_id, self.address), group_state.REPLY_TIMEOUT
             )
         except result.RequestError as refusal:
-            LOG.info("group {}: keeps its copy: {}", self.group_id, refusal)
+            LOG.debug("group {}: member {} keeps its replica: {}", self.group_id, self.me(), refusal)
             return
         async with self.lock:
             members = stands.record.members()
-            unneeded = len(members) >= self.around.copies and all(one.address != self.address for one in members)
-            if unneeded and self.known == standing == stands.record and not self.incoming.size:
+            unneeded = len(members) >= self.policy.copies and all(one.address != self.address for one in members)
+            if unneeded and self.known == record == stands.record and not self.incoming.size:
+                former = self.me()
                 await self.replica.release()
                 self.counts["released"] += 1
-
-    async def submit(self, command, within: datetime.timedelta):
+                LOG.info(
+                    "group {}: replica released, epoch {}, member {}: the group has {} members without it",
+                    self.group_id,
+                    record.epoch,
+                    former,
+                    len(members),
+                )
+
+    async def submit(self, command: primary.Command, within: datetime.timedelta) -> primary.Reply:
         """Have a command decided, if this node is the primary; the reply comes once it is synced on all copies."""
-        return await self.serving.submit(command, within)
+        return await self.primary.submit(command, within)
 
     def stands(self, message: messages.ReplicaSetQuery) -> messages.ReplicaSetReply:
         """As primary that serves: the record that stands, while no ballot is under way."""
         if not self.has_lease() or self.status_reason != "serving" or self.balloting.locked():
             raise result.RequestError(
-                result.ResultCode.NOT_PRIMARY, detail=self.status_reason, retry=group_state.COME_BACK
+                result.ResultCode.NOT_PRIMARY, detail=self.status_reason, retry=group_state.CLIENT_RETRY_AFTER
             )
-        return messages.ReplicaSetReply(self.known, self.around.is_drained(message.address))
+        return messages.ReplicaSetReply(self.record, self.policy.is_drained(message.address))
 
     async def fetch(self, message: messages.FetchLog) -> messages.FetchedLog:
         """As a member of the same record: what this copy holds beyond that of one that just started."""
@@ -141,19 +164,19 @@
                 raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="this copy is being repaired")
             if self.known is None or message.record.epoch != self.known.epoch or self.me() not in self.known.members():
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not a member of that record")
-            return messages.FetchedLog(*self.replica.ahead_of(message.last, log_shipping.MEND_BYTES), False)
+            return messages.FetchedLog(*self.replica.ahead_of(message.last, log_shipping.REPAIR_BATCH_BYTES), False)
 
     async def append(self, message: messages.Append) -> messages.Appended:
         """As backup: take entries that follow the last one; refuse lower epochs."""
         async with self.lock:
             if self.known is None or message.record.epoch > self.known.epoch:
                 self.learn(message.record)
-            if message.record.epoch < self.known.epoch or self.me() not in self.known.backups:
-                raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=f"epoch {self.known.epoch} stands")
-            await self.replica.persist_record(self.known)
-            self.heard = clock.now()
+            if message.record.epoch < self.record.epoch or self.me() not in self.record.backups:
+                raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=f"epoch {self.record.epoch} stands")
+            await self.replica.persist_record(self.record)
+            self.primary_contact.note()
             fresh = self.replica.beyond(message.previous, message.entries)
-            self.unsure = False
+            self.confirm_recovery("its log follows the primary's")
             if fresh:
                 await self.replica.append(fresh)
                 self.replica.begin_snapshot()
@@ -168,15 +191,19 @@
         async with self.lock:
             self.check_repair(message)
             await self.replica.persist_record(message.record)
-            self.heard = clock.now()
+            self.primary_contact.note()
             last = await self.replica.repair(message.through, message.snapshot, message.entries)
-            self.unsure = False
+            self.confirm_recovery("repaired by the primary")
             return messages.Appended(last)
 
     def check_repair(self, message: RepairStep) -> None:
         """Refuse what is not from the primary of the newest record, or meant for another copy."""
         self.learn(message.record)
-        if self.leading or message.identity != self.replica.identity or message.record.epoch < self.known.epoch:
+        if (
+            self.role_state.is_leading
+            or message.identity != self.replica.identity
+            or message.record.epoch < self.record.epoch
+        ):
             raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not to be mended by that")
 
     async def begin_repair(self, message: messages.BeginRepair) -> replica_set.Acknowledged:
@@ -190,7 +217,7 @@
     def receive_snapshot_chunk(self, message: messages.SnapshotChunk) -> messages.SnapshotProgress:
         """As candidate or backup: hold a part of a snapshot; the copy is what it was until all of it is installed."""
         self.check_repair(message)
-        self.heard = clock.now()
+        self.primary_contact.note()
         return messages.SnapshotProgress(self.incoming.take(message))
 
     async def install_snapshot(self, message: messages.InstallSnapshot) -> messages.Appended:
@@ -201,7 +228,8 @@
                 snapshot = self.incoming.whole(message)
                 await self.replica.persist_record(message.record)
                 await self.replica.repair(message.sequence, snapshot, ())
-            self.heard, self.unsure = clock.now(), False
+            self.primary_contact.note()
+            self.confirm_recovery("a snapshot of the primary's log was installed")
             self.incoming.forget()
             return messages.Appended(self.replica.last())
 
--- a/aspencroft/replication/group_replica_test.py
+++ b/aspencroft/replication/group_replica_test.py
@@ -9,60 +9,60 @@
 FIVE = simulated_cluster.Size(2, 5, 5, apart=True)
 
 
-def cut_off(stage: groups.Stage, one_way: bool, back: bool) -> list[str]:
+def cut_off(fleet: groups.Stage, one_way: bool, back: bool) -> list[str]:
     """Cut the control group's primary and one other core off from all others; the cores of the majority."""
-    one = stage.scene
-    left = [one.leader(0), next(name for name in stage.members(0) if name != one.leader(0))]
+    one = fleet.scene
+    left = [one.leader(0), next(name for name in fleet.members(0) if name != one.leader(0))]
     right = [name for name in one.names() if name not in left]
     one.wire.cut(*((right, left) if back else (left, right)), one_way)
     return [name for name in one.cores if name not in left]
 
 
 def test_the_majority_side_of_a_core_cut_serves_and_keeps_what_was_acknowledged():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
-        assert await stage.write("before")
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
+        assert await fleet.write("before")
         for one_way, back, most in ((False, False, 4.0), (True, False, 4.0), (True, True, 5.0)):
-            await one.until(stage.whole, 12, "whole")
-            majority = cut_off(stage, one_way, back)
+            await one.until(fleet.whole, 12, "whole")
+            majority = cut_off(fleet, one_way, back)
             took = await one.until(lambda: one.leader(0) in majority, 8, "led by the majority side")
             assert took < most, (one_way, back, took)
             name = f"in-{one_way}-{back}".lower()
-            assert await stage.write(name)
+            assert await fleet.write(name)
             one.wire.heal()
             await one.until(one.ready, 12, "ready")
-            assert {"before", name} <= await stage.written()
+            assert {"before", name} <= await fleet.written()
 
     for seed in (1, 2, 3):
-        groups.play(seed, acts)
+        groups.play(seed, scenario)
 
 
 def test_two_cuts_at_once_leave_a_majority_that_serves():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
-        assert await stage.write("before")
-        alone = [one.leader(0), next(name for name in one.cores if name not in stage.members(0))]
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
+        assert await fleet.write("before")
+        alone = [one.leader(0), next(name for name in one.cores if name not in fleet.members(0))]
         for name in alone:
             one.wire.cut([name], [other for other in one.names() if other != name])
         majority = [name for name in one.cores if name not in alone]
         await one.until(lambda: one.leader(0) in majority, 4.5, "led by the majority side")
-        assert await stage.write("between")
+        assert await fleet.write("between")
         one.wire.heal()
         await one.until(one.ready, 12, "ready")
-        assert {"before", "between"} <= await stage.written()
+        assert {"before", "between"} <= await fleet.written()
 
     for seed in (4, 5):
-        groups.play(seed, acts)
+        groups.play(seed, scenario)
 
 
 def test_a_members_lost_disk_and_power_lost_by_all_others_lose_nothing():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
         for number, group_id in enumerate((0, 1, 2, 0)):
-            await one.until(stage.whole, 15, "whole")
-            assert (await stage.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
-            assert await stage.write(f"extra-{number}")
-            lost = stage.members(group_id)[number % 2]
+            await one.until(fleet.whole, 15, "whole")
+            assert (await fleet.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
+            assert await fleet.write(f"extra-{number}")
+            lost = fleet.members(group_id)[number % 2]
             for name in one.names():
                 one.power_off(name)
             one.disks[lost].wipe()
@@ -72,23 +72,23 @@
                 one.start(name)
             assert await one.until(one.formed, 20, "formed") < 6
             await one.until(one.ready, 12, "ready")
-            assert {f"extra-{each}" for each in range(number + 1)} <= await stage.written()
+            assert {f"extra-{each}" for each in range(number + 1)} <= await fleet.written()
         for number in range(4):
-            noted = await stage.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)
+            noted = await fleet.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)
             assert noted.ran == "done", noted
         turns = [body for body in one.world.seen() if body.get("turn") == 2]
         assert sorted(body["history"][0][0] for body in turns) == [f"p{number} first" for number in range(4)]
 
     for seed in (6, 7):
-        groups.play(seed, acts)
+        groups.play(seed, scenario)
 
 
 def test_an_empty_machine_at_a_new_address_takes_the_place_of_a_lost_one():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
         for number, lost in enumerate(list(one.storages)):
-            assert await stage.write(f"extra-{number}")
-            assert (await stage.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
+            assert await fleet.write(f"extra-{number}")
+            assert (await fleet.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
             one.power_off(lost)
             one.disks[lost].wipe()
             fresh = f"storage-{3 + number}"
@@ -98,29 +98,29 @@
             one.start(fresh)
             await one.until(
                 lambda: (
-                    stage.whole()
+                    fleet.whole()
                     and all(
-                        fresh in stage.members(group_id) and lost not in stage.members(group_id) for group_id in (1, 2)
+                        fresh in fleet.members(group_id) and lost not in fleet.members(group_id) for group_id in (1, 2)
                     )
                 ),
                 8,
                 "whole with the new one",
             )
         for number in range(3):
-            assert (await stage.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)).ran == "done"
+            assert (await fleet.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)).ran == "done"
 
-    groups.play(8, acts, THREE, {"losses": 2})
+    groups.play(8, scenario, THREE, {"losses": 2})
 
 
 def test_with_two_losses_to_be_borne_two_disks_may_go_at_once_with_the_power_of_all():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
         for number, group_id in enumerate((0, 1, 2)):
-            await one.until(stage.whole, 15, "whole")
-            assert len(stage.members(group_id)) == 3
-            assert (await stage.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
-            assert await stage.write(f"extra-{number}")
-            lost = one.chance.sample(stage.members(group_id), 2)
+            await one.until(fleet.whole, 15, "whole")
+            assert len(fleet.members(group_id)) == 3
+            assert (await fleet.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
+            assert await fleet.write(f"extra-{number}")
+            lost = one.chance.sample(fleet.members(group_id), 2)
             for name in one.names():
                 one.power_off(name)
             for name in lost:
@@ -131,41 +131,41 @@
                 one.start(name)
             assert await one.until(one.formed, 20, "formed") < 6
             await one.until(one.ready, 12, "ready")
-            assert f"extra-{number}" in await stage.written()
-            assert (await stage.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)).ran == "done"
+            assert f"extra-{number}" in await fleet.written()
+            assert (await fleet.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)).ran == "done"
 
     for seed in (9, 10):
-        groups.play(seed, acts, FIVE, {"losses": 2})
+        groups.play(seed, scenario, FIVE, {"losses": 2})
 
 
 def test_a_group_serves_with_two_of_three_members_but_never_with_one():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
-        first, second, third = stage.members(1)
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
+        first, second, third = fleet.members(1)
         one.power_off(second)
-        await one.until(lambda: stage.members(1) == [first, third] and one.leader(1) == first, 4, "served by two")
-        assert stage.record(1).epoch > 1
+        await one.until(lambda: fleet.members(1) == [first, third] and one.leader(1) == first, 4, "served by two")
+        assert fleet.record(1).epoch > 1
         one.power_off(third)
-        await one.until(lambda: stage.members(1) == [first], 4, "one is left")
+        await one.until(lambda: fleet.members(1) == [first], 4, "one is left")
         held = one.nodes[first].group_replicas[1]
         await asyncio.sleep(5)
         assert held.has_lease() and held.status_reason == "no backup"
         one.start(second)
         await one.until(lambda: one.leader(1) == first, 4, "served again")
-        assert len(stage.members(1)) == 2
+        assert len(fleet.members(1)) == 2
         one.start(third)
-        await one.until(stage.whole, 6, "whole")
+        await one.until(fleet.whole, 6, "whole")
 
-    groups.play(11, acts, THREE, {"losses": 2})
+    groups.play(11, scenario, THREE, {"losses": 2})
 
 
 def test_any_caught_up_backup_takes_over_with_the_others_as_its_backups():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
         for number in range(3):
-            await one.until(stage.whole, 12, "whole")
-            assert await stage.write(f"extra-{number}")
-            old = stage.members(0)
+            await one.until(fleet.whole, 12, "whole")
+            assert await fleet.write(f"extra-{number}")
+            old = fleet.members(0)
             gone = old[0]
             if number == 1:
                 one.loop.freeze(gone)
@@ -173,7 +173,7 @@
                 one.power_off(gone)
             took = await one.until(lambda: one.leader(0) in old[1:], 6, "led by a backup")
             assert took < 3, took
-            assert f"extra-{number}" in await stage.written()
+            assert f"extra-{number}" in await fleet.written()
             if number == 1:
                 one.loop.thaw(gone)
                 assert not one.nodes[gone].group_replicas[0].has_lease()
@@ -181,29 +181,29 @@
                 one.start(gone)
 
     for seed in (12, 13):
-        groups.play(seed, acts)
+        groups.play(seed, scenario)
 
 
 def test_a_backup_that_fell_silent_is_recorded_out_within_its_time_and_taken_in_again_at_once():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
         for group_id in (0, 1):
-            silent = stage.members(group_id)[-1]
+            silent = fleet.members(group_id)[-1]
             one.power_off(silent)
-            took = await one.until(lambda: silent not in stage.members(group_id), 4, "recorded out")
+            took = await one.until(lambda: silent not in fleet.members(group_id), 4, "recorded out")
             assert took < 1.7, took
             one.start(silent)
-            await one.until(stage.whole, 3, "whole")
+            await one.until(fleet.whole, 3, "whole")
 
-    groups.play(14, acts, THREE, {"losses": 2})
+    groups.play(14, scenario, THREE, {"losses": 2})
 
 
 def test_a_new_member_leads_though_the_primary_lost_its_disk_before_it_told_of_the_record():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
-        assert (await stage.ask("edge-0", "supervisor", "p first", program="p")).ran == "done"
+    async def scenario(fleet: groups.Stage) -> None:
+        one = fleet.scene
+        assert (await fleet.ask("edge-0", "supervisor", "p first", program="p")).ran == "done"
         for group_id in (1, 2):
-            primary, backup = stage.members(group_id)
+            primary, backup = fleet.members(group_id)
             third = next(name for name in one.storages if name not in (primary, backup))
             link = one.nodes[primary].group_replicas[group_id].link
             request = link.request
@@ -227,7 +227,7 @@
                 lambda group_id=group_id, third=third: one.leader(group_id) == third, 6, "led by the new member"
             )
             one.start(backup)
-            await one.until(stage.whole, 10, "whole")
-        assert (await stage.ask("edge-1", "supervisor", "second", program="p", after=1)).ran == "done"
+            await one.until(fleet.whole, 10, "whole")
+        assert (await fleet.ask("edge-1", "supervisor", "second", program="p", after=1)).ran == "done"
 
-    groups.play(15, acts)
+    groups.play(15, scenario)
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -1,4 +1,4 @@
-"""A node's part in one group: its copy, the newest replica set it knows, its claim."""
+"""What the parts of one group's replica share: its log, the newest replica set known, its lease, its role."""
 
 import asyncio
 import collections.abc
@@ -9,23 +9,32 @@
 
 from aspencroft.consensus import proposer, replica_placement, replica_set
 from aspencroft.errors import result
-from aspencroft.replication import record_changes, replica
+from aspencroft.replication import record_changes, replica, role
 from aspencroft.runtime import clock
 from aspencroft.transport import codec, connections
 
 LOG = logbook.Logger("replication.group_state")
-REPLY = clock.seconds(0.6)
+REPLY_TIMEOUT = clock.seconds(0.6)
+"""How long a short request to another member may take: below the silence after which a backup takes over."""
 RETRY = clock.seconds(0.15)
-COME_BACK = clock.seconds(1)
-DOUBT = clock.seconds(5)
-LEAST = 2
+"""Pause before an attempt that failed is made again."""
+CLIENT_RETRY_AFTER = clock.seconds(1)
+"""What a rejected caller is told to wait: about the time of a failover."""
+SUSPICION_TIME = clock.seconds(5)
+"""How long a peer that failed a request is tried last."""
+MIN_REPLICAS = 2
+"""Fewest replicas that may acknowledge a write: what a single disk holds is never acknowledged."""
 
 
-class Deposed(Exception):
+class ReplicationError(Exception):
+    """Root of what ends a replica's work in its present role."""
+
+
+class DeposedError(ReplicationError):
     """This node is no longer what it was in the group."""
 
 
-class DiskStalled(OSError):
+class DiskStalledError(ReplicationError, OSError):
     """A write to this node's disk has not come back for long."""
 
 
@@ -49,8 +58,102 @@
     payload_limit: collections.abc.Callable[[], int]
 
 
+class LeaseState:
+    """The lease that a primary holds, and the record that was chosen under which it asks for it."""
+
+    def __init__(self) -> None:
+        self.end = clock.ZERO
+        self.chosen: proposer.Chosen | None = None
+        self.chosen_record: replica_set.ReplicaSet | None = None
+
+    def extend(self, end: datetime.timedelta) -> None:
+        """Hold the lease until ``end`` on the monotonic clock; an earlier end than the present one changes nothing."""
+        self.end = max(self.end, end)
+
+    def expire(self) -> None:
+        """Hold no lease any more, whatever was granted."""
+        self.end = clock.ZERO
+
+    def set_chosen(self, chosen: proposer.Chosen, record: replica_set.ReplicaSet) -> None:
+        """Remember the ballot that made this member the primary: leases are asked for under it."""
+        self.chosen, self.chosen_record = chosen, record
+
+    def forget_chosen(self) -> None:
+        """The next term begins with a ballot of its own."""
+        self.chosen = None
+
+    def is_for(self, known: replica_set.ReplicaSet | None) -> bool:
+        """Whether a record is the very one that this member had chosen."""
+        return self.chosen is not None and self.chosen_record == known
+
+
+class SuspectedPeers:
+    """Peers that failed a request lately, by address, whatever membership thinks of them."""
+
+    def __init__(self) -> None:
+        self.ends: dict[str, datetime.timedelta] = {}
+
+    def suspect(self, address: str) -> None:
+        """Try a peer that failed last for ``SUSPICION_TIME``."""
+        self.ends[address] = clock.now() + SUSPICION_TIME
+
+    def is_suspected(self, address: str) -> bool:
+        """Whether a peer failed lately."""
+        return self.ends.get(address, clock.ZERO) > clock.now()
+
+
+class RecoveryState:
+    """Whether this replica's log was compared with another member's since the start, and how long that is awaited."""
+
+    def __init__(self) -> None:
+        self.is_unconfirmed = True
+        self.patience_end = clock.ZERO
+
+    def await_peers_until(self, end: datetime.timedelta) -> None:
+        """Wait for another member until ``end`` on the monotonic clock; then go on with what this disk holds."""
+        self.patience_end = end
+
+    def is_patience_over(self) -> bool:
+        """Whether this replica goes on without having reached another member."""
+        return clock.now() >= self.patience_end
+
+    def confirm(self) -> None:
+        """The log holds all that was acknowledged."""
+        self.is_unconfirmed = False
+
+    def require_comparison(self) -> None:
+        """The log may lack what was acknowledged until another member was asked."""
+        self.is_unconfirmed = True
+
+
+class PrimaryContact:
+    """When the primary was last heard from, on the monotonic clock."""
+
+    def __init__(self) -> None:
+        self.at = clock.ZERO
+
+    def note(self) -> None:
+        """The primary gave a sign of life just now."""
+        self.at = clock.now()
+
+
+class ReplicaMove:
+    """The member that is to give its place to a better one, or none."""
+
+    def __init__(self) -> None:
+        self.leaving: replica_set.ReplicaId | None = None
+
+    def begin(self, leaving: replica_set.ReplicaId) -> None:
+        """Have a member give its place up once its successor is recorded."""
+        self.leaving = leaving
+
+    def end(self) -> None:
+        """No member is to leave for a better place."""
+        self.leaving = None
+
+
 class GroupState:
-    """What all rooms of a node's part in a group share."""
+    """What the primary, the backup and the reconfiguration of a group's replica share."""
 
     def __init__(
         self,
@@ -59,7 +162,7 @@
         voters: proposer.Proposer,
         address: str,
         area: str,
-        around: GroupPolicy,
+        policy: GroupPolicy,
     ):
         self.replica = held
         self.group_id = held.group_id
@@ -67,20 +170,18 @@
         self.proposer = voters
         self.address = address
         self.area = area
-        self.around = around
+        self.policy = policy
         self.known: replica_set.ReplicaSet | None = None
-        self.chosen: proposer.Chosen | None = None
-        self.chosen_record: replica_set.ReplicaSet | None = None
-        self.lease_end = clock.ZERO
-        self.leading = False
-        self.handing_over = False
-        self.moving: replica_set.ReplicaId | None = None
-        self.heard = clock.ZERO
+        self.lease = LeaseState()
+        self.role_state = role.RoleState(held.group_id)
+        self.move = ReplicaMove()
+        self.primary_contact = PrimaryContact()
+        self.suspected_peers = SuspectedPeers()
+        self.recovery = RecoveryState()
         self.changed = asyncio.Event()
         self.lock = asyncio.Lock()
         self.balloting = asyncio.Lock()
         self.committed = asyncio.Event()
-        self.doubted: dict[str, datetime.timedelta] = {}
         self.counts = {
             "takeovers": 0,
             "recruits": 0,
@@ -92,23 +193,56 @@
             "released": 0,
         }
         self.status_reason = "starting"
-        self.unsure = True
-        self.patience_end = clock.ZERO
 
     def me(self) -> replica_set.ReplicaId:
         """This node's member name in the group."""
         return replica_set.ReplicaId(self.address, self.replica.identity)
 
+    @property
+    def lease_end(self) -> datetime.timedelta:
+        """When this node's lease on the group ends, on the monotonic clock; zero without one."""
+        return self.lease.end
+
+    @property
+    def record(self) -> replica_set.ReplicaSet:
+        """The newest replica set known; only for members, which know one."""
+        assert self.known is not None, "no record of this group is known"
+        return self.known
+
+    def confirm_recovery(self, reason: str) -> None:
+        """The log is known to hold all that was acknowledged."""
+        if self.recovery.is_unconfirmed:
+            self.recovery.confirm()
+            self.update_role(reason)
+
+    def update_role(self, reason: str) -> None:
+        """Have the role follow from the present state; a change is logged with its reason."""
+        roles = self.role_state
+        roles.apply(
+            role.RoleFacts(
+                self.known,
+                self.me(),
+                roles.is_leading,
+                roles.is_transferring,
+                roles.is_campaigning,
+                self.recovery.is_unconfirmed,
+                self.has_lease(),
+            ),
+            reason,
+        )
+
     def learn(self, fresh: replica_set.ReplicaSet) -> None:
         """Hear of a replica set from anywhere; only a newer epoch counts."""
         if self.known is None or fresh.epoch > self.known.epoch:
             self.known = fresh
             self.changed.set()
-            self.around.publish(fresh)
+            self.policy.publish(fresh)
 
     def has_lease(self) -> bool:
         """Whether this node may act as the primary at this moment."""
-        tenure = record_changes.Tenure(self.leading, self.handing_over, self.lease_end, self.knows_chosen())
+        tenure = record_changes.Tenure(
+            self.role_state.is_leading, self.role_state.is_transferring, self.lease.end, self.knows_chosen()
+        )
         return record_changes.may_serve(tenure, self.known, self.me(), clock.now())
 
     def knows_chosen(self) -> bool:
@@ -117,33 +251,46 @@
         A witness may tell of a record that few accepted. Who served under it would leave out a backup that the chosen
         record names, and that may take over.
         """
-        return self.chosen is not None and self.chosen_record == self.known
+        return self.lease.is_for(self.known)
 
     def check_tenure(self) -> None:
-        """Stop at once when the newest record names another primary."""
-        if self.known.primary != self.me():
-            raise Deposed(f"epoch {self.known.epoch}")
+        """Stop at once when the newest record names another primary.
+
+        Raises:
+            DeposedError: another member is the primary.
+
+        """
+        if self.record.primary != self.me():
+            raise DeposedError(f"epoch {self.record.epoch}")
 
     def check_disk(self) -> None:
-        """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead."""
+        """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead.
+
+        Raises:
+            DiskStalledError: a write has not come back for long.
+
+        """
         if self.replica.stalled():
-            raise DiskStalled(f"group {self.group_id}: a write has not come back for long")
+            raise DiskStalledError(f"group {self.group_id}: a write has not come back for long")
 
     def staying(self) -> tuple[replica_set.ReplicaId, ...]:
         """The members that are neither drained nor about to stop, nor giving their place to a better one."""
-        return tuple(one for one in self.remaining() if one != self.moving)
+        return tuple(member for member in self.remaining() if member != self.move.leaving)
 
     def remaining(self) -> tuple[replica_set.ReplicaId, ...]:
         """The members that are neither drained nor about to stop."""
-        return tuple(one for one in self.known.members() if not self.around.is_drained(one.address))
+        return tuple(member for member in self.record.members() if not self.policy.is_drained(member.address))
 
-    def doubt(self, address: str) -> None:
-        """Try a node that failed last for a while, whatever membership thinks of it."""
-        self.doubted[address] = clock.now() + DOUBT
-
-    def doubts(self, address: str) -> bool:
-        """Whether a node failed lately."""
-        return self.doubted.get(address, clock.ZERO) > clock.now()
+    def log_dropped(self, gone: collections.abc.Collection[replica_set.ReplicaId], reason: str) -> None:
+        """Log that a ballot recorded members out, if it did: one that found another primary changes nothing."""
+        if not set(gone) & set(self.record.members()):
+            LOG.info(
+                "group {}: replicas dropped, epoch {}, members {}: {}",
+                self.group_id,
+                self.record.epoch,
+                ", ".join(sorted(str(member) for member in gone)),
+                reason,
+            )
 
     async def ballot(
         self, function: collections.abc.Callable[[replica_set.ReplicaSet], replica_set.ReplicaSet]
@@ -152,20 +299,25 @@
 
         Witnesses may have told of a record that was accepted by few and never chosen. Where the chosen one bears no
         higher epoch, it is given the next one, so that it is the newer one for everybody.
+
+        Raises:
+            RequestError: no majority took part, or it is not known whether the record was chosen.
+
         """
 
         def change(value: bytes) -> bytes:
-            standing = proposer.replica_set_of(value)
-            if standing is None:
+            record = proposer.replica_set_of(value)
+            if record is None:
                 raise result.RequestError(result.ResultCode.WITNESS_BLANK, detail="no record of holders yet")
-            return codec.tagged(record_changes.distinct(function(standing), self.known))
+            return codec.tagged(record_changes.with_newer_epoch(function(record), self.known))
 
         async with self.balloting:
             chosen = await self.proposer.change(self.group_id, str(self.me()), change)
             fresh = proposer.replica_set_of(chosen.value)
+            assert fresh is not None, "a ballot never chooses a blank value"
             if self.me() in fresh.members():
                 await self.replica.persist_record(fresh)
             if fresh.primary == self.me():
-                self.chosen, self.chosen_record = chosen, fresh
+                self.lease.set_chosen(chosen, fresh)
             self.learn(fresh)
             return chosen
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -8,149 +8,195 @@
 from aspencroft.runtime import clock, supervision
 
 LOG = logbook.Logger("replication.log_shipping")
-APPEND = append_patience.MOST
-ANSWER = clock.seconds(0.5)
-MEND = clock.seconds(5)
-MEND_BYTES = 1 << 20
+APPEND_TIMEOUT = append_patience.MAX_TIMEOUT
+"""How long an append to one backup is tried; the patience for all of them cuts it short."""
+COMPARE_TIMEOUT = clock.seconds(0.5)
+"""How long a backup may take to name its identity and digests: no disk is waited for."""
+REPAIR_TIMEOUT = clock.seconds(5)
+"""How long a backup may take to sync one batch of a repair, on a slow disk."""
+REPAIR_BATCH_BYTES = 1 << 20
+"""Most bytes of entries in one message of a repair, so that no message holds up the connection for long."""
 
 
 class LogShipping:
     """The sending side of a member: appending, comparing, repairing."""
 
-    def __init__(self, own: group_state.GroupState):
-        self.own = own
+    def __init__(self, state: group_state.GroupState):
+        self.state = state
         self.patience = append_patience.AppendPatience()
-        self.snapshots = snapshot_transfer.SnapshotSender(own)
-        self.lost: set[replica_set.ReplicaId] = set()
+        self.snapshots = snapshot_transfer.SnapshotSender(state)
+        self.lost_disks: set[replica_set.ReplicaId] = set()
 
     async def append(
-        self, standing: replica_set.ReplicaSet, last: replica.LogPosition, entries: tuple[replica.Entry, ...]
+        self, record: replica_set.ReplicaSet, last: replica.LogPosition, entries: tuple[replica.Entry, ...]
     ) -> tuple[replica_set.ReplicaId, ...]:
         """Sync entries here and on all backups at once; the backups whose copies are not the same then."""
-        message = messages.Append(standing, last, entries)
+        message = messages.Append(record, last, entries)
         async with supervision.Group() as group:
             if entries:
-                group.create_task(self.own.replica.write_entries(entries))
-            sent = {one: group.create_task(self.send(one, message)) for one in standing.backups}
+                group.create_task(self.state.replica.write_entries(entries))
+            sent = {backup: group.create_task(self.send(backup, message)) for backup in record.backups}
             await self.patience.wait_for(sent.values())
-        last_here = self.own.replica.last()
-        return tuple(one for one, task in sent.items() if task.cancelled() or task.result() != last_here)
+        last_here = self.state.replica.last()
+        return tuple(backup for backup, task in sent.items() if task.cancelled() or task.result() != last_here)
 
     async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> replica.LogPosition | None:
         """A backup's newest entry once it synced, or none; tried again while there is time, as it does no
         harm twice.
         """
-        end = clock.now() + APPEND
+        end = clock.now() + APPEND_TIMEOUT
         while (left := end - clock.now()) > clock.ZERO:
             try:
-                return (await self.own.link.request(backup.address, message, left)).last
+                return (await self.state.link.request(backup.address, message, left)).last
             except result.RequestError as refusal:
-                LOG.info("pair {}: backup {}: {}", self.own.group_id, backup.address, refusal)
+                LOG.info(
+                    "group {}: append not confirmed by backup {}, epoch {}: {}",
+                    self.state.group_id,
+                    backup,
+                    message.record.epoch,
+                    refusal,
+                )
                 if refusal.result is not result.ResultCode.UNREACHABLE:
                     return None
             await clock.sleep(min(group_state.RETRY / 3, left))
         return None
 
-    async def agree(self, standing: replica_set.ReplicaSet) -> tuple[replica_set.ReplicaId, ...]:
+    async def synchronize_backups(self, record: replica_set.ReplicaSet) -> tuple[replica_set.ReplicaId, ...]:
         """Make all backups' copies the same as this one; those that failed.
 
-        ``lost`` names those among them whose disk is known to have been lost.
+        ``lost_disks`` names those among them whose disk is known to have been lost.
         """
-        self.lost.clear()
+        self.lost_disks.clear()
         async with supervision.Group() as group:
-            mended = {one: group.create_task(self.repair_member(one)) for one in standing.backups}
-        return tuple(one for one, task in mended.items() if not task.result())
+            repaired = {backup: group.create_task(self.repair_member(backup)) for backup in record.backups}
+        return tuple(backup for backup, task in repaired.items() if not task.result())
 
     async def repair_member(self, peer: replica_set.ReplicaId) -> bool:
         """Compare digests with a backup and repair it; whether its copy is now the same."""
-        own = self.own
+        state = self.state
         try:
-            compared = await own.link.request(peer.address, messages.Compare(own.group_id, own.known.epoch), ANSWER)
+            compared = await state.link.request(
+                peer.address, messages.Compare(state.group_id, state.record.epoch), COMPARE_TIMEOUT
+            )
             if compared.identity != peer.identity:
                 if not compared.identity.startswith(replica.RELEASED):
-                    self.lost.add(peer)
+                    self.lost_disks.add(peer)
                 return False
-            await own.link.request(peer.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
-            return await self.repair_from(peer, compared) == own.replica.last()
+            await state.link.request(peer.address, messages.ReplicaSetNotice(state.record), group_state.REPLY_TIMEOUT)
+            return await self.repair_from(peer, compared) == state.replica.last()
         except result.RequestError as refusal:
-            LOG.info("pair {}: mending {}: {}", own.group_id, peer.address, refusal)
+            LOG.info(
+                "group {}: repair of backup {} failed, epoch {}: {}", state.group_id, peer, state.record.epoch, refusal
+            )
             return False
 
     async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> replica.LogPosition:
         """Send what the peer lacks behind the last range on which the digests agree; its newest entry then."""
-        held = self.own.replica
-        agreeing = [mark.sequence for mark in compared.marks if held.digest_at(mark.sequence) == mark.digest]
-        snapshot = None if agreeing else held.snapshot
-        through = max(agreeing, default=held.snapshot.sequence)
-        goal = held.last()
-        begin = messages.BeginRepair(self.own.known, peer.identity, goal)
-        await self.own.link.request(peer.address, begin, group_state.REPLY)
+        log = self.state.replica
+        agreeing = [mark.sequence for mark in compared.marks if log.digest_at(mark.sequence) == mark.digest]
+        snapshot = None if agreeing else log.snapshot
+        through = max(agreeing, default=log.snapshot.sequence)
+        goal = log.last()
+        needed = snapshot is not None or through < goal.sequence
+        if needed:
+            self.log_repair("begun", peer, f"its log is the same up to {through} of {goal.sequence}")
+        begin = messages.BeginRepair(self.state.record, peer.identity, goal)
+        await self.state.link.request(peer.address, begin, group_state.REPLY_TIMEOUT)
         while True:
-            if through < held.snapshot.sequence:
-                snapshot, through = held.snapshot, held.snapshot.sequence
-            if snapshot is not None and snapshot.size() > MEND_BYTES:
+            if through < log.snapshot.sequence:
+                snapshot, through = log.snapshot, log.snapshot.sequence
+            if snapshot is not None and snapshot.size() > REPAIR_BATCH_BYTES:
                 through = snapshot.sequence
                 await self.snapshots.send(peer, snapshot)
                 snapshot = None
                 continue
-            entries, size = [], 0
-            for entry in held.entries[through - held.snapshot.sequence :]:
-                if entries and size + len(entry.body) > MEND_BYTES:
+            entries: list[replica.Entry] = []
+            size = 0
+            for entry in log.entries[through - log.snapshot.sequence :]:
+                if entries and size + len(entry.body) > REPAIR_BATCH_BYTES:
                     break
                 entries.append(entry)
                 size += len(entry.body)
-            message = messages.Repair(self.own.known, peer.identity, through, snapshot, tuple(entries))
-            reply = await self.own.link.request(peer.address, message, MEND)
+            message = messages.Repair(self.state.record, peer.identity, through, snapshot, tuple(entries))
+            reply = await self.state.link.request(peer.address, message, REPAIR_TIMEOUT)
             through, snapshot = through + len(entries), None
-            if through >= goal.sequence or not self.own.has_lease():
+            if through >= goal.sequence or not self.state.has_lease():
+                if needed:
+                    self.log_repair("finished", peer, f"its log reaches {reply.last.sequence} of {goal.sequence}")
                 return reply.last
 
-    async def made_sure(self) -> bool:
+    def log_repair(self, step: str, peer: replica_set.ReplicaId, reason: str) -> None:
+        """Log that the repair of a replica was begun or finished."""
+        LOG.info(
+            "group {}: repair {}, epoch {}, member {}: {}",
+            self.state.group_id,
+            step,
+            self.state.record.epoch,
+            peer,
+            reason,
+        )
+
+    async def confirm_log(self) -> bool:
         """After a start: take what another member holds beyond this copy, whose disk may have lost its last value.
 
         Any one other member is enough, as each holds all that was answered. It goes on without one when all others lost
         their copies, or once patience is over. False while one is still waited for.
         """
-        own = self.own
-        if not own.unsure and not own.replica.incomplete():
+        state = self.state
+        if not state.recovery.is_unconfirmed and not state.replica.incomplete():
             return True
-        others = [one for one in own.known.members() if one != own.me()]
+        others = [member for member in state.record.members() if member != state.me()]
         async with supervision.Group() as group:
-            asked = [group.create_task(self.take_from(one)) for one in others]
-        told = [task.result() for task in asked]
-        if own.replica.incomplete():
-            own.status_reason = "waits for a member that holds what this copy lacks since a repair broke off"
+            asked = [group.create_task(self.fetch_missing_from(member)) for member in others]
+        answers = [task.result() for task in asked]
+        if state.replica.incomplete():
+            state.status_reason = "waits for a member that holds what this copy lacks since a repair broke off"
             return False
-        if True in told or told.count(None) == len(told) or clock.now() >= own.patience_end:
-            own.unsure = not is_final(own.leading)
+        if True in answers or answers.count(None) == len(answers) or state.recovery.is_patience_over():
+            if is_comparison_final(state.role_state.is_leading):
+                state.confirm_recovery("compared with the other members")
+            else:
+                state.recovery.require_comparison()
             return True
-        own.status_reason = "waits for another member after the start"
+        state.status_reason = "waits for another member after the start"
         return False
 
-    async def take_from(self, peer: replica_set.ReplicaId) -> bool | None:
+    async def fetch_missing_from(self, peer: replica_set.ReplicaId) -> bool | None:
         """Take what a member holds beyond this copy; false when it does not answer, none when its copy is lost."""
-        own = self.own
+        state = self.state
         try:
             while True:
-                message = messages.FetchLog(own.known, own.replica.last(), peer.identity)
-                reply = await own.link.request(peer.address, message, group_state.REPLY)
+                message = messages.FetchLog(state.record, state.replica.last(), peer.identity)
+                reply = await state.link.request(peer.address, message, group_state.REPLY_TIMEOUT)
                 if reply.lost:
                     return None
                 if reply.snapshot is None and not reply.entries:
                     return True
-                async with own.lock:
-                    if own.replica.last() != message.last:
+                async with state.lock:
+                    if state.replica.last() != message.last:
                         continue
-                    LOG.warning("pair {}: {} held more than this disk", own.group_id, peer.address)
-                    own.counts["taken at start"] += 1
+                    LOG.warning(
+                        "group {}: log completed from member {}, epoch {}, member {}: it held what this disk lacks",
+                        state.group_id,
+                        peer,
+                        state.record.epoch,
+                        state.me(),
+                    )
+                    state.counts["taken at start"] += 1
                     through = message.last.sequence if reply.snapshot is None else reply.snapshot.sequence
-                    await own.replica.repair(through, reply.snapshot, reply.entries)
+                    await state.replica.repair(through, reply.snapshot, reply.entries)
         except result.RequestError as refusal:
-            LOG.info("pair {}: comparing with {}: {}", own.group_id, peer.address, refusal)
+            LOG.info(
+                "group {}: no comparison with member {}, epoch {}: {}",
+                state.group_id,
+                peer,
+                state.record.epoch,
+                refusal,
+            )
             return False
 
 
-def is_final(leading: bool) -> bool:
+def is_comparison_final(leading: bool) -> bool:
     """Whether a comparison after a start need not be made again.
 
     As a backup it must: until its lease is over, the old primary may acknowledge an entry that this copy synced
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -4,6 +4,7 @@
 import collections.abc
 import dataclasses
 import datetime
+import typing
 
 import logbook
 
@@ -14,19 +15,29 @@
 from aspencroft.transport import codec
 
 LOG = logbook.Logger("replication.primary")
-RENEW = clock.seconds(0.25)
-BEAT = clock.seconds(0.2)
-QUEUE = 1024
-BATCH = 256
-LOST_DISK_COUNTS = clock.seconds(3)
+LEASE_RENEWAL_PERIOD = clock.seconds(0.25)
+"""Pause between two renewals of the lease: several fit into one lease, so that a lost answer ends nothing."""
+HEARTBEAT_PERIOD = clock.seconds(0.2)
+"""Longest pause between two appends: backups take a primary that is silent for longer for a lost one."""
+MAX_QUEUED = 1024
+"""Most commands that wait for their batch; more are rejected."""
+MAX_BATCH = 256
+"""Most commands in one batch, which all wait for the slowest of them."""
+LOST_DISK_GRACE = clock.seconds(3)
 """How long a lost disk counts as a loss that was to be borne, from when it is noticed: less than any catch-up time."""
 
 
+Command: typing.TypeAlias = object
+"""What a group's state machine is asked to decide; each state machine names its own types."""
+Reply: typing.TypeAlias = object
+"""What a state machine answers to a command."""
+
+
 @dataclasses.dataclass
 class Submission:
     """A command that waits for its reply."""
 
-    command: object
+    command: Command
     end: datetime.timedelta
     reply: asyncio.Future
 
@@ -36,7 +47,7 @@
     """A submission and the reply that waits until all members hold its events."""
 
     submission: Submission
-    reply: object
+    reply: Reply
 
 
 class Primary:
@@ -44,33 +55,38 @@
 
     def __init__(
         self,
-        own: group_state.GroupState,
-        copies: log_shipping.LogShipping,
-        recruits: replica_changes.ReplicaChanges,
+        state: group_state.GroupState,
+        shipping: log_shipping.LogShipping,
+        changes: replica_changes.ReplicaChanges,
     ):
-        self.own = own
-        self.log_shipping = copies
-        self.replica_changes = recruits
-        self.submissions: asyncio.Queue[Submission] = asyncio.Queue(QUEUE)
-        self.agreed: replica_set.ReplicaSet | None = None
-        self.short: replica_set.ReplicaSet | None = None
+        self.state = state
+        self.log_shipping = shipping
+        self.replica_changes = changes
+        self.submissions: asyncio.Queue[Submission] = asyncio.Queue(MAX_QUEUED)
+        self.synchronized_record: replica_set.ReplicaSet | None = None
+        self.exhausted_record: replica_set.ReplicaSet | None = None
         self.lost_disks: record_changes.LostDisks | None = None
-        self.touched = clock.ZERO
+        self.last_append_at = clock.ZERO
+
+    async def submit(self, command: Command, within: datetime.timedelta) -> Reply:
+        """Have a command decided by the primary; the reply comes once it is synced on all replicas.
 
-    async def submit(self, command, within: datetime.timedelta):
-        """Have a command decided by the primary; the reply comes once it is synced on all copies."""
-        own = self.own
-        if not own.has_lease():
+        Raises:
+            RequestError: not run, or rejected by the state machine; ``OUTCOME_UNKNOWN`` where it may have run.
+
+        """
+        state = self.state
+        if not state.has_lease():
             raise result.RequestError(
-                result.ResultCode.NOT_PRIMARY, detail=own.status_reason, retry=group_state.COME_BACK
+                result.ResultCode.NOT_PRIMARY, detail=state.status_reason, retry=group_state.CLIENT_RETRY_AFTER
             )
-        if not own.known.backups:
+        if not state.record.backups:
             raise result.RequestError(
-                result.ResultCode.NO_BACKUP, detail=own.status_reason, retry=group_state.COME_BACK
+                result.ResultCode.NO_BACKUP, detail=state.status_reason, retry=group_state.CLIENT_RETRY_AFTER
             )
         if self.submissions.full():
             raise result.RequestError(
-                result.ResultCode.OVERLOADED, detail=f"pair {own.group_id}", retry=group_state.COME_BACK
+                result.ResultCode.OVERLOADED, detail=f"pair {state.group_id}", retry=group_state.CLIENT_RETRY_AFTER
             )
         waiting = Submission(command, clock.now() + within, asyncio.get_running_loop().create_future())
         self.submissions.put_nowait(waiting)
@@ -81,293 +97,337 @@
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN,
                 result.Ran.UNKNOWN,
-                f"pair {own.group_id} did not finish in time",
-                group_state.COME_BACK,
+                f"pair {state.group_id} did not finish in time",
+                group_state.CLIENT_RETRY_AFTER,
             ) from None
 
     async def lead(self) -> None:
-        """Claim, make the backups agree, then serve until deposed."""
-        own = self.own
-        own.status_reason = "claiming"
-        await own.replica.persist_record(own.known)
-        if own.chosen is None or proposer.replica_set_of(own.chosen.value) != own.known:
-            await own.ballot(lambda standing: standing)
-            if own.known.primary != own.me():
+        """Have the record chosen, repair the backups, then serve until deposed.
+
+        Raises:
+            DeposedError: another member is the primary.
+            DiskStalledError: a write to this disk has not come back for long.
+            RequestError: no majority of the voters took part.
+
+        """
+        state = self.state
+        state.status_reason = "claiming"
+        await state.replica.persist_record(state.record)
+        # First a ballot: a lease is asked for only under a record that this member had chosen itself.
+        if state.lease.chosen is None or proposer.replica_set_of(state.lease.chosen.value) != state.record:
+            await state.ballot(lambda record: record)
+            if state.record.primary != state.me():
                 return
-        own.leading = True
-        own.lease_end = clock.ZERO
+        state.role_state.begin_term()
+        state.lease.expire()
         try:
             async with supervision.Group() as group:
                 group.create_task(self.renew())
                 group.create_task(self.serve())
                 group.create_task(self.tick())
-                group.create_task(self.replica_changes.behind())
+                group.create_task(self.replica_changes.prepare_candidates())
         finally:
-            own.leading = own.handing_over = False
-            own.moving = None
-            own.lease_end = clock.ZERO
-            own.chosen = None
-            self.abandon()
-            own.replica.settle_view()
-
-    def abandon(self) -> None:
+            state.role_state.end_term()
+            state.move.end()
+            state.lease.expire()
+            state.lease.forget_chosen()
+            self.reject_all()
+            state.replica.settle_view()
+            state.update_role("its term as primary ended")
+
+    def reject_all(self) -> None:
         """Nobody is left without an answer when the primary is deposed."""
-        self.refuse_waiting(result.ResultCode.NOT_PRIMARY)
+        self.reject_queued(result.ResultCode.NOT_PRIMARY)
 
     async def renew(self) -> None:
-        """Renew the claim; a newer record ends the tenure.
+        """Renew the lease; a newer record ends the term.
 
-        Once it failed, a claim of no length asks first whether answers come back:
-        witnesses that hear this node and are not heard
-        by it would else go on granting claims to a primary that can't use them, and keep its backups from taking over.
+        Once it failed, a lease of no length is asked for first, to see whether answers come back: voters that hear this
+        node and are not heard by it would else go on granting leases to a primary that can't use them, and keep its
+        backups from taking over.
         """
-        own = self.own
+        state = self.state
         failed = False
         while True:
-            own.check_disk()
-            used = own.chosen
-            end, newest, answered = await own.proposer.request_lease(
-                used, own.group_id, str(own.me()), clock.ZERO if failed else witness.LEASE
+            state.check_disk()
+            used = state.lease.chosen
+            assert used is not None, "a term begins only with a chosen record"
+            end, newest, answered = await state.proposer.request_lease(
+                used, state.group_id, str(state.me()), clock.ZERO if failed else witness.LEASE
             )
             if end is not None and failed:
                 failed = False
                 continue
             failed = end is None
             if end is not None:
-                own.lease_end = max(own.lease_end, end)
-            if not own.knows_chosen() and not own.balloting.locked() and own.known.primary == own.me():
+                state.lease.extend(end)
+            state.update_role("the lease was granted" if end is not None else "the lease was not renewed")
+            if not state.knows_chosen() and not state.balloting.locked() and state.record.primary == state.me():
                 await self.settle_record("a record was told of that this node did not have chosen")
-            elif end is None and self.outdated(used, newest, answered):
+            elif end is None and self.needs_ballot(used, newest, answered):
                 await self.settle_record("no majority of witnesses grants the lease")
-            own.check_tenure()
-            await clock.sleep(RENEW if end is not None else group_state.RETRY)
+            state.check_tenure()
+            await clock.sleep(LEASE_RENEWAL_PERIOD if end is not None else group_state.RETRY)
 
-    def outdated(self, used: proposer.Chosen, newest: bytes, answered: bool) -> bool:
+    def needs_ballot(self, used: proposer.Chosen, newest: bytes, answered: bool) -> bool:
         """Whether a refused lease calls for a ballot: a newer record was seen.
 
         Or a majority answered and the lease is over.
         """
-        own = self.own
-        unchanged = own.chosen is used and not own.balloting.locked()
-        return unchanged and bool(newest or (not own.has_lease() and answered))
+        state = self.state
+        unchanged = state.lease.chosen is used and not state.balloting.locked()
+        return unchanged and bool(newest or (not state.has_lease() and answered))
 
     async def settle_record(self, why: str) -> None:
         """Have the record that stands chosen once more, and know it then."""
-        own = self.own
-        own.status_reason = why
+        state = self.state
+        state.status_reason = why
         try:
-            await own.ballot(lambda standing: standing)
+            await state.ballot(lambda record: record)
         except result.RequestError as refusal:
-            LOG.info("pair {}: {}", own.group_id, refusal)
+            LOG.info(
+                "group {}: ballot on the record failed, epoch {}, member {}: {}; asked for as {}",
+                state.group_id,
+                state.record.epoch,
+                state.me(),
+                refusal,
+                why,
+            )
 
     async def tick(self) -> None:
         """Clock events of the view, decided like any command."""
-        own = self.own
+        state = self.state
         while True:
-            await clock.sleep(BEAT)
-            own.replica.state_machine.limit_payload(own.around.payload_limit())
-            if own.has_lease() and own.known.backups and not self.submissions.full():
-                for command in own.replica.state_machine.due(clock.now(), own.around.gone):
+            await clock.sleep(HEARTBEAT_PERIOD)
+            state.replica.state_machine.limit_payload(state.policy.payload_limit())
+            if state.has_lease() and state.record.backups and not self.submissions.full():
+                for command in state.replica.state_machine.due(clock.now(), state.policy.gone):
                     if not self.submissions.full():
                         self.submissions.put_nowait(
                             Submission(
                                 command,
-                                clock.now() + group_state.REPLY,
+                                clock.now() + group_state.REPLY_TIMEOUT,
                                 asyncio.get_running_loop().create_future(),
                             )
                         )
 
-    def enough(self, standing: replica_set.ReplicaSet) -> bool:
+    def has_enough_members(self, record: replica_set.ReplicaSet) -> bool:
         """Whether a record names enough members to answer: as many as must hold what is answered.
 
         Or two at least when a look at all other nodes under this record found none that could hold a copy, as those
         are lost machines then, or when the disks of those that are missing are known to have been lost just now.
         """
-        copies, lost = self.own.around.copies, self.lost_disks
-        if lost is not None and lost.excuse(standing, copies, group_state.LEAST, clock.now()):
+        copies, lost = self.state.policy.copies, self.lost_disks
+        if lost is not None and lost.excuse(record, copies, group_state.MIN_REPLICAS, clock.now()):
             return True
-        return record_changes.enough(standing, copies, group_state.LEAST, self.short)
+        return record_changes.has_enough_members(record, copies, group_state.MIN_REPLICAS, self.exhausted_record)
 
     async def serve(self) -> None:
-        """Make the backups agree, then take batches of commands; recruit first whenever there are too few members."""
-        own = self.own
-        held_back: list[Decided] = []
-        self.agreed = self.short = self.lost_disks = None
+        """Repair the backups, then take batches of commands; add replicas first whenever there are too few."""
+        undelivered: list[Decided] = []
+        self.synchronized_record = self.exhausted_record = self.lost_disks = None
         self.log_shipping.patience.begin()
         try:
             while True:
-                standing = own.known
-                if not own.has_lease():
-                    await clock.sleep(BEAT / 8)
-                elif not standing.backups:
-                    own.status_reason = "no backup"
-                    self.refuse_waiting(result.ResultCode.NO_BACKUP)
-                    if await self.replica_changes.add_replica():
-                        self.agreed = own.known
-                    else:
-                        await clock.sleep(group_state.RETRY)
-                elif self.agreed != standing:
-                    await self.agree(standing)
-                elif not self.enough(standing):
-                    own.status_reason = "recruiting"
-                    if await self.replica_changes.add_replica(doubted=False):
-                        self.agreed = own.known
-                    elif own.known == standing:
-                        self.short = standing
-                else:
-                    self.answer(held_back)
-                    own.status_reason = "serving"
-                    await self.replica_changes.move_away()
-                    if own.known == standing and await self.replica_changes.admit():
-                        self.agreed = own.known
-                    elif own.known == standing:
-                        await self.one_batch(held_back)
+                await self.serve_step(undelivered)
         finally:
-            self.leave_unclear(held_back)
-
-    async def agree(self, standing: replica_set.ReplicaSet) -> None:
+            self.fail_as_unknown(undelivered)
+
+    async def serve_step(self, undelivered: list[Decided]) -> None:
+        """Do what the record and the lease call for next: wait, add a replica, repair the backups, or take a batch."""
+        state = self.state
+        record = state.record
+        if not state.has_lease():
+            await clock.sleep(HEARTBEAT_PERIOD / 8)
+        elif not record.backups:
+            state.status_reason = "no backup"
+            self.reject_queued(result.ResultCode.NO_BACKUP)
+            if await self.replica_changes.add_replica():
+                self.synchronized_record = state.record
+            else:
+                await clock.sleep(group_state.RETRY)
+        elif self.synchronized_record != record:
+            await self.synchronize_backups(record)
+        elif not self.has_enough_members(record):
+            state.status_reason = "recruiting"
+            if await self.replica_changes.add_replica(include_suspected=False):
+                self.synchronized_record = state.record
+            elif state.record == record:
+                self.exhausted_record = record
+        else:
+            self.send_replies(undelivered)
+            state.status_reason = "serving"
+            await self.replica_changes.move_away()
+            if state.record == record and await self.replica_changes.admit_candidate():
+                self.synchronized_record = state.record
+            elif state.record == record:
+                await self.commit_batch(undelivered)
+
+    async def synchronize_backups(self, record: replica_set.ReplicaSet) -> None:
         """Make the copies of all backups the same; those that fail are recorded out."""
-        if not await self.log_shipping.made_sure():
+        if not await self.log_shipping.confirm_log():
             await clock.sleep(group_state.RETRY)
             return
-        self.own.status_reason = "mending the backups"
-        failed = await self.log_shipping.agree(standing)
-        lost = self.log_shipping.lost.intersection(failed)
+        self.state.status_reason = "mending the backups"
+        failed = await self.log_shipping.synchronize_backups(record)
+        lost = self.log_shipping.lost_disks.intersection(failed)
         if failed:
-            await self.drop(failed)
-            end = clock.now() + LOST_DISK_COUNTS
-            self.lost_disks = record_changes.LostDisks(self.own.known, len(lost), end)
-        elif self.own.known == standing:
-            self.agreed = standing
+            await self.record_out_failed(failed)
+            end = clock.now() + LOST_DISK_GRACE
+            self.lost_disks = record_changes.LostDisks(self.state.record, len(lost), end)
+        elif self.state.record == record:
+            self.synchronized_record = record
 
-    def answer(self, decided: list[Decided]) -> None:
+    def send_replies(self, decided: list[Decided]) -> None:
         """Hand out replies of what all replicas hold, if the lease still stands; else the outcome is unknown."""
-        if not self.own.has_lease():
-            self.leave_unclear(decided)
+        if not self.state.has_lease():
+            self.fail_as_unknown(decided)
             return
-        for one in decided:
-            if one.submission.reply.done():
+        for item in decided:
+            if item.submission.reply.done():
                 continue
-            if isinstance(one.reply, result.RequestError):
-                fail(one.submission.reply, one.reply)
+            if isinstance(item.reply, result.RequestError):
+                fail(item.submission.reply, item.reply)
             else:
-                one.submission.reply.set_result(one.reply)
+                item.submission.reply.set_result(item.reply)
         decided.clear()
 
-    def leave_unclear(self, decided: list[Decided]) -> None:
+    def fail_as_unknown(self, decided: list[Decided]) -> None:
         """At the end of a tenure: what not all copies are known to hold is neither confirmed nor refused."""
-        for one in decided:
-            if not one.submission.reply.done():
-                fail(one.submission.reply, unclear())
+        for item in decided:
+            if not item.submission.reply.done():
+                fail(item.submission.reply, unclear())
         decided.clear()
 
-    def refuse_waiting(self, why: result.ResultCode) -> None:
+    def reject_queued(self, why: result.ResultCode) -> None:
         """Commands that were not begun are refused at once, as while there is no backup."""
         while not self.submissions.empty():
             waiting = self.submissions.get_nowait()
             if not waiting.reply.done():
-                fail(waiting.reply, result.RequestError(why, retry=group_state.COME_BACK))
+                fail(waiting.reply, result.RequestError(why, retry=group_state.CLIENT_RETRY_AFTER))
 
     async def take_batch(self) -> list[Submission]:
         """The commands that wait, or none once it is time to show the backups a sign of life."""
         try:
-            async with clock.limit(BEAT):
+            async with clock.limit(HEARTBEAT_PERIOD):
                 batch = [await self.submissions.get()]
         except TimeoutError:
             return []
-        while not self.submissions.empty() and len(batch) < BATCH:
+        while not self.submissions.empty() and len(batch) < MAX_BATCH:
             batch.append(self.submissions.get_nowait())
         return batch
 
-    async def one_batch(self, held_back: list[Decided]) -> None:
+    async def commit_batch(self, undelivered: list[Decided]) -> None:
         """Decide what waits, sync the events on all copies, answer; backups that failed are recorded out.
 
-        What was decided stays in ``held_back`` until enough copies hold it.
+        What was decided stays in ``undelivered`` until enough copies hold it.
         The replica set may change meanwhile, when a
         ballot whose outcome was not known is finished: then the backups that synced may be none any more,
         and the batch waits
         until the members of the next record agree.
         """
-        own = self.own
+        state = self.state
         batch = await self.take_batch()
-        standing = own.known
-        if standing != self.agreed:
+        record = state.record
+        if record != self.synchronized_record:
             for waiting in batch:
                 if not waiting.reply.done():
                     fail(
                         waiting.reply,
-                        result.RequestError(result.ResultCode.NO_BACKUP, retry=group_state.COME_BACK),
+                        result.RequestError(result.ResultCode.NO_BACKUP, retry=group_state.CLIENT_RETRY_AFTER),
                     )
             return
-        last = own.replica.last()
-        entries = self.decide(batch, standing, last, held_back)
+        last = state.replica.last()
+        entries = self.decide(batch, record, last, undelivered)
         if not entries:
-            self.answer(held_back)
-        if not entries and clock.now() - self.touched < BEAT:
+            self.send_replies(undelivered)
+        if not entries and clock.now() - self.last_append_at < HEARTBEAT_PERIOD:
             return
-        failed = await self.log_shipping.append(standing, last, entries)
-        self.touched = clock.now()
-        if not failed and own.known == standing:
-            self.answer(held_back)
-            own.counts["batches"] += 1
-            own.counts["entries"] += len(entries)
+        failed = await self.log_shipping.append(record, last, entries)
+        self.last_append_at = clock.now()
+        if not failed and state.record == record:
+            self.send_replies(undelivered)
+            state.counts["batches"] += 1
+            state.counts["entries"] += len(entries)
             if entries:
-                own.committed.set()
-                own.replica.begin_snapshot()
+                state.committed.set()
+                state.replica.begin_snapshot()
         else:
-            self.agreed = None
+            self.synchronized_record = None
             if failed:
-                await self.drop(failed)
+                await self.record_out_failed(failed)
 
     def decide(
         self,
         batch: list[Submission],
-        standing: replica_set.ReplicaSet,
+        record: replica_set.ReplicaSet,
         last: replica.LogPosition,
-        held_back: list[Decided],
+        undelivered: list[Decided],
     ) -> tuple[replica.Entry, ...]:
         """Have the view decide commands one after the other; the entries that come of it, folded already."""
-        own = self.own
+        state = self.state
         entries: list[replica.Entry] = []
         for waiting in batch:
             if waiting.reply.done():
                 continue
-            if not own.has_lease() or waiting.end < clock.now():
+            if not state.has_lease() or waiting.end < clock.now():
                 fail(
                     waiting.reply,
-                    result.RequestError(result.ResultCode.NOT_PRIMARY, retry=group_state.COME_BACK),
+                    result.RequestError(result.ResultCode.NOT_PRIMARY, retry=group_state.CLIENT_RETRY_AFTER),
                 )
                 continue
             try:
-                events, reply = own.replica.state_machine.decide(waiting.command, clock.now(), standing.epoch)
+                events, reply = state.replica.state_machine.decide(waiting.command, clock.now(), record.epoch)
             except result.RequestError as refusal:
                 events, reply = (), refusal
-            except Exception as error:
-                LOG.exception("pair {} could not decide {}", own.group_id, type(waiting.command).__name__)
+            except Exception as error:  # a fault in deciding one command must not end the primary's supervised task
+                LOG.exception(
+                    "group {}: command {} not decided, epoch {}, member {}: internal fault",
+                    state.group_id,
+                    type(waiting.command).__name__,
+                    record.epoch,
+                    state.me(),
+                )
                 events, reply = (), result.RequestError(result.ResultCode.INTERNAL, detail=repr(error))
             for event in events:
-                entries.append(replica.Entry(standing.epoch, last.sequence + len(entries) + 1, codec.tagged(event)))
-                own.replica.apply(entries[-1], event)
-            held_back.append(Decided(waiting, reply))
+                entries.append(replica.Entry(record.epoch, last.sequence + len(entries) + 1, codec.tagged(event)))
+                state.replica.apply(entries[-1], event)
+            undelivered.append(Decided(waiting, reply))
         return tuple(entries)
 
-    async def drop(self, failed: collections.abc.Iterable[replica_set.ReplicaId]) -> None:
-        """Have the witnesses record backups out, before anything is answered without them."""
-        own, gone = self.own, frozenset(failed)
-        for one in gone:
-            own.doubt(one.address)
+    async def record_out_failed(self, failed: collections.abc.Iterable[replica_set.ReplicaId]) -> None:
+        """Have the witnesses record backups out.
+
+        Before anything is answered without them: until the record leaves them out they may take over and would lack
+        what was answered meanwhile.
+
+        Raises:
+            DeposedError: another member is the primary.
+
+        """
+        state, gone = self.state, frozenset(failed)
+        for backup in gone:
+            state.suspected_peers.suspect(backup.address)
         try:
-            await own.ballot(lambda standing: record_changes.without(standing, own.me(), gone))
+            await state.ballot(lambda record: record_changes.without_backups(record, state.me(), gone))
         except result.RequestError as refusal:
-            LOG.info("pair {}: {}", own.group_id, refusal)
+            LOG.info(
+                "group {}: failed backups not dropped, epoch {}, members {}: {}",
+                state.group_id,
+                state.record.epoch,
+                ", ".join(sorted(str(backup) for backup in gone)),
+                refusal,
+            )
             await clock.sleep(group_state.RETRY)
-        own.check_tenure()
+        else:
+            state.log_dropped(gone, "their logs are not known to be the primary's")
+        state.check_tenure()
 
 
 def unclear() -> result.RequestError:
     """The answer to a command that was decided and may or may not last."""
     return result.RequestError(
-        result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the lease ran out", group_state.COME_BACK
+        result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the lease ran out", group_state.CLIENT_RETRY_AFTER
     )
 
 
--- a/aspencroft/replication/primary_test.py
+++ b/aspencroft/replication/primary_test.py
@@ -11,101 +11,101 @@
 
 
 def test_nothing_is_answered_until_all_backups_hold_it_or_are_recorded_out(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run("n0:1", "n1:1", "n2:1")
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        await those.write("a")
-        assert those.same("n0:1", "n1:1", "n2:1")
-        those.silent.add("n2:1")
-        those.gone.add("n2:1")
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run("n0:1", "n1:1", "n2:1")
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        await cluster.write("a")
+        assert cluster.same("n0:1", "n1:1", "n2:1")
+        cluster.silent.add("n2:1")
+        cluster.gone.add("n2:1")
         began = clock.now()
-        writing = asyncio.ensure_future(those.write("b"))
+        writing = asyncio.ensure_future(cluster.write("b"))
         while not writing.done():
-            assert those.register.standing().epoch == 1 or "n2:1" not in str(those.register.standing().backups)
+            assert cluster.register.standing().epoch == 1 or "n2:1" not in str(cluster.register.standing().backups)
             await clock.sleep(clock.seconds(0.01))
-            if those.register.standing().epoch == 1:
+            if cluster.register.standing().epoch == 1:
                 assert not writing.done()
         assert writing.result().changed == 1
         assert (clock.now() - began).total_seconds() < 2.0
-        assert len(those.register.standing().backups) == 1 and those.same("n0:1", "n1:1")
+        assert len(cluster.register.standing().backups) == 1 and cluster.same("n0:1", "n1:1")
 
-    members.play(tmp_path, 3, acts, members=3, copies=3, goal=3)
+    members.play(tmp_path, 3, scenario, members=3, copies=3, goal=3)
 
 
 def test_too_few_members_answer_only_when_no_other_disk_can_be_had_and_one_never_does(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"].serving
-        one, two, three = (those.group_replicas[name].me() for name in those.names)
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"].primary
+        one, two, three = (cluster.group_replicas[name].me() for name in cluster.names)
         short = replica_set.ReplicaSet(0, 5, one, (two,))
-        assert own.enough(replica_set.ReplicaSet(0, 5, one, (two, three)))
-        assert not own.enough(short)
-        own.short = short
-        assert own.enough(short)
-        assert not own.enough(replica_set.ReplicaSet(0, 6, one, (two,)))
-        own.short = alone = replica_set.ReplicaSet(0, 7, one, ())
-        assert not own.enough(alone)
+        assert own.has_enough_members(replica_set.ReplicaSet(0, 5, one, (two, three)))
+        assert not own.has_enough_members(short)
+        own.exhausted_record = short
+        assert own.has_enough_members(short)
+        assert not own.has_enough_members(replica_set.ReplicaSet(0, 6, one, (two,)))
+        own.exhausted_record = alone = replica_set.ReplicaSet(0, 7, one, ())
+        assert not own.has_enough_members(alone)
 
-    members.play(tmp_path, 3, acts, members=3, copies=3, goal=3)
+    members.play(tmp_path, 3, scenario, members=3, copies=3, goal=3)
 
 
 def test_a_group_with_too_few_members_takes_in_another_before_it_answers(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        those.silent.add("n1:1")
-        await those.write("a")
-        standing = those.register.standing()
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        cluster.silent.add("n1:1")
+        await cluster.write("a")
+        standing = cluster.register.standing()
         assert {one.address for one in standing.backups} == {"n2:1", "n3:1"}
-        assert those.same("n0:1", "n2:1", "n3:1")
+        assert cluster.same("n0:1", "n2:1", "n3:1")
 
-    members.play(tmp_path, 4, acts, members=3, copies=3, goal=3)
+    members.play(tmp_path, 4, scenario, members=3, copies=3, goal=3)
 
 
-async def answered_with(those: members.Members, name: str) -> int:
+async def answered_with(cluster: members.Members, name: str) -> int:
     """Write once somebody leads; how many members the record named when that was answered."""
-    await those.until(lambda: bool(those.leader()))
-    await those.write(name, those.leader())
-    return len(those.register.standing().members())
+    await cluster.until(lambda: bool(cluster.leader()))
+    await cluster.write(name, cluster.leader())
+    return len(cluster.register.standing().members())
 
 
-def slow_repairs(those: members.Members):
+def slow_repairs(cluster: members.Members):
     """Have copying to new members take half a second a message."""
-    request = those.request
+    request = cluster.request
 
     async def slow(address, message, within):
         if isinstance(message, messages.BeginRepair):
             await clock.sleep(clock.seconds(0.5))
         return await request(address, message, within)
 
-    those.request = slow
+    cluster.request = slow
 
 
 def test_a_disk_known_to_be_lost_is_one_of_the_losses_to_be_borne_and_holds_nobody_up(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await answered_with(those, "a")
-        slow_repairs(those)
-        those.stop("n0:1")
-        await those.wipe("n2:1", 0.01)
-        those.silent.discard("n0:1")
-        those.run("n0:1")
-        assert await answered_with(those, "b") == 2, "before another copy is made"
-        await those.until(lambda: len(those.register.standing().members()) == 3)
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await answered_with(cluster, "a")
+        slow_repairs(cluster)
+        cluster.stop("n0:1")
+        await cluster.wipe("n2:1", 0.01)
+        cluster.silent.discard("n0:1")
+        cluster.run("n0:1")
+        assert await answered_with(cluster, "b") == 2, "before another copy is made"
+        await cluster.until(lambda: len(cluster.register.standing().members()) == 3)
 
-    members.play(tmp_path, 5, acts, members=3, copies=3, goal=3)
+    members.play(tmp_path, 5, scenario, members=3, copies=3, goal=3)
 
 
 def test_a_copy_that_was_let_go_of_is_no_loss_nor_is_a_member_that_is_silent(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"]
-        await those.group_replicas["n2:1"].replica.release()
-        assert await own.log_shipping.agree(own.known)
-        assert not own.log_shipping.lost
-        those.silent.add("n2:1")
-        assert await own.log_shipping.agree(own.known)
-        assert not own.log_shipping.lost
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"]
+        await cluster.group_replicas["n2:1"].replica.release()
+        assert await own.log_shipping.synchronize_backups(own.known)
+        assert not own.log_shipping.lost_disks
+        cluster.silent.add("n2:1")
+        assert await own.log_shipping.synchronize_backups(own.known)
+        assert not own.log_shipping.lost_disks
 
-    members.play(tmp_path, 3, acts, members=3, copies=3, goal=3)
+    members.play(tmp_path, 3, scenario, members=3, copies=3, goal=3)
 
 
 def test_a_lost_disk_excuses_one_member_under_one_record_for_a_short_time():
@@ -121,102 +121,103 @@
 
 
 def test_members_beyond_what_must_hold_answers_are_taken_in_behind_serving(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
         for number in range(40):
-            await those.write(f"a{number}")
-        await those.until(lambda: len(those.register.standing().backups) == 2, 3)
-        await those.write("last")
-        assert those.same(*those.names)
+            await cluster.write(f"a{number}")
+        await cluster.until(lambda: len(cluster.register.standing().backups) == 2, 3)
+        await cluster.write("last")
+        assert cluster.same(*cluster.names)
 
-    members.play(tmp_path, 3, acts, members=2, copies=2, goal=3)
+    members.play(tmp_path, 3, scenario, members=2, copies=2, goal=3)
 
 
 def test_what_a_member_lacks_is_not_answered_while_the_record_names_it(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        those.silent.add("n2:1")
-        those.register.refusing = True
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        cluster.silent.add("n2:1")
+        cluster.register.refusing = True
         try:
-            await those.write("a", within=4.0)
+            await cluster.write("a", within=4.0)
             raise AssertionError("answered")
         except result.RequestError as refusal:
             assert refusal.ran is result.Ran.UNKNOWN
-        assert len(those.register.standing().members()) == 3 and not those.same(*those.names)
+        assert len(cluster.register.standing().members()) == 3 and not cluster.same(*cluster.names)
 
-    members.play(tmp_path, 3, acts, members=3)
+    members.play(tmp_path, 3, scenario, members=3)
 
 
 def test_a_primary_that_hears_no_witness_asks_for_no_claim_that_it_could_not_use(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run("n0:1")
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        those.register.deaf = True
-        before = len(those.register.lengths)
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run("n0:1")
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        cluster.register.deaf = True
+        before = len(cluster.register.lengths)
         await clock.sleep(clock.seconds(5))
-        assert [length > clock.ZERO for length in those.register.lengths[before:]].count(True) <= 1
-        assert len(those.register.lengths) > before + 3
-        those.register.deaf = False
+        assert [length > clock.ZERO for length in cluster.register.lengths[before:]].count(True) <= 1
+        assert len(cluster.register.lengths) > before + 3
+        cluster.register.deaf = False
         assert (
-            await those.until(
+            await cluster.until(
                 lambda: (
-                    those.group_replicas["n0:1"].has_lease() and those.group_replicas["n0:1"].status_reason == "serving"
+                    cluster.group_replicas["n0:1"].has_lease()
+                    and cluster.group_replicas["n0:1"].status_reason == "serving"
                 )
             )
             < 1.5
         )
 
-    members.play(tmp_path, 2, acts)
+    members.play(tmp_path, 2, scenario)
 
 
 def test_a_lone_primary_refuses_at_once(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run("n0:1")
-        those.silent.add("n1:1")
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "no backup")
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run("n0:1")
+        cluster.silent.add("n1:1")
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "no backup")
         try:
-            await those.write("a")
+            await cluster.write("a")
             raise AssertionError("answered")
         except result.RequestError as refusal:
             assert refusal.result is result.ResultCode.NO_BACKUP and refusal.ran is result.Ran.NOT_RUN
 
-    members.play(tmp_path, 2, acts)
+    members.play(tmp_path, 2, scenario)
 
 
 def test_nothing_is_answered_under_a_record_that_was_told_of_and_never_chosen(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        own = those.group_replicas["n0:1"]
-        await those.until(lambda: own.status_reason == "serving")
-        chosen = those.register.standing()
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        own = cluster.group_replicas["n0:1"]
+        await cluster.until(lambda: own.status_reason == "serving")
+        chosen = cluster.register.standing()
         left_out = chosen.backups[0]
-        those.silent.add(left_out.address)
-        those.register.refusing = True
+        cluster.silent.add(left_out.address)
+        cluster.register.refusing = True
         own.learn(dataclasses.replace(chosen, epoch=chosen.epoch + 1, backups=chosen.backups[1:]))
         answered = False
         try:
-            await those.write("a")
+            await cluster.write("a")
             answered = True
         except result.RequestError:
             pass
         assert not answered
-        those.register.refusing = False
-        those.silent.clear()
-        await those.until(lambda: own.has_lease() and own.status_reason == "serving")
-        assert own.known == those.register.standing() and own.known.epoch > chosen.epoch + 1
-        await those.write("b")
+        cluster.register.refusing = False
+        cluster.silent.clear()
+        await cluster.until(lambda: own.has_lease() and own.status_reason == "serving")
+        assert own.known == cluster.register.standing() and own.known.epoch > chosen.epoch + 1
+        await cluster.write("b")
 
-    members.play(tmp_path, 3, acts, members=3, copies=2, goal=3)
+    members.play(tmp_path, 3, scenario, members=3, copies=2, goal=3)
 
 
 def test_an_order_that_the_primary_could_not_write_is_not_answered_though_its_lease_stands(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        await those.write("a")
-        own = those.group_replicas["n0:1"]
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        await cluster.write("a")
+        own = cluster.group_replicas["n0:1"]
         writes = own.replica.write_items
 
         async def failing(*values) -> None:
@@ -226,10 +227,10 @@
 
         own.replica.write_items = failing
         try:
-            await those.write("b")
+            await cluster.write("b")
             raise AssertionError("answered")
         except result.RequestError as refusal:
             assert refusal.ran is result.Ran.UNKNOWN
-        assert own.lease_end > clock.now() or not own.leading
+        assert own.lease_end > clock.now() or not own.role_state.is_leading
 
-    members.play(tmp_path, 3, acts, members=3)
+    members.play(tmp_path, 3, scenario, members=3)
--- a/aspencroft/replication/record_changes.py
+++ b/aspencroft/replication/record_changes.py
@@ -8,47 +8,47 @@
 
 
 def take_over(
-    standing: replica_set.ReplicaSet, me: replica_set.ReplicaId, silent: replica_set.ReplicaId
+    record: replica_set.ReplicaSet, me: replica_set.ReplicaId, silent: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
     """A backup of the newest record becomes the primary, only in the place of the one that it found silent."""
-    if me not in standing.backups or standing.primary != silent:
-        return standing
-    backups = tuple(one for one in standing.backups if one != me)
-    return dataclasses.replace(standing, epoch=standing.epoch + 1, primary=me, backups=backups)
+    if me not in record.backups or record.primary != silent:
+        return record
+    backups = tuple(one for one in record.backups if one != me)
+    return dataclasses.replace(record, epoch=record.epoch + 1, primary=me, backups=backups)
 
 
-def without(
-    standing: replica_set.ReplicaSet,
+def without_backups(
+    record: replica_set.ReplicaSet,
     me: replica_set.ReplicaId,
     gone: collections.abc.Collection[replica_set.ReplicaId],
 ) -> replica_set.ReplicaSet:
     """The primary has some backups recorded out."""
-    if standing.primary != me or not set(gone) & set(standing.backups):
-        return standing
-    backups = tuple(one for one in standing.backups if one not in gone)
-    return dataclasses.replace(standing, epoch=standing.epoch + 1, backups=backups)
+    if record.primary != me or not set(gone) & set(record.backups):
+        return record
+    backups = tuple(one for one in record.backups if one not in gone)
+    return dataclasses.replace(record, epoch=record.epoch + 1, backups=backups)
 
 
 def with_backup(
-    standing: replica_set.ReplicaSet, me: replica_set.ReplicaId, peer: replica_set.ReplicaId
+    record: replica_set.ReplicaSet, me: replica_set.ReplicaId, peer: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
     """The primary has a node whose copy is the same recorded as a backup."""
-    if standing.primary != me or any(one.address == peer.address for one in standing.backups):
-        return standing
-    return dataclasses.replace(standing, epoch=standing.epoch + 1, backups=(*standing.backups, peer))
+    if record.primary != me or any(one.address == peer.address for one in record.backups):
+        return record
+    return dataclasses.replace(record, epoch=record.epoch + 1, backups=(*record.backups, peer))
 
 
-def hand_over(
-    standing: replica_set.ReplicaSet, me: replica_set.ReplicaId, heir: replica_set.ReplicaId
+def transfer_leadership(
+    record: replica_set.ReplicaSet, me: replica_set.ReplicaId, heir: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
     """The primary makes a backup the primary and stays as a backup."""
-    if standing.primary != me or heir not in standing.backups:
-        return standing
-    backups = (*(one for one in standing.backups if one != heir), me)
-    return dataclasses.replace(standing, epoch=standing.epoch + 1, primary=heir, backups=backups)
+    if record.primary != me or heir not in record.backups:
+        return record
+    backups = (*(one for one in record.backups if one != heir), me)
+    return dataclasses.replace(record, epoch=record.epoch + 1, primary=heir, backups=backups)
 
 
-def distinct(fresh: replica_set.ReplicaSet, known: replica_set.ReplicaSet | None) -> replica_set.ReplicaSet:
+def with_newer_epoch(fresh: replica_set.ReplicaSet, known: replica_set.ReplicaSet | None) -> replica_set.ReplicaSet:
     """The record to propose: with the next epoch where another one of no lower epoch is known here.
 
     Witnesses may have told of a record that was accepted by few and never chosen; a chosen one must be newer.
@@ -58,14 +58,16 @@
     return fresh
 
 
-def enough(standing: replica_set.ReplicaSet, copies: int, least: int, short: replica_set.ReplicaSet | None) -> bool:
+def has_enough_members(
+    record: replica_set.ReplicaSet, copies: int, least: int, exhausted_record: replica_set.ReplicaSet | None
+) -> bool:
     """Whether a record names enough members to answer.
 
     ``copies`` must hold what is answered, or ``least`` of them when a look at all other nodes under this very record,
-    ``short``, found none that could hold a copy, as those are lost machines then.
+    ``exhausted_record``, found none that could hold a copy, as those are lost machines then.
     """
-    count = len(standing.members())
-    return count >= copies or (count >= least and short == standing)
+    count = len(record.members())
+    return count >= copies or (count >= least and exhausted_record == record)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -74,14 +76,14 @@
     are, and until when they count as losses that were to be borne.
     """
 
-    standing: replica_set.ReplicaSet
+    record: replica_set.ReplicaSet
     count: int
     end: datetime.timedelta
 
-    def excuse(self, standing: replica_set.ReplicaSet, copies: int, least: int, now: datetime.timedelta) -> bool:
+    def excuse(self, record: replica_set.ReplicaSet, copies: int, least: int, now: datetime.timedelta) -> bool:
         """Whether a record names enough members, as those missing are losses that happened."""
-        count = len(standing.members())
-        return standing == self.standing and now < self.end and count >= least and count + self.count >= copies
+        count = len(record.members())
+        return record == self.record and now < self.end and count >= least and count + self.count >= copies
 
 
 def may_leave(staying: int, members: int, copies: int) -> bool:
@@ -96,7 +98,7 @@
     """
 
     leading: bool
-    handing_over: bool
+    transferring_leadership: bool
     lease_end: datetime.timedelta
     knows_chosen: bool
 
@@ -116,7 +118,7 @@
     return (
         tenure.leading
         and tenure.knows_chosen
-        and not tenure.handing_over
+        and not tenure.transferring_leadership
         and now < tenure.lease_end
         and known is not None
         and known.primary == me
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -23,163 +23,188 @@
 class ReplicaChanges:
     """A primary's search for members."""
 
-    def __init__(self, own: group_state.GroupState, copies: log_shipping.LogShipping):
-        self.own = own
-        self.log_shipping = copies
+    def __init__(self, state: group_state.GroupState, shipping: log_shipping.LogShipping):
+        self.state = state
+        self.log_shipping = shipping
         self.ready: replica_set.ReplicaId | None = None
         self.admitted = asyncio.Event()
         self.unbalanced_since: datetime.timedelta | None = None
         self.next_look = clock.ZERO
 
-    def order(self) -> list[replica_placement.Candidate]:
+    def rank_candidates(self) -> list[replica_placement.Candidate]:
         """Candidates for a backup's place: those that failed lately last, areas without a member first, then those that
         hold the fewest replicas.
         """
-        own = self.own
-        members = {one.address for one in own.known.members()}
-        able = own.around.candidates()
-        staying = {one.address for one in own.staying()}
-        areas = {one.area for one in able if one.address in staying}
-        if own.moving != own.me():
-            areas.add(own.area)
-        free = [one for one in able if one.address not in members and not own.around.is_drained(one.address)]
-        held = replica_placement.replica_counts(own.around.records())
-        best_first = replica_placement.preferred(own.group_id, free, areas, held)
-        return sorted(best_first, key=lambda one: own.doubts(one.address))
-
-    def lacking(self) -> bool:
+        state = self.state
+        members = {member.address for member in state.record.members()}
+        able = state.policy.candidates()
+        staying = {member.address for member in state.staying()}
+        areas = {member.area for member in able if member.address in staying}
+        if state.move.leaving != state.me():
+            areas.add(state.area)
+        free = [
+            member for member in able if member.address not in members and not state.policy.is_drained(member.address)
+        ]
+        held = replica_placement.replica_counts(state.policy.records())
+        best_first = replica_placement.preferred(state.group_id, free, areas, held)
+        return sorted(best_first, key=lambda member: state.suspected_peers.is_suspected(member.address))
+
+    def is_lacking_members(self) -> bool:
         """Whether the group is to have more members than those that stay."""
-        return len(self.own.staying()) < self.own.around.goal()
+        return len(self.state.staying()) < self.state.policy.goal()
 
-    async def add_replica(self, doubted: bool = True) -> bool:
+    async def add_replica(self, include_suspected: bool = True) -> bool:
         """While nothing is served: find one node, make its copy the same, have it recorded as a backup."""
-        for one in self.order():
-            if not doubted and self.own.doubts(one.address):
+        for candidate in self.rank_candidates():
+            if not include_suspected and self.state.suspected_peers.is_suspected(candidate.address):
                 continue
-            peer = await self.prepare(one, whole=True)
-            if peer is not None and await self.enlist(peer):
+            peer = await self.prepare_candidate(candidate, whole=True)
+            if peer is not None and await self.record_backup(peer):
                 return True
-            if any(member.address == one.address for member in self.own.known.members()):
+            if any(member.address == candidate.address for member in self.state.record.members()):
                 return False
         return False
 
-    async def prepare(self, one: replica_placement.Candidate, whole: bool = False) -> replica_set.ReplicaId | None:
+    async def prepare_candidate(
+        self, candidate: replica_placement.Candidate, whole: bool = False
+    ) -> replica_set.ReplicaId | None:
         """Make a candidate's copy the same as this one was a moment ago, or as it is now; none when that failed."""
-        own = self.own
+        state = self.state
         try:
-            compared = await own.link.request(
-                one.address, messages.Compare(own.group_id, own.known.epoch), group_state.REPLY
+            compared = await state.link.request(
+                candidate.address, messages.Compare(state.group_id, state.record.epoch), group_state.REPLY_TIMEOUT
             )
-            peer = replica_set.ReplicaId(one.address, compared.identity)
+            peer = replica_set.ReplicaId(candidate.address, compared.identity)
             mark = await self.log_shipping.repair_from(peer, compared)
-            same = mark == own.replica.last() if whole else own.replica.digest_at(mark.sequence) == mark.digest
+            same = mark == state.replica.last() if whole else state.replica.digest_at(mark.sequence) == mark.digest
             if not same:
-                own.doubt(one.address)
+                state.suspected_peers.suspect(candidate.address)
             return peer if same else None
         except result.RequestError as refusal:
-            LOG.info("pair {}: recruiting {}: {}", own.group_id, one.address, refusal)
-            own.doubt(one.address)
+            LOG.info(
+                "group {}: candidate {} not prepared, epoch {}: {}",
+                state.group_id,
+                candidate.address,
+                state.record.epoch,
+                refusal,
+            )
+            state.suspected_peers.suspect(candidate.address)
             return None
 
-    async def enlist(self, peer: replica_set.ReplicaId) -> bool:
+    async def record_backup(self, peer: replica_set.ReplicaId) -> bool:
         """Have a node whose copy is the same recorded as a backup, and tell it.
 
         Where it is not known whether the record names it, the tenure ends:
         the next one begins with a ballot that settles it.
         Until then nothing more may be answered, as that node would lack it and could take over.
         """
-        own = self.own
-        if own.around.is_drained(peer.address):
+        state = self.state
+        if state.policy.is_drained(peer.address):
             return False
         try:
-            chosen = await own.ballot(lambda standing: record_changes.with_backup(standing, own.me(), peer))
-            own.check_tenure()
-            if peer not in own.known.backups:
+            chosen = await state.ballot(lambda record: record_changes.with_backup(record, state.me(), peer))
+            state.check_tenure()
+            enlisted = proposer.replica_set_of(chosen.value)
+            if enlisted is None or peer not in state.record.backups:
                 return False
-            own.counts["recruits"] += 1
-            await own.link.request(
-                peer.address, messages.ReplicaSetNotice(proposer.replica_set_of(chosen.value)), group_state.REPLY
+            state.counts["recruits"] += 1
+            LOG.info(
+                "group {}: replica added, epoch {}, member {}: its log is the same as the primary's",
+                state.group_id,
+                state.record.epoch,
+                peer,
+            )
+            await state.link.request(
+                peer.address,
+                messages.ReplicaSetNotice(enlisted),
+                group_state.REPLY_TIMEOUT,
             )
             return True
         except result.RequestError as refusal:
-            LOG.info("pair {}: recruiting {}: {}", own.group_id, peer.address, refusal)
-            own.doubt(peer.address)
+            LOG.info("group {}: replica {} not added, epoch {}: {}", state.group_id, peer, state.record.epoch, refusal)
+            state.suspected_peers.suspect(peer.address)
             if refusal.result is result.ResultCode.OUTCOME_UNKNOWN:
-                raise group_state.Deposed(f"not known whether {peer.address} is a member") from None
+                raise group_state.DeposedError(f"not known whether {peer.address} is a member") from None
             return False
 
-    async def behind(self) -> None:
+    async def prepare_candidates(self) -> None:
         """While the group is served: prepare a candidate whenever members are lacking.
 
         Serving admits it between two batches.
         """
         while True:
             await clock.sleep(group_state.RETRY)
-            if not self.own.has_lease():
+            if not self.state.has_lease():
                 continue
             self.balance()
-            if not self.lacking():
+            if not self.is_lacking_members():
                 continue
-            for one in self.order():
-                if not self.own.has_lease() or self.own.status_reason != "serving" or not self.lacking():
+            for candidate in self.rank_candidates():
+                if not self.state.has_lease() or self.state.status_reason != "serving" or not self.is_lacking_members():
                     break
-                peer = await self.prepare(one)
+                peer = await self.prepare_candidate(candidate)
                 if peer is not None:
                     self.admitted.clear()
                     self.ready = peer
                     await self.admitted.wait()
-            if self.lacking():
-                self.own.moving = None
+            if self.is_lacking_members():
+                self.state.move.end()
 
     def balance(self) -> None:
         """Have a member give its place to a better one, once that has been there for a while.
 
         The move itself goes the way of all changes: the better one is added first, then the other one recorded out.
         """
-        own = self.own
-        if own.moving is not None or clock.now() < self.next_look:
+        state = self.state
+        if state.move.leaving is not None or clock.now() < self.next_look:
             return
         self.next_look = clock.now() + BALANCE_LOOK
-        leaving = self.misplaced() if own.status_reason == "serving" else None
+        leaving = self.find_misplaced() if state.status_reason == "serving" else None
         if leaving is None:
             self.unbalanced_since = None
             return
         if self.unbalanced_since is None:
             self.unbalanced_since = clock.now()
-        if clock.now() - self.unbalanced_since >= BALANCE_AFTER + self.turn(leaving) * BALANCE_TURN:
-            LOG.info("group {}: {} is to give its place to a better one", own.group_id, leaving.address)
+        if clock.now() - self.unbalanced_since >= BALANCE_AFTER + self.count_groups_ahead(leaving) * BALANCE_TURN:
+            LOG.info(
+                "group {}: move begun, epoch {}, member {}: a better place for it is free",
+                state.group_id,
+                state.record.epoch,
+                leaving,
+            )
             self.unbalanced_since = None
-            own.moving = leaving
-            own.counts["moves"] += 1
+            state.move.begin(leaving)
+            state.counts["moves"] += 1
 
-    def misplaced(self) -> replica_set.ReplicaId | None:
+    def find_misplaced(self) -> replica_set.ReplicaId | None:
         """The member that had better not be one: it is one too many, or a better place is free.
 
         None while members lack.
         """
-        own = self.own
-        remaining = own.remaining()
-        if len(remaining) < len(own.known.members()) or len(remaining) < own.around.goal():
+        state = self.state
+        remaining = state.remaining()
+        if len(remaining) < len(state.record.members()) or len(remaining) < state.policy.goal():
             return None
-        held = replica_placement.replica_counts(own.around.records())
-        if len(remaining) > own.around.goal():
-            return max(own.known.backups, key=lambda one: held[one.address])
+        held = replica_placement.replica_counts(state.policy.records())
+        if len(remaining) > state.policy.goal():
+            return max(state.record.backups, key=lambda member: held[member.address])
         able = [
-            one
-            for one in own.around.candidates()
-            if not own.around.is_drained(one.address) and not own.doubts(one.address)
+            member
+            for member in state.policy.candidates()
+            if not state.policy.is_drained(member.address) and not state.suspected_peers.is_suspected(member.address)
         ]
-        move = replica_placement.improving_move(own.known, able, held)
+        move = replica_placement.improving_move(state.record, able, held)
         return move.leaving if move is not None else None
 
-    def turn(self, leaving: replica_set.ReplicaId) -> int:
+    def count_groups_ahead(self, leaving: replica_set.ReplicaId) -> int:
         """How many groups of a lower number have a member on the same machine: they go first."""
         return sum(
-            record.group_id < self.own.group_id and any(one.address == leaving.address for one in record.members())
-            for record in self.own.around.records()
+            record.group_id < self.state.group_id
+            and any(member.address == leaving.address for member in record.members())
+            for record in self.state.policy.records()
         )
 
-    async def admit(self) -> bool:
+    async def admit_candidate(self) -> bool:
         """Between two batches: send a prepared candidate the rest and have it recorded; whether the record changed
         so.
         """
@@ -187,11 +212,11 @@
         if peer is None:
             return False
         try:
-            async with clock.limit(group_state.REPLY):
+            async with clock.limit(group_state.REPLY_TIMEOUT):
                 same = await self.log_shipping.repair_member(peer)
-            return same and await self.enlist(peer)
+            return same and await self.record_backup(peer)
         except TimeoutError:
-            self.own.doubt(peer.address)
+            self.state.suspected_peers.suspect(peer.address)
             return False
         finally:
             self.admitted.set()
@@ -201,35 +226,47 @@
 
         One step at a time, once enough others hold the copy. A primary hands its place to a backup that stays.
         """
-        own = self.own
-        if own.moving is not None and own.moving not in own.known.members():
-            own.moving = None
-        remaining, staying = own.remaining(), own.staying()
-        if own.me() not in staying:
-            heir = next((one for one in own.known.backups if one in staying), None)
+        state = self.state
+        if state.move.leaving is not None and state.move.leaving not in state.record.members():
+            state.move.end()
+        remaining, staying = state.remaining(), state.staying()
+        if state.me() not in staying:
+            heir = next((member for member in state.record.backups if member in staying), None)
             if heir is not None:
                 await self.transfer_leadership(heir)
-        elif record_changes.may_leave(len(remaining), len(own.known.members()), own.around.copies):
-            await self.record_out(set(own.known.backups) - set(remaining))
-        elif record_changes.may_leave(len(staying), len(remaining), max(own.around.copies, own.around.goal())):
-            await self.record_out(set(own.known.backups) - set(staying))
+        elif record_changes.may_leave(len(remaining), len(state.record.members()), state.policy.copies):
+            await self.record_out(set(state.record.backups) - set(remaining))
+        elif record_changes.may_leave(len(staying), len(remaining), max(state.policy.copies, state.policy.goal())):
+            await self.record_out(set(state.record.backups) - set(staying))
 
     async def record_out(self, leaving: set[replica_set.ReplicaId]) -> None:
         """Have the witnesses record backups out that are to leave; tried again by the next call if that fails."""
-        own = self.own
+        state = self.state
         try:
-            await own.ballot(lambda standing: record_changes.without(standing, own.me(), leaving))
+            await state.ballot(lambda record: record_changes.without_backups(record, state.me(), leaving))
         except result.RequestError as refusal:
-            LOG.info("pair {}: moving away: {}", own.group_id, refusal)
+            LOG.info(
+                "group {}: replicas that leave not dropped, epoch {}, members {}: {}",
+                state.group_id,
+                state.record.epoch,
+                ", ".join(sorted(str(member) for member in leaving)),
+                refusal,
+            )
+            return
+        state.log_dropped(leaving, "drained, or another member took their place")
 
     async def transfer_leadership(self, heir: replica_set.ReplicaId) -> None:
         """Make a backup the primary and stay as a backup; it holds all that was answered."""
-        own = self.own
-        own.handing_over = True
-        await own.ballot(lambda standing: record_changes.hand_over(standing, own.me(), heir))
-        await own.link.request(heir.address, messages.ReplicaSetNotice(own.known), group_state.REPLY)
-        own.check_tenure()
-        own.handing_over = False
+        state = self.state
+        # From here on nothing is answered, before the ballot: voters drop this member's lease once they accept the next
+        # primary, which may lead before this one hears of it.
+        state.role_state.begin_transfer()
+        state.update_role(f"leadership goes to {heir}")
+        await state.ballot(lambda record: record_changes.transfer_leadership(record, state.me(), heir))
+        await state.link.request(heir.address, messages.ReplicaSetNotice(state.record), group_state.REPLY_TIMEOUT)
+        state.check_tenure()
+        state.role_state.end_transfer()
+        state.update_role(f"leadership did not go to {heir}")
 
 
 def hash_of(text: str) -> int:
--- a/aspencroft/replication/replica_changes_test.py
+++ b/aspencroft/replication/replica_changes_test.py
@@ -9,137 +9,140 @@
 
 
 def test_other_areas_come_first_and_nodes_that_failed_last(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"]
-        assert next(one.address for one in own.replica_changes.order()) == "n2:1"
-        assert {one.address for one in own.replica_changes.order()} == {"n2:1", "n3:1", "n4:1"}
-        own.doubt("n2:1")
-        assert [one.address for one in own.replica_changes.order()][-1] == "n2:1"
-        those.drained.add("n3:1")
-        assert [one.address for one in own.replica_changes.order()] == ["n4:1", "n2:1"]
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"]
+        assert next(one.address for one in own.replica_changes.rank_candidates()) == "n2:1"
+        assert {one.address for one in own.replica_changes.rank_candidates()} == {"n2:1", "n3:1", "n4:1"}
+        own.suspected_peers.suspect("n2:1")
+        assert [one.address for one in own.replica_changes.rank_candidates()][-1] == "n2:1"
+        cluster.drained.add("n3:1")
+        assert [one.address for one in own.replica_changes.rank_candidates()] == ["n4:1", "n2:1"]
 
-    members.play(tmp_path, 5, acts)
+    members.play(tmp_path, 5, scenario)
 
 
 def test_a_tenure_ends_when_it_is_not_known_whether_a_node_became_a_member(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"]
-        those.register.unknown = True
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"]
+        cluster.register.unknown = True
         try:
-            await own.replica_changes.enlist(those.group_replicas["n2:1"].me())
+            await own.replica_changes.record_backup(cluster.group_replicas["n2:1"].me())
             raise AssertionError("went on")
-        except group_state.Deposed:
+        except group_state.DeposedError:
             pass
 
-    members.play(tmp_path, 3, acts)
+    members.play(tmp_path, 3, scenario)
 
 
 def test_whoever_became_a_member_without_word_of_it_holds_all_that_is_answered(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
         for number in range(5):
-            await those.write(f"a{number}")
-        enlist, own = those.group_replicas["n0:1"].replica_changes.enlist, those.group_replicas["n0:1"]
+            await cluster.write(f"a{number}")
+        record_backup, own = (
+            cluster.group_replicas["n0:1"].replica_changes.record_backup,
+            cluster.group_replicas["n0:1"],
+        )
 
         async def without_word(peer):
-            own.replica_changes.enlist = enlist
-            those.register.unknown = True
-            return await enlist(peer)
+            own.replica_changes.record_backup = record_backup
+            cluster.register.unknown = True
+            return await record_backup(peer)
 
-        own.replica_changes.enlist = without_word
-        those.goal = 3
-        await those.until(lambda: len(those.register.standing().backups) == 2)
-        await those.until(lambda: own.status_reason == "serving" and own.has_lease() and len(own.known.backups) == 2)
-        await those.write("last")
-        assert those.same(*those.names)
+        own.replica_changes.record_backup = without_word
+        cluster.goal = 3
+        await cluster.until(lambda: len(cluster.register.standing().backups) == 2)
+        await cluster.until(lambda: own.status_reason == "serving" and own.has_lease() and len(own.known.backups) == 2)
+        await cluster.write("last")
+        assert cluster.same(*cluster.names)
 
-    members.play(tmp_path, 3, acts)
+    members.play(tmp_path, 3, scenario)
 
 
 def test_a_prepared_node_gets_what_was_answered_since_before_it_is_recorded(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"]
-        those.run(*those.names)
-        await those.until(lambda: own.status_reason == "serving")
-        await those.write("a")
-        peer = await own.replica_changes.prepare(replica_placement.Candidate("n2:1", "south"))
-        await those.write("b")
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"]
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: own.status_reason == "serving")
+        await cluster.write("a")
+        peer = await own.replica_changes.prepare_candidate(replica_placement.Candidate("n2:1", "south"))
+        await cluster.write("b")
         seen = []
-        those.register.watch = lambda standing: (
-            seen.append(those.same("n0:1", "n2:1")) if peer in standing.backups else None
+        cluster.register.watch = lambda standing: (
+            seen.append(cluster.same("n0:1", "n2:1")) if peer in standing.backups else None
         )
         own.replica_changes.ready = peer
-        await those.until(lambda: bool(seen))
+        await cluster.until(lambda: bool(seen))
         assert seen[0]
 
-    members.play(tmp_path, 3, acts)
+    members.play(tmp_path, 3, scenario)
 
 
 def test_a_prepared_node_that_fell_silent_is_not_recorded(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"]
-        those.run(*those.names)
-        await those.until(lambda: own.status_reason == "serving")
-        await those.write("a")
-        peer = await own.replica_changes.prepare(replica_placement.Candidate("n2:1", "south"))
-        await those.write("b")
-        those.silent.add("n2:1")
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"]
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: own.status_reason == "serving")
+        await cluster.write("a")
+        peer = await own.replica_changes.prepare_candidate(replica_placement.Candidate("n2:1", "south"))
+        await cluster.write("b")
+        cluster.silent.add("n2:1")
         own.replica_changes.ready = peer
-        await those.until(lambda: own.replica_changes.ready is None)
+        await cluster.until(lambda: own.replica_changes.ready is None)
         await members.clock.sleep(members.clock.seconds(2))
-        assert peer not in those.register.standing().backups
-        await those.write("c")
+        assert peer not in cluster.register.standing().backups
+        await cluster.write("c")
 
-    members.play(tmp_path, 3, acts)
+    members.play(tmp_path, 3, scenario)
 
 
 def test_an_emptied_member_goes_only_once_enough_others_hold_the_copy(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        those.silent.add("n2:1")
-        those.drained.add("n1:1")
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        cluster.silent.add("n2:1")
+        cluster.drained.add("n1:1")
         await members.clock.sleep(members.clock.seconds(4))
-        assert [one.address for one in those.register.standing().backups] == ["n1:1"]
-        those.silent.clear()
-        await those.until(lambda: [one.address for one in those.register.standing().backups] == ["n2:1"])
-        await those.write("a")
-        assert those.same("n0:1", "n2:1")
+        assert [one.address for one in cluster.register.standing().backups] == ["n1:1"]
+        cluster.silent.clear()
+        await cluster.until(lambda: [one.address for one in cluster.register.standing().backups] == ["n2:1"])
+        await cluster.write("a")
+        assert cluster.same("n0:1", "n2:1")
 
-    members.play(tmp_path, 3, acts)
+    members.play(tmp_path, 3, scenario)
 
 
 def test_an_emptied_primary_hands_over_to_a_backup_that_stays(tmp_path):
-    async def acts(those: members.Members) -> None:
-        those.run(*those.names)
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        await those.write("a")
-        those.drained.update(("n0:1", "n1:1"))
-        await those.until(lambda: {one.address for one in those.register.standing().members()} == {"n2:1", "n3:1"})
-        leader = those.register.standing().primary.address
-        await those.until(lambda: those.group_replicas[leader].status_reason == "serving")
-        assert "a" in those.group_replicas[leader].replica.state_machine.document["services"]
+    async def scenario(cluster: members.Members) -> None:
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        await cluster.write("a")
+        cluster.drained.update(("n0:1", "n1:1"))
+        await cluster.until(lambda: {one.address for one in cluster.register.standing().members()} == {"n2:1", "n3:1"})
+        leader = cluster.register.standing().primary.address
+        await cluster.until(lambda: cluster.group_replicas[leader].status_reason == "serving")
+        assert "a" in cluster.group_replicas[leader].replica.state_machine.document["services"]
 
-    members.play(tmp_path, 4, acts)
+    members.play(tmp_path, 4, scenario)
 
 
 def test_a_primary_that_hands_over_serves_nothing_though_a_lease_is_granted_meanwhile(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"]
-        those.run(*those.names)
-        await those.until(lambda: own.status_reason == "serving" and own.known.backups and own.has_lease())
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"]
+        cluster.run(*cluster.names)
+        await cluster.until(lambda: own.status_reason == "serving" and own.known.backups and own.has_lease())
         ballot, served = own.ballot, []
 
         async def while_leases_are_renewed(change):
-            own.lease_end = clock.now() + witness.LEASE
+            own.lease.extend(clock.now() + witness.LEASE)
             served.append(own.has_lease())
             return await ballot(change)
 
         own.ballot = while_leases_are_renewed
-        with contextlib.suppress(group_state.Deposed):
+        with contextlib.suppress(group_state.DeposedError):
             await own.replica_changes.transfer_leadership(own.known.backups[0])
         assert served == [False]
-        assert those.register.standing().primary != own.me()
+        assert cluster.register.standing().primary != own.me()
 
-    members.play(tmp_path, 3, acts)
+    members.play(tmp_path, 3, scenario)
--- a/aspencroft/replication/replica_moves_test.py
+++ b/aspencroft/replication/replica_moves_test.py
@@ -17,121 +17,121 @@
     return tuple(replica_set.ReplicaSet(1 + number, 1, ids[0], ids[1:]) for number in range(count))
 
 
-def member_addresses(those: members.Members) -> set[str]:
+def member_addresses(cluster: members.Members) -> set[str]:
     """The nodes that are named by the record in force."""
-    return {one.address for one in those.register.standing().members()}
+    return {one.address for one in cluster.register.standing().members()}
 
 
-async def serving(those: members.Members) -> None:
+async def serving(cluster: members.Members) -> None:
     """All nodes run and the group is served by its first primary."""
-    those.run(*those.names)
-    await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
+    cluster.run(*cluster.names)
+    await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
     for number in range(5):
-        await those.write(f"a{number}")
+        await cluster.write(f"a{number}")
 
 
 def test_a_backup_on_a_full_disk_gives_its_place_to_an_empty_one(tmp_path):
-    async def acts(those: members.Members) -> None:
-        await serving(those)
-        those.other_records = other_groups(("n1:1", "n3:1"), 3)
+    async def scenario(cluster: members.Members) -> None:
+        await serving(cluster)
+        cluster.other_records = other_groups(("n1:1", "n3:1"), 3)
         seen = []
-        those.register.watch = lambda standing: seen.append(len(standing.members()))
-        took = await those.until(lambda: "n1:1" not in member_addresses(those), 20)
-        assert member_addresses(those) < {"n0:1", "n2:1", "n4:1"}
+        cluster.register.watch = lambda standing: seen.append(len(standing.members()))
+        took = await cluster.until(lambda: "n1:1" not in member_addresses(cluster), 20)
+        assert member_addresses(cluster) < {"n0:1", "n2:1", "n4:1"}
         assert took > replica_changes.BALANCE_AFTER.total_seconds()
         assert min(seen) == 2, seen
-        await those.write("behind-the-move")
-        assert those.same(*member_addresses(those))
+        await cluster.write("behind-the-move")
+        assert cluster.same(*member_addresses(cluster))
 
-    members.play(tmp_path, 5, acts)
+    members.play(tmp_path, 5, scenario)
 
 
 def test_a_primary_on_a_full_disk_hands_over_and_gives_its_place_away(tmp_path):
-    async def acts(those: members.Members) -> None:
-        await serving(those)
-        those.other_records = other_groups(("n0:1", "n3:1"), 3)
-        await those.until(lambda: "n0:1" not in member_addresses(those) and len(member_addresses(those)) == 2, 40)
-        leader = those.register.standing().primary.address
-        await those.until(lambda: those.leader() == leader)
-        assert "a4" in those.group_replicas[leader].replica.state_machine.document["services"]
+    async def scenario(cluster: members.Members) -> None:
+        await serving(cluster)
+        cluster.other_records = other_groups(("n0:1", "n3:1"), 3)
+        await cluster.until(lambda: "n0:1" not in member_addresses(cluster) and len(member_addresses(cluster)) == 2, 40)
+        leader = cluster.register.standing().primary.address
+        await cluster.until(lambda: cluster.leader() == leader)
+        assert "a4" in cluster.group_replicas[leader].replica.state_machine.document["services"]
 
-    members.play(tmp_path, 5, acts)
+    members.play(tmp_path, 5, scenario)
 
 
 def test_two_disks_that_are_equally_full_do_not_hand_the_group_to_and_fro(tmp_path):
-    async def acts(those: members.Members) -> None:
-        await serving(those)
-        those.other_records = other_groups(("n0:1", "n1:1"), 2)
+    async def scenario(cluster: members.Members) -> None:
+        await serving(cluster)
+        cluster.other_records = other_groups(("n0:1", "n1:1"), 2)
         changes = []
-        those.register.watch = lambda standing: changes.append(standing.epoch)
-        await those.until(lambda: len(member_addresses(those) & {"n0:1", "n1:1"}) == 1, 30)
+        cluster.register.watch = lambda standing: changes.append(standing.epoch)
+        await cluster.until(lambda: len(member_addresses(cluster) & {"n0:1", "n1:1"}) == 1, 30)
         await clock.sleep(LONG_ENOUGH)
-        assert those.register.standing().primary.address == "n0:1"
+        assert cluster.register.standing().primary.address == "n0:1"
         assert len(set(changes)) == 2, changes
 
-    members.play(tmp_path, 3, acts)
+    members.play(tmp_path, 3, scenario)
 
 
 def test_nothing_moves_for_a_difference_of_one_or_for_a_moment(tmp_path):
-    async def acts(those: members.Members) -> None:
-        await serving(those)
-        those.other_records = other_groups(("n0:1", "n2:1", "n3:1", "n4:1"), 1)
-        before = those.register.standing()
+    async def scenario(cluster: members.Members) -> None:
+        await serving(cluster)
+        cluster.other_records = other_groups(("n0:1", "n2:1", "n3:1", "n4:1"), 1)
+        before = cluster.register.standing()
         await clock.sleep(LONG_ENOUGH)
-        those.other_records = other_groups(("n1:1", "n3:1"), 4)
+        cluster.other_records = other_groups(("n1:1", "n3:1"), 4)
         await clock.sleep(replica_changes.BALANCE_AFTER / 2)
-        those.other_records = ()
+        cluster.other_records = ()
         await clock.sleep(LONG_ENOUGH)
-        assert those.register.standing() == before
+        assert cluster.register.standing() == before
 
-    members.play(tmp_path, 5, acts)
+    members.play(tmp_path, 5, scenario)
 
 
 def test_a_move_whose_better_disk_fell_silent_changes_nothing_and_is_given_up(tmp_path):
-    async def acts(those: members.Members) -> None:
-        await serving(those)
-        those.silent.update(("n2:1", "n3:1", "n4:1"))
-        those.other_records = other_groups(("n1:1",), 4)
+    async def scenario(cluster: members.Members) -> None:
+        await serving(cluster)
+        cluster.silent.update(("n2:1", "n3:1", "n4:1"))
+        cluster.other_records = other_groups(("n1:1",), 4)
         await clock.sleep(LONG_ENOUGH)
-        assert member_addresses(those) == {"n0:1", "n1:1"}
-        await those.write("still-served")
-        those.silent.clear()
-        await those.until(lambda: "n1:1" not in member_addresses(those), 30)
+        assert member_addresses(cluster) == {"n0:1", "n1:1"}
+        await cluster.write("still-served")
+        cluster.silent.clear()
+        await cluster.until(lambda: "n1:1" not in member_addresses(cluster), 30)
 
-    members.play(tmp_path, 5, acts)
+    members.play(tmp_path, 5, scenario)
 
 
 def test_groups_of_lower_numbers_on_the_same_disk_move_first(tmp_path):
-    async def acts(those: members.Members) -> None:
-        own = those.group_replicas["n0:1"]
-        await serving(those)
-        assert own.replica_changes.turn(own.me()) == 0
+    async def scenario(cluster: members.Members) -> None:
+        own = cluster.group_replicas["n0:1"]
+        await serving(cluster)
+        assert own.replica_changes.count_groups_ahead(own.me()) == 0
         own.group_id = 3
-        those.other_records = other_groups(("n0:1", "n3:1"), 2)
-        assert own.replica_changes.turn(own.me()) == 3
+        cluster.other_records = other_groups(("n0:1", "n3:1"), 2)
+        assert own.replica_changes.count_groups_ahead(own.me()) == 3
 
-    members.play(tmp_path, 5, acts)
+    members.play(tmp_path, 5, scenario)
 
 
 def test_one_member_too_many_is_recorded_out(tmp_path):
-    async def acts(those: members.Members) -> None:
-        await serving(those)
-        assert len(member_addresses(those)) == 3
-        those.goal = 2
-        await those.until(lambda: len(member_addresses(those)) == 2, 20)
-        await those.write("served-by-two")
-        assert those.same(*member_addresses(those))
+    async def scenario(cluster: members.Members) -> None:
+        await serving(cluster)
+        assert len(member_addresses(cluster)) == 3
+        cluster.goal = 2
+        await cluster.until(lambda: len(member_addresses(cluster)) == 2, 20)
+        await cluster.write("served-by-two")
+        assert cluster.same(*member_addresses(cluster))
 
-    members.play(tmp_path, 5, acts, members=3, goal=3)
+    members.play(tmp_path, 5, scenario, members=3, goal=3)
 
 
-async def recorded_out(those: members.Members) -> None:
+async def recorded_out(cluster: members.Members) -> None:
     """The backup n1 was drained, n2 took its place, and n1 may hold copies again."""
-    await serving(those)
-    those.drained.add("n1:1")
-    await those.until(lambda: "n1:1" not in member_addresses(those) and len(member_addresses(those)) == 2)
-    those.drained.clear()
-    those.group_replicas["n1:1"].learn(those.register.standing())
+    await serving(cluster)
+    cluster.drained.add("n1:1")
+    await cluster.until(lambda: "n1:1" not in member_addresses(cluster) and len(member_addresses(cluster)) == 2)
+    cluster.drained.clear()
+    cluster.group_replicas["n1:1"].learn(cluster.register.standing())
 
 
 def stored_bytes(folder: pathlib.Path) -> int:
@@ -140,75 +140,75 @@
 
 
 def test_a_node_that_is_no_member_any_more_lets_its_copy_go_in_memory_and_on_disk(tmp_path):
-    async def acts(those: members.Members) -> None:
-        left = those.group_replicas["n1:1"]
-        await recorded_out(those)
-        identity, held = left.replica.identity, stored_bytes(those.folders["n1:1"])
+    async def scenario(cluster: members.Members) -> None:
+        left = cluster.group_replicas["n1:1"]
+        await recorded_out(cluster)
+        identity, held = left.replica.identity, stored_bytes(cluster.folders["n1:1"])
         assert left.replica.holds_state()
-        took = await those.until(lambda: not left.replica.holds_state(), 30)
+        took = await cluster.until(lambda: not left.replica.holds_state(), 30)
         assert took > group_replica.RELEASE_AFTER.total_seconds() / 2
         assert left.replica.identity != identity
         assert left.replica.memory().journal_entries == 0
-        assert stored_bytes(those.folders["n1:1"]) < held
+        assert stored_bytes(cluster.folders["n1:1"]) < held
         assert left.replica.state_machine.document.get("services", {}) == {}
-        again = await those.reopened("n1:1")
+        again = await cluster.reopened("n1:1")
         assert again.replica.identity == left.replica.identity
         assert not again.replica.holds_state()
 
-    members.play(tmp_path, 4, acts)
+    members.play(tmp_path, 4, scenario)
 
 
 def test_a_copy_that_was_let_go_can_become_a_member_again(tmp_path):
-    async def acts(those: members.Members) -> None:
-        left = those.group_replicas["n1:1"]
-        await recorded_out(those)
-        await those.until(lambda: not left.replica.holds_state(), 30)
-        those.stop("n2:1")
-        those.stop("n3:1")
-        those.gone.update(("n2:1", "n3:1"))
-        await those.until(lambda: member_addresses(those) == {"n0:1", "n1:1"})
-        await those.until(lambda: those.group_replicas["n0:1"].status_reason == "serving")
-        await those.write("again")
-        assert those.same("n0:1", "n1:1")
+    async def scenario(cluster: members.Members) -> None:
+        left = cluster.group_replicas["n1:1"]
+        await recorded_out(cluster)
+        await cluster.until(lambda: not left.replica.holds_state(), 30)
+        cluster.stop("n2:1")
+        cluster.stop("n3:1")
+        cluster.gone.update(("n2:1", "n3:1"))
+        await cluster.until(lambda: member_addresses(cluster) == {"n0:1", "n1:1"})
+        await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
+        await cluster.write("again")
+        assert cluster.same("n0:1", "n1:1")
         assert "a4" in left.replica.state_machine.document["services"]
 
-    members.play(tmp_path, 4, acts)
+    members.play(tmp_path, 4, scenario)
 
 
 def test_a_copy_stays_while_the_primary_does_not_say_that_the_group_is_whole_without_it(tmp_path):
-    async def acts(those: members.Members) -> None:
-        left = those.group_replicas["n1:1"]
-        await recorded_out(those)
-        those.silent.add(those.register.standing().primary.address)
+    async def scenario(cluster: members.Members) -> None:
+        left = cluster.group_replicas["n1:1"]
+        await recorded_out(cluster)
+        cluster.silent.add(cluster.register.standing().primary.address)
         await clock.sleep(group_replica.RELEASE_AFTER * 2)
         assert left.replica.holds_state()
 
-    members.play(tmp_path, 4, acts, copies=2)
+    members.play(tmp_path, 4, scenario, copies=2)
 
 
 def test_a_copy_is_not_let_go_by_a_record_that_names_this_node(tmp_path):
-    async def acts(those: members.Members) -> None:
-        left = those.group_replicas["n1:1"]
-        await serving(those)
+    async def scenario(cluster: members.Members) -> None:
+        left = cluster.group_replicas["n1:1"]
+        await serving(cluster)
         await left.release()
         assert left.replica.holds_state()
-        assert those.same("n0:1", "n1:1")
+        assert cluster.same("n0:1", "n1:1")
 
-    members.play(tmp_path, 4, acts)
+    members.play(tmp_path, 4, scenario)
 
 
 def test_a_copy_that_was_let_go_is_not_taken_for_the_member_that_it_was(tmp_path):
-    async def acts(those: members.Members) -> None:
-        left = those.group_replicas["n1:1"]
-        await serving(those)
+    async def scenario(cluster: members.Members) -> None:
+        left = cluster.group_replicas["n1:1"]
+        await serving(cluster)
         former = left.me()
         await left.replica.release()
         assert left.me() != former
-        message = messages.Append(those.register.standing(), those.group_replicas["n0:1"].replica.last(), ())
+        message = messages.Append(cluster.register.standing(), cluster.group_replicas["n0:1"].replica.last(), ())
         try:
             await left.append(message)
             raise AssertionError("it answered as the member that it was")
         except result.RequestError as refusal:
             assert refusal.result is result.ResultCode.LOWER_EPOCH
 
-    members.play(tmp_path, 4, acts)
+    members.play(tmp_path, 4, scenario)
--- a/aspencroft/replication/second_loss_test.py
+++ b/aspencroft/replication/second_loss_test.py
@@ -30,9 +30,9 @@
 def whole_without(name: str):
     """Whether the record names as many members as are to hold what is answered, and not this node."""
 
-    def check(those: members.Members) -> bool:
-        standing = those.register.standing().members()
-        return len(standing) >= those.goal and all(one.address != name for one in standing)
+    def check(cluster: members.Members) -> bool:
+        standing = cluster.register.standing().members()
+        return len(standing) >= cluster.goal and all(one.address != name for one in standing)
 
     return check
 
@@ -40,23 +40,23 @@
 def lose(name: str):
     """The machine is gone for good."""
 
-    def begin(those: members.Members) -> None:
-        those.stop(name)
-        those.gone.add(name)
+    def begin(cluster: members.Members) -> None:
+        cluster.stop(name)
+        cluster.gone.add(name)
 
     return begin
 
 
-def grow(those: members.Members) -> None:
+def grow(cluster: members.Members) -> None:
     """One member more is wished for."""
-    those.goal += 1
+    cluster.goal += 1
 
 
 class Traffic:
     """Writes one service after the other through whoever leads, and notes those that were acknowledged."""
 
-    def __init__(self, those: members.Members):
-        self.those = those
+    def __init__(self, cluster: members.Members):
+        self.cluster = cluster
         self.acknowledged: list[str] = []
 
     async def run(self) -> None:
@@ -64,45 +64,45 @@
         number = 0
         while True:
             await clock.sleep(PACE)
-            leader = self.those.leader()
+            leader = self.cluster.leader()
             if not leader:
                 continue
             number += 1
             try:
-                await self.those.write(f"w{number}", leader, 1.0)
+                await self.cluster.write(f"w{number}", leader, 1.0)
                 self.acknowledged.append(f"w{number}")
             except result.RequestError:
                 continue
 
 
-async def played(those: members.Members, change: Change, step: int, second: str) -> bool:
+async def played(cluster: members.Members, change: Change, step: int, second: str) -> bool:
     """Begin the change, wipe a second machine at a message of it; whether the change had ended before that message."""
-    those.run(*those.names)
-    those.tasks.append(asyncio.ensure_future(those.tell_records()))
-    await those.until(lambda: bool(those.leader()))
-    traffic = Traffic(those)
-    those.tasks.append(asyncio.ensure_future(traffic.run()))
-    await those.until(lambda: len(traffic.acknowledged) > 3)
-    change.begin(those)
+    cluster.run(*cluster.names)
+    cluster.tasks.append(asyncio.ensure_future(cluster.tell_records()))
+    await cluster.until(lambda: bool(cluster.leader()))
+    traffic = Traffic(cluster)
+    cluster.tasks.append(asyncio.ensure_future(traffic.run()))
+    await cluster.until(lambda: len(traffic.acknowledged) > 3)
+    change.begin(cluster)
     seen, wiped, late = 0, asyncio.Event(), []
 
     def count() -> None:
         nonlocal seen
-        if wiped.is_set() or (change.from_whole and not change.ended(those)):
+        if wiped.is_set() or (change.from_whole and not change.ended(cluster)):
             return
         seen += 1
         if seen == step:
-            late.append(change.ended(those) and seen > 30)
+            late.append(change.ended(cluster) and seen > 30)
             wiped.set()
-            those.tasks.append(asyncio.ensure_future(those.wipe(second, BACK_AFTER)))
+            cluster.tasks.append(asyncio.ensure_future(cluster.wipe(second, BACK_AFTER)))
 
-    those.before_step = count
+    cluster.before_step = count
     await asyncio.wait_for(wiped.wait(), 20)
     await clock.sleep(clock.seconds(0.1))
     before = len(traffic.acknowledged)
-    await those.until(lambda: len(traffic.acknowledged) > before + 2, 8)
-    leader = those.leader()
-    services = those.group_replicas[leader].replica.state_machine.document["services"]
+    await cluster.until(lambda: len(traffic.acknowledged) > before + 2, 8)
+    leader = cluster.leader()
+    services = cluster.group_replicas[leader].replica.state_machine.document["services"]
     assert set(traffic.acknowledged[:-1]) <= set(services), (step, second)
     return late[0]
 
@@ -114,28 +114,28 @@
         for step in range(1, 400):
             over = []
 
-            async def acts(those: members.Members, at=step, lost=second, over=over) -> None:
-                over.append(await played(those, change, at, lost))
+            async def scenario(cluster: members.Members, at=step, lost=second, over=over) -> None:
+                over.append(await played(cluster, change, at, lost))
 
-            members.play(folder / f"{second[:2]}-{step}", 5, acts, copies, copies, copies)
+            members.play(folder / f"{second[:2]}-{step}", 5, scenario, copies, copies, copies)
             if over[0]:
                 break
         assert over[0], "the change never ended"
 
 
 def test_a_second_loss_at_every_message_while_a_replica_is_added(tmp_path):
-    def grown(those: members.Members) -> bool:
-        return len(those.register.standing().members()) >= those.goal
+    def grown(cluster: members.Members) -> bool:
+        return len(cluster.register.standing().members()) >= cluster.goal
 
     walk(tmp_path, Change(1, grow, grown), (PRIMARY, BACKUP, THIRD))
 
 
 def test_a_second_loss_at_every_message_of_a_drain(tmp_path):
-    walk(tmp_path, Change(1, lambda those: those.drained.add(BACKUP), whole_without(BACKUP)), (PRIMARY, THIRD))
+    walk(tmp_path, Change(1, lambda cluster: cluster.drained.add(BACKUP), whole_without(BACKUP)), (PRIMARY, THIRD))
 
 
 def test_a_second_loss_at_every_message_while_the_primary_is_drained(tmp_path):
-    walk(tmp_path, Change(1, lambda those: those.drained.add(PRIMARY), whole_without(PRIMARY)), (BACKUP, THIRD))
+    walk(tmp_path, Change(1, lambda cluster: cluster.drained.add(PRIMARY), whole_without(PRIMARY)), (BACKUP, THIRD))
 
 
 def test_a_second_loss_from_the_moment_on_that_a_lost_member_is_replaced(tmp_path):
--- a/aspencroft/replication/snapshot_transfer_test.py
+++ b/aspencroft/replication/snapshot_transfer_test.py
@@ -28,7 +28,7 @@
 def small(monkeypatch):
     """Small bounds, so that a few entries are many."""
     monkeypatch.setattr(replica, "COMPACT_ENTRIES", 40)
-    monkeypatch.setattr(log_shipping, "MEND_BYTES", 3000)
+    monkeypatch.setattr(log_shipping, "REPAIR_BATCH_BYTES", 3000)
     monkeypatch.setattr(snapshot_transfer, "PART_BYTES", 1000)
 
 
@@ -109,9 +109,10 @@
             assert again.last() == peer.replica.last()
             if broken > 1:
                 assert peer.replica.incomplete() and again.incomplete()
-                peer.patience_end, peer.unsure = clock.ZERO, False
+                peer.recovery.await_peers_until(clock.ZERO)
+                peer.recovery.confirm()
                 those.silent.add("n0:1")
-                assert not await peer.log_shipping.made_sure()
+                assert not await peer.log_shipping.confirm_log()
         those.silent.clear()
         sent = len(those.heard)
         assert await mended(those) == held.last() and not peer.replica.incomplete()
@@ -185,12 +186,12 @@
             await mended(those)
         assert peer.replica.last().sequence < held.last().sequence - 1
         those.silent.add("n2:1")
-        peer.patience_end = clock.ZERO
-        await peer.following.take_over(peer.known)
+        peer.recovery.await_peers_until(clock.ZERO)
+        await peer.backup.take_over(peer.known)
         assert those.register.standing().primary.address == "n0:1"
         those.silent.discard("n2:1")
         await third.replica.append((held.entries[-1],))
-        await peer.following.take_over(peer.known)
+        await peer.backup.take_over(peer.known)
         assert those.register.standing().primary.address == "n1:1"
         assert peer.replica.last() == third.replica.last()
 
@@ -199,7 +200,7 @@
 
 @pytest.mark.parametrize("differing", [1, 5, 30])
 def test_a_repair_never_cuts_a_backup_back_below_what_was_acknowledged(tmp_path, small, monkeypatch, differing):
-    monkeypatch.setattr(log_shipping, "MEND_BYTES", 800)
+    monkeypatch.setattr(log_shipping, "REPAIR_BATCH_BYTES", 800)
 
     async def acts(those: members.Members) -> None:
         held = await begun(those, more=70)
--- a/aspencroft/simulation/consensus_model.py
+++ b/aspencroft/simulation/consensus_model.py
@@ -597,8 +597,8 @@
         if run.purpose == "take over":
             fresh = record_changes.take_over(standing, me, own.known.primary)
         elif run.purpose == "hand over":
-            fresh = record_changes.hand_over(standing, me, own.known.backups[0])
-        return codec.tagged(record_changes.distinct(fresh, own.known))
+            fresh = record_changes.transfer_leadership(standing, me, own.known.backups[0])
+        return codec.tagged(record_changes.with_newer_epoch(fresh, own.known))
 
     def concluded(self, own: Candidate) -> tuple[Candidate, list[Envelope]]:
         """The candidate once its ballot chose a value."""
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -130,7 +130,7 @@
     def stop(self, name: str) -> None:
         """A node's process ends at once; its disk stays."""
         self.silent.add(name)
-        self.group_replicas[name].leading = False
+        self.group_replicas[name].role_state.end_term()
         self.runs.pop(name).cancel()
 
     async def wipe(self, name: str, back_after: float) -> None:
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -115,8 +115,8 @@
     Mutation(
         "one copy is enough",
         "replication/log_shipping.py",
-        "        return tuple(one for one, task in sent.items() if task.cancelled() or task.result() != last_here)\n",
-        "        return tuple(one for one, task in sent.items() if False)\n",
+        "        return tuple(backup for backup, task in sent.items() if task.cancelled() or task.result() != last_here)\n",
+        "        return tuple(backup for backup, task in sent.items() if False)\n",
         (
             "simulation/guarantees_test.py::test_nothing_is_answered_with_one_copy_when_primary_and_backup_are_cut_apart",
             "simulation/guarantees_test.py::test_acknowledged_plans_outlive_a_primary_killed_or_frozen_at_any_step_of_a_write",
@@ -132,7 +132,7 @@
     Mutation(
         "a started member does not ask the other one",
         "replication/log_shipping.py",
-        "        if not own.unsure and not own.replica.incomplete():\n            return True\n",
+        "        if not state.recovery.is_unconfirmed and not state.replica.incomplete():\n            return True\n",
         "        return True\n",
         (
             "simulation/guarantees_test.py::test_a_disk_that_lost_just_its_last_synced_value_loses_nothing_that_was_acknowledged",
@@ -158,11 +158,11 @@
         "a woken primary looks neither at its claim nor for its backup",
         "replication/group_state.py",
         "        return record_changes.may_serve(tenure, self.known, self.me(), clock.now())\n",
-        "        return self.leading and self.known is not None and self.known.primary == self.me()\n",
+        "        return self.role_state.is_leading and self.known is not None and self.known.primary == self.me()\n",
         ("simulation/guarantees_test.py::test_a_primary_that_wakes_up_answers_nothing_before_it_claimed_anew",),
         (
             (
-                "        if not entries and clock.now() - self.touched < BEAT:\n",
+                "        if not entries and clock.now() - self.last_append_at < HEARTBEAT_PERIOD:\n",
                 "        if not entries:\n",
                 "replication/primary.py",
             ),
@@ -377,8 +377,8 @@
     Mutation(
         "a primary that hears nothing goes on claiming",
         "replication/primary.py",
-        "            end, newest, answered = await own.proposer.request_lease(\n                used, own.group_id, str(own.me()), clock.ZERO if failed else witness.LEASE\n            )\n",
-        "            end, newest, answered = await own.proposer.request_lease(used, own.group_id, str(own.me()), witness.LEASE)\n",
+        "            end, newest, answered = await state.proposer.request_lease(\n                used, state.group_id, str(state.me()), clock.ZERO if failed else witness.LEASE\n            )\n",
+        "            end, newest, answered = await state.proposer.request_lease(used, state.group_id, str(state.me()), witness.LEASE)\n",
         ("replication/primary_test.py",),
     ),
     Mutation(
@@ -391,7 +391,7 @@
     Mutation(
         "too few members answer without a look at other disks",
         "replication/record_changes.py",
-        "    return count >= copies or (count >= least and short == standing)\n",
+        "    return count >= copies or (count >= least and exhausted_record == record)\n",
         "    return count >= copies or count >= least\n",
         ("replication/primary_test.py",),
     ),
@@ -412,15 +412,15 @@
     Mutation(
         "a lost disk counts under every record",
         "replication/record_changes.py",
-        "        return standing == self.standing and now < self.end and count >= least and count + self.count >= copies\n",
+        "        return record == self.record and now < self.end and count >= least and count + self.count >= copies\n",
         "        return now < self.end and count >= least and count + self.count >= copies\n",
         ("replication/primary_test.py",),
     ),
     Mutation(
         "members that failed are answered for",
         "replication/primary.py",
-        "        if failed:\n            await self.drop(failed)\n            end = clock.now() + LOST_DISK_COUNTS\n",
-        "        if False:\n            await self.drop(failed)\n            end = clock.now() + LOST_DISK_COUNTS\n",
+        "        if failed:\n            await self.record_out_failed(failed)\n            end = clock.now() + LOST_DISK_GRACE\n",
+        "        if False:\n            await self.record_out_failed(failed)\n            end = clock.now() + LOST_DISK_GRACE\n",
         ("replication/primary_test.py",),
     ),
     Mutation(
@@ -433,8 +433,8 @@
     Mutation(
         "whoever is primary is taken over from",
         "replication/record_changes.py",
-        "    if me not in standing.backups or standing.primary != silent:\n",
-        "    if me not in standing.backups:\n",
+        "    if me not in record.backups or record.primary != silent:\n",
+        "    if me not in record.backups:\n",
         ("replication/backup_test.py",),
     ),
     Mutation(
@@ -647,8 +647,8 @@
     Mutation(
         "replies are given before all members hold the order",
         "replication/primary.py",
-        "        if not entries:\n            self.answer(held_back)\n        if not entries and",
-        "        self.answer(held_back)\n        if not entries and",
+        "        if not entries:\n            self.send_replies(undelivered)\n        if not entries and",
+        "        self.send_replies(undelivered)\n        if not entries and",
         ("replication/primary_test.py::test_what_a_member_lacks_is_not_answered_while_the_record_names_it",),
     ),
     Mutation(
@@ -723,8 +723,8 @@
     Mutation(
         "a member is recorded that lacks what was answered",
         "replication/replica_changes.py",
-        "            return same and await self.enlist(peer)",
-        "            return await self.enlist(peer)",
+        "            return same and await self.record_backup(peer)",
+        "            return await self.record_backup(peer)",
         ("replication/second_loss_test.py", "replication/replica_changes_test.py"),
     ),
     Mutation(
@@ -792,8 +792,8 @@
     Mutation(
         "a tenure that ends confirms what is undecided",
         "replication/primary.py",
-        "            self.leave_unclear(held_back)\n",
-        "            self.answer(held_back)\n",
+        "            self.fail_as_unknown(undelivered)\n",
+        "            self.send_replies(undelivered)\n",
         (
             "replication/interrupted_write_test.py::test_a_primary_whose_disk_fails_steps_aside_and_comes_back_as_a_backup",
             "replication/primary_test.py::test_an_order_that_the_primary_could_not_write_is_not_answered_though_its_lease_stands",
@@ -802,7 +802,7 @@
     Mutation(
         "a primary with a hanging disk goes on renewing its lease",
         "replication/primary.py",
-        "            own.check_disk()\n",
+        "            state.check_disk()\n",
         "",
         ("replication/interrupted_write_test.py::test_a_primary_with_a_hanging_disk_stops_renewing_its_lease",),
     ),
@@ -825,8 +825,8 @@
     Mutation(
         "a copy whose repair broke off may lead",
         "replication/log_shipping.py",
-        "        if not own.unsure and not own.replica.incomplete():\n            return True\n",
-        "        if not own.unsure:\n            return True\n",
+        "        if not state.recovery.is_unconfirmed and not state.replica.incomplete():\n            return True\n",
+        "        if not state.recovery.is_unconfirmed:\n            return True\n",
         (
             "replication/snapshot_transfer_test.py::test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged",
         ),
@@ -834,8 +834,8 @@
     Mutation(
         "patience ends also for a copy whose repair broke off",
         "replication/log_shipping.py",
-        "        if own.replica.incomplete():\n            own.status_reason",
-        "        if False:\n            own.status_reason",
+        "        if state.replica.incomplete():\n            state.status_reason",
+        "        if False:\n            state.status_reason",
         (
             "replication/snapshot_transfer_test.py::test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged",
         ),
@@ -1059,7 +1059,7 @@
     Mutation(
         "model: a primary serves while it hands over",
         "replication/record_changes.py",
-        "        and not tenure.handing_over\n",
+        "        and not tenure.transferring_leadership\n",
         "",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: hand-over]",
@@ -1114,8 +1114,8 @@
     Mutation(
         "a primary that fails acknowledges what it could not write",
         "replication/primary.py",
-        "        finally:\n            self.leave_unclear(held_back)\n",
-        "        finally:\n            self.answer(held_back)\n",
+        "        finally:\n            self.fail_as_unknown(undelivered)\n",
+        "        finally:\n            self.send_replies(undelivered)\n",
         (
             "replication/primary_test.py::test_an_order_that_the_primary_could_not_write_is_not_answered_though_its_lease_stands",
         ),
--- a/aspencroft/simulation/replica_model.py
+++ b/aspencroft/simulation/replica_model.py
@@ -121,7 +121,9 @@
         return (
             self.serves(state, place)
             and node.agreed == node.known
-            and record_changes.enough(node.known, self.scenario.copies, group_state.LEAST, node.short)
+            and record_changes.has_enough_members(
+                node.known, self.scenario.copies, group_state.MIN_REPLICAS, node.short
+            )
         )
 
     def successors(self, state: State) -> typing.Iterator[tuple[str, State]]:
@@ -172,7 +174,9 @@
         if not node.unsure:
             return [state]
         return [
-            changed(state, place, after.nodes[place]._replace(unsure=not log_shipping.is_final(leading=False)))
+            changed(
+                state, place, after.nodes[place]._replace(unsure=not log_shipping.is_comparison_final(leading=False))
+            )
             for _, after in self.compares(state, place, node)
         ]
 
@@ -208,7 +212,7 @@
         if not node.unsure and node.batch is None:
             yield from self.agrees(state, place, node)
         for backup in node.known.backups:
-            fresh = record_changes.without(state.record, me, {backup})
+            fresh = record_changes.without_backups(state.record, me, {backup})
             yield from self.ballot(state, place, fresh, f"drops {backup.address}", "drops")
         if node.agreed != node.known:
             return
@@ -269,11 +273,11 @@
         if place in state.drained:
             for heir in node.known.backups:
                 if int(heir.address[1:]) in staying:
-                    fresh = record_changes.hand_over(state.record, me, heir)
+                    fresh = record_changes.transfer_leadership(state.record, me, heir)
                     yield from self.ballot(state._replace(holder=None), place, fresh, "hands over", None)
         elif record_changes.may_leave(len(staying), len(members), self.scenario.copies):
             gone = {one for one in node.known.backups if int(one.address[1:]) not in staying}
-            fresh = record_changes.without(state.record, me, gone)
+            fresh = record_changes.without_backups(state.record, me, gone)
             yield from self.ballot(state, place, fresh, "lets drained members go", None)
         budget = state.budget.less("failed_looks")
         if budget is not None and not self.answers(state, place):
