--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -49,14 +49,14 @@
             try:
                 return (await self.state.link.request(backup.address, message, left)).last
             except result.RequestError as refusal:
-                LOG.info(
-                    "group {}: append not confirmed by backup {}, epoch {}: {}",
-                    self.state.group_id,
-                    backup,
-                    message.record.epoch,
-                    refusal,
-                )
                 if refusal.result is not result.ResultCode.UNREACHABLE:
+                    LOG.info(
+                        "group {}: append rejected, epoch {}, member {}: {}",
+                        self.state.group_id,
+                        message.record.epoch,
+                        backup,
+                        refusal,
+                    )
                     return None
             await clock.sleep(min(group_state.RETRY / 3, left))
         return None
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -88,11 +88,11 @@
             raise result.RequestError(
                 result.ResultCode.OVERLOADED, detail=f"pair {state.group_id}", retry=group_state.CLIENT_RETRY_AFTER
             )
-        waiting = Submission(command, clock.now() + within, asyncio.get_running_loop().create_future())
-        self.submissions.put_nowait(waiting)
+        submission = Submission(command, clock.now() + within, asyncio.get_running_loop().create_future())
+        self.submissions.put_nowait(submission)
         try:
             async with clock.limit(within):
-                return await waiting.reply
+                return await submission.reply
         except TimeoutError:
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN,
@@ -178,10 +178,10 @@
         unchanged = state.lease.chosen is used and not state.balloting.locked()
         return unchanged and bool(newest or (not state.has_lease() and answered))
 
-    async def settle_record(self, why: str) -> None:
+    async def settle_record(self, reason: str) -> None:
         """Have the record that stands chosen once more, and know it then."""
         state = self.state
-        state.status_reason = why
+        state.status_reason = reason
         try:
             await state.ballot(lambda record: record)
         except result.RequestError as refusal:
@@ -191,7 +191,7 @@
                 state.record.epoch,
                 state.me(),
                 refusal,
-                why,
+                reason,
             )
 
     async def tick(self) -> None:
@@ -296,15 +296,15 @@
         """At the end of a tenure: what not all copies are known to hold is neither confirmed nor refused."""
         for item in decided:
             if not item.submission.reply.done():
-                fail(item.submission.reply, unclear())
+                fail(item.submission.reply, outcome_unknown())
         decided.clear()
 
-    def reject_queued(self, why: result.ResultCode) -> None:
+    def reject_queued(self, code: result.ResultCode) -> None:
         """Commands that were not begun are refused at once, as while there is no backup."""
         while not self.submissions.empty():
-            waiting = self.submissions.get_nowait()
-            if not waiting.reply.done():
-                fail(waiting.reply, result.RequestError(why, retry=group_state.CLIENT_RETRY_AFTER))
+            submission = self.submissions.get_nowait()
+            if not submission.reply.done():
+                fail(submission.reply, result.RequestError(code, retry=group_state.CLIENT_RETRY_AFTER))
 
     async def take_batch(self) -> list[Submission]:
         """The commands that wait, or none once it is time to show the backups a sign of life."""
@@ -330,10 +330,10 @@
         batch = await self.take_batch()
         record = state.record
         if record != self.synchronized_record:
-            for waiting in batch:
-                if not waiting.reply.done():
+            for submission in batch:
+                if not submission.reply.done():
                     fail(
-                        waiting.reply,
+                        submission.reply,
                         result.RequestError(result.ResultCode.NO_BACKUP, retry=group_state.CLIENT_RETRY_AFTER),
                     )
             return
@@ -367,24 +367,24 @@
         """Have the view decide commands one after the other; the entries that come of it, folded already."""
         state = self.state
         entries: list[replica.Entry] = []
-        for waiting in batch:
-            if waiting.reply.done():
+        for submission in batch:
+            if submission.reply.done():
                 continue
-            if not state.has_lease() or waiting.end < clock.now():
+            if not state.has_lease() or submission.end < clock.now():
                 fail(
-                    waiting.reply,
+                    submission.reply,
                     result.RequestError(result.ResultCode.NOT_PRIMARY, retry=group_state.CLIENT_RETRY_AFTER),
                 )
                 continue
             try:
-                events, reply = state.replica.state_machine.decide(waiting.command, clock.now(), record.epoch)
+                events, reply = state.replica.state_machine.decide(submission.command, clock.now(), record.epoch)
             except result.RequestError as refusal:
                 events, reply = (), refusal
             except Exception as error:  # a fault in deciding one command must not end the primary's supervised task
                 LOG.exception(
                     "group {}: command {} not decided, epoch {}, member {}: internal fault",
                     state.group_id,
-                    type(waiting.command).__name__,
+                    type(submission.command).__name__,
                     record.epoch,
                     state.me(),
                 )
@@ -392,7 +392,7 @@
             for event in events:
                 entries.append(replica.Entry(record.epoch, last.sequence + len(entries) + 1, codec.tagged(event)))
                 state.replica.apply(entries[-1], event)
-            undelivered.append(Decided(waiting, reply))
+            undelivered.append(Decided(submission, reply))
         return tuple(entries)
 
     async def record_out_failed(self, failed: collections.abc.Iterable[replica_set.ReplicaId]) -> None:
@@ -424,7 +424,7 @@
         state.check_tenure()
 
 
-def unclear() -> result.RequestError:
+def outcome_unknown() -> result.RequestError:
     """The answer to a command that was decided and may or may not last."""
     return result.RequestError(
         result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the lease ran out", group_state.CLIENT_RETRY_AFTER
