--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -332,7 +332,7 @@
         }
         tasks.update({f"pair {group_id}": held.run for group_id, held in self.group_replicas.items()})
         tasks.update(
-            {f"pictures {group_id}": held.replica.write_snapshots for group_id, held in self.group_replicas.items()}
+            {f"pictures {group_id}": held.replica.snapshotter.run for group_id, held in self.group_replicas.items()}
         )
         if group_client.CONTROL_GROUP_ID in self.group_replicas:
             tasks.update({"root": self.configuration_service.run_root, "reseat": self.witness_changes.run})
--- a/aspencroft/node/voter_selection.py
+++ b/aspencroft/node/voter_selection.py
@@ -63,4 +63,4 @@
             if self.failure_detector.state(address) == cluster_member.LIVE
             and self.failure_detector.peers[address].role == settings.CORE
         )
-        return witness_placement.witnesses(present, cores, lost)
+        return witness_placement.choose_witnesses(present, cores, lost)
--- a/aspencroft/platform_check/order_races.py
+++ b/aspencroft/platform_check/order_races.py
@@ -124,7 +124,7 @@
 
 
 def drain_race(seed: int) -> list[str]:
-    """Orders to drain more machines than may go, all at once, while the control primary is hurt; what broke the rules."""
+    """Orders to drain more machines than may go, at once, while the control primary is hurt; what broke the rules."""
     found: list[str] = []
     size = dataclasses.replace(SIZE, storages=5)
 
--- a/aspencroft/replication/snapshot_transfer_test.py
+++ b/aspencroft/replication/snapshot_transfer_test.py
@@ -36,7 +36,7 @@
 def small_bounds(monkeypatch):
     """Small bounds, so that a few entries are many."""
     monkeypatch.setattr(snapshotting, "COMPACT_ENTRIES", 40)
-    monkeypatch.setattr(log_shipping, "MEND_BYTES", 3000)
+    monkeypatch.setattr(log_shipping, "REPAIR_BATCH_BYTES", 3000)
     monkeypatch.setattr(snapshot_transfer, "CHUNK_BYTES", 1000)
 
 
@@ -117,9 +117,10 @@
             assert reopened.last() == backup.replica.last()
             if broken > 1:
                 assert backup.replica.is_incomplete() and reopened.is_incomplete()
-                backup.patience_end, backup.unsure = clock.ZERO, False
+                backup.recovery.await_peers_until(clock.ZERO)
+                backup.recovery.confirm()
                 cluster.silent.add("n0:1")
-                assert not await backup.log_shipping.made_sure()
+                assert not await backup.log_shipping.confirm_log()
         cluster.silent.clear()
         sent = len(cluster.heard)
         assert await repair_backup(cluster) == primary.last() and not backup.replica.is_incomplete()
@@ -199,12 +200,12 @@
             await repair_backup(cluster)
         assert backup.replica.last().sequence < primary.last().sequence - 1
         cluster.silent.add("n2:1")
-        backup.patience_end = clock.ZERO
-        await backup.following.take_over(backup.known)
+        backup.recovery.await_peers_until(clock.ZERO)
+        await backup.backup.take_over(backup.known)
         assert cluster.register.standing().primary.address == "n0:1"
         cluster.silent.discard("n2:1")
         await third.replica.append((primary.log.entries[-1],))
-        await backup.following.take_over(backup.known)
+        await backup.backup.take_over(backup.known)
         assert cluster.register.standing().primary.address == "n1:1"
         assert backup.replica.last() == third.replica.last()
 
@@ -213,7 +214,7 @@
 
 @pytest.mark.parametrize("differing", [1, 5, 30])
 def test_a_repair_never_cuts_a_backup_back_below_what_was_acknowledged(tmp_path, small_bounds, monkeypatch, differing):
-    monkeypatch.setattr(log_shipping, "MEND_BYTES", 800)
+    monkeypatch.setattr(log_shipping, "REPAIR_BATCH_BYTES", 800)
 
     async def scenario(cluster: members.Members) -> None:
         primary = await start_with_snapshot(cluster, more=70)
