--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -22,7 +22,7 @@
 from aspencroft.residency import keep_plan, residency, tap
 from aspencroft.runtime import clock
 from aspencroft.sessions import entry, ledger, messages
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 from aspencroft.transport import codec
 from aspencroft.workers import adapter, list_reader, worker
 
@@ -351,12 +351,12 @@
             place = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-store-", dir=folder or None))
             try:
                 chance = random.Random(seed + turn)
-                kept, _, _ = store.load(place, real)
-                batch = tuple(store.Item(1, chance.randbytes(size)) for _ in range(100))
+                journal = store.open_store(place, real).store
+                batch = tuple(data_file.Record(1, chance.randbytes(size)) for _ in range(100))
                 spans = []
                 for _ in range(max(1, count // 100)):
                     began = time.perf_counter()
-                    kept.append(batch)
+                    journal.append(batch)
                     spans.append((time.perf_counter() - began) * 1000)
                 timer.note("a batch of 100 written and synced, wall ms", statistics.median(spans))
                 timer.note(
@@ -364,7 +364,7 @@
                     sum(one.stat().st_size for one in place.rglob("*") if one.is_file()) / (100 * max(1, count // 100)),
                 )
                 began = time.perf_counter()
-                store.load(place, real)
+                store.open_store(place, real)
                 timer.note("open again, wall ms", (time.perf_counter() - began) * 1000)
             finally:
                 shutil.rmtree(place, ignore_errors=True)
--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -8,7 +8,7 @@
 
 from aspencroft.consensus import replica_set, witness_state
 from aspencroft.runtime import clock, environment
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 from aspencroft.transport import codec
 
 LOG = logbook.Logger("consensus.witness")
@@ -63,15 +63,15 @@
         values, condition = [], None
         if self.folder is not None:
             self.kept, items, condition = await self.environment.disk.perform(
-                store.load, self.folder, self.environment.disk
+                store.open_store, self.folder, self.environment.disk
             )
             values = [codec.untagged(item.payload) for item in items]
-        if condition is store.Condition.DAMAGED:
+        if condition is data_file.Condition.DAMAGED:
             LOG.warning("the witness's store was damaged; it starts blank")
         for value in values:
             if isinstance(value, replica_set.RememberedCluster):
                 self.known = value
-        founds = founding and condition is store.Condition.EMPTY
+        founds = founding and condition is data_file.Condition.EMPTY
         state, writes = self.state.started(values, clock.now(), founds)
         await self.keep(*writes)
         self.state = state
@@ -81,11 +81,11 @@
         if self.kept is None or not values:
             return
         async with self.writing:
-            compacts = self.kept.count > COMPACT
+            compacts = self.kept.record_count > COMPACT
             if compacts:
                 remembered = witness_state.lasting(self.known)
                 values = (*self.ballots.values(), self.voter_set, *remembered)
-            items = tuple(store.Item(0, codec.tagged(value)) for value in values)
+            items = tuple(data_file.Record(0, codec.tagged(value)) for value in values)
             work = self.kept.replace if compacts else self.kept.append
             await self.environment.disk.perform(work, items)
 
--- a/aspencroft/replication/interrupted_write_test.py
+++ b/aspencroft/replication/interrupted_write_test.py
@@ -11,7 +11,7 @@
 from aspencroft.replication import replica
 from aspencroft.runtime import clock, environment
 from aspencroft.simulation import disk, loop, members
-from aspencroft.storage import store
+from aspencroft.storage import data_file
 from aspencroft.transport import codec
 
 
@@ -342,7 +342,7 @@
             machine.power_loss()
         again = made(machine)
         await again.open()
-        assert again.identity == one.identity and again.condition is not store.Condition.DAMAGED
+        assert again.identity == one.identity and again.condition is not data_file.Condition.DAMAGED
         floor = acknowledged[-1] if acknowledged else replica.LogPosition(0, replica.NO_DIGEST)
         assert again.incomplete() or holds(again, floor), (end_at, again.last(), floor)
         fresh = made(disk.SimDisk(folder / "fresh", random.Random(3)))
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -16,7 +16,7 @@
 from aspencroft.consensus import replica_set
 from aspencroft.errors import result
 from aspencroft.runtime import allocator, clock, environment, uninterrupted
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 from aspencroft.transport import codec
 
 LOG = logbook.Logger("replication.replica")
@@ -223,7 +223,7 @@
         self.group_id = group_id
         self.make_state_machine = make_state_machine
         self.kept: store.Store | None = None
-        self.condition = store.Condition.EMPTY
+        self.condition = data_file.Condition.EMPTY
         self.identity = ""
         self.record: replica_set.ReplicaSet | None = None
         self.goal: RepairGoal | None = None
@@ -236,7 +236,7 @@
         self.writing = asyncio.Lock()
         self.drawing = False
         self.newest = 0
-        self.meanwhile: list[store.Item] | None = None
+        self.meanwhile: list[data_file.Record] | None = None
         self.write_began: datetime.timedelta | None = None
         self.next_snapshot = clock.ZERO
         self.rest_end = clock.ZERO
@@ -252,7 +252,7 @@
         versions left such pairs when a write's caller was cancelled.
         """
         self.kept, items, self.condition = await self.load()
-        if self.condition is store.Condition.DAMAGED:
+        if self.condition is data_file.Condition.DAMAGED:
             LOG.warning("pair {}: the copy in {} is damaged; it starts empty and is mended", self.group_id, self.folder)
         self.identity, self.record, self.goal = "", None, None
         self.newest = self.kept.generation
@@ -283,11 +283,11 @@
             await self.write(Identity(self.identity))
         self.rebuild_state()
 
-    async def load(self) -> tuple[store.Store, tuple[store.Item, ...], store.Condition]:
+    async def load(self) -> store.OpenedStore:
         """What the disk holds; tried again while the disk refuses, as there is nothing to be done without it."""
         while True:
             try:
-                return await self.environment.disk.perform(store.load, self.folder, self.environment.disk)
+                return await self.environment.disk.perform(store.open_store, self.folder, self.environment.disk)
             except OSError as error:
                 LOG.warning("group {}: {} can't be opened: {}", self.group_id, self.folder, error)
             await clock.sleep(DISK_PAUSE)
@@ -402,7 +402,7 @@
         """Make values last on this disk, all or none; a cancellation waits until that is done."""
         await uninterrupted.finish(self.write_items(tuple(map(stored, values))))
 
-    async def write_items(self, items: tuple[store.Item, ...]) -> None:
+    async def write_items(self, items: tuple[data_file.Record, ...]) -> None:
         """Append items to the generation in force, and to the one that is being written beside it."""
         async with self.writing:
             self.write_began = clock.now()
@@ -438,7 +438,7 @@
         fresh = self.successor()
         try:
             await self.fill(fresh, snapshot, entries)
-            await self.environment.disk.perform(fresh.point, self.kept.home())
+            await self.environment.disk.perform(fresh.put_in_force, self.kept.generation_folder())
         except OSError:
             await self.environment.disk.perform(fresh.discard)
             raise
@@ -451,7 +451,7 @@
 
     async def fill(self, fresh: store.Store, snapshot: EncodedSnapshot, entries: list[Entry]) -> None:
         """Write a snapshot and the entries behind it into a new generation, a bounded part at a time."""
-        await self.environment.disk.perform(fresh.blank)
+        await self.environment.disk.perform(fresh.create_empty)
         waiting, size = [], 0
         for value in itertools.chain(
             [Identity(self.identity)],
@@ -463,7 +463,7 @@
             waiting.append(stored(value))
             size += len(waiting[-1].payload)
             if size >= PART:
-                await self.environment.disk.perform(fresh.add, waiting)
+                await self.environment.disk.perform(fresh.write_unsynced, waiting)
                 waiting, size = [], 0
         await self.environment.disk.perform(fresh.append, waiting)
 
@@ -572,7 +572,7 @@
             if self.meanwhile is meanwhile:
                 self.meanwhile = None
 
-    async def use(self, snapshot: EncodedSnapshot, meanwhile: list[store.Item]) -> None:
+    async def use(self, snapshot: EncodedSnapshot, meanwhile: list[data_file.Record]) -> None:
         """Write a generation that starts with a snapshot and goes on with what was written meanwhile, then use it.
 
         Unless the copy
@@ -587,7 +587,7 @@
                     return
                 if meanwhile:
                     await self.environment.disk.perform(fresh.append, tuple(meanwhile))
-                await self.environment.disk.perform(fresh.point, self.kept.home())
+                await self.environment.disk.perform(fresh.put_in_force, self.kept.generation_folder())
                 self.kept = fresh
                 self.cut(slice(0, snapshot.sequence - self.snapshot.sequence))
                 self.snapshot, self.snapshot_size = snapshot, snapshot.size()
@@ -665,9 +665,9 @@
     return EncodedSnapshot(snapshot.epoch, snapshot.sequence, snapshot.digest, pieces)
 
 
-def stored(value) -> store.Item:
+def stored(value) -> data_file.Record:
     """A value as the store holds it."""
-    return store.Item(getattr(value, "epoch", 0), codec.tagged(value))
+    return data_file.Record(getattr(value, "epoch", 0), codec.tagged(value))
 
 
 async def drawn(parts: collections.abc.Iterator[bytes]) -> tuple[bytes, ...]:
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -24,7 +24,7 @@
 from aspencroft.replication import replica
 from aspencroft.runtime import clock, environment
 from aspencroft.sessions import entry, lane_sessions, messages
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 from aspencroft.transport import codec
 
 PATH = pathlib.Path(__file__).with_name("stored_group.json")
@@ -38,7 +38,7 @@
 GOAL = replica.RepairGoal(9000, b"goal 009")
 
 
-class Disk(store.Inline):
+class Disk(store.NoSyncDisk):
     """A disk whose work is done at once."""
 
     async def perform(self, function, *arguments):
@@ -214,7 +214,7 @@
     before = records(folder)
     one = group_replica(folder, group)
     asyncio.run(one.open())
-    assert one.condition is store.Condition.SOUND
+    assert one.condition is data_file.Condition.SOUND
     assert one.identity == "f2a74de452e6b438"
     assert one.record == replica_set.ReplicaSet(group, 3, HOLDERS[0], (HOLDERS[1],))
     assert (one.goal.sequence, one.goal.digest) == (9000, b"goal 009")
@@ -234,9 +234,9 @@
         folder = lay_out(name, tmp_path / name)
         one = group_replica(folder, group)
         await one.open()
-        before = [item.payload for item in store.load(folder, Disk())[1]]
+        before = [item.payload for item in store.open_store(folder, Disk())[1]]
         await one.rewrite(one.snapshot, one.entries)
-        after = [item.payload for item in store.load(folder, Disk())[1]]
+        after = [item.payload for item in store.open_store(folder, Disk())[1]]
         assert sorted(after) == sorted(before)
 
     for name, group in (("control", CONTROL_GROUP), ("talk", TALK_GROUP)):
--- a/aspencroft/simulation/disk.py
+++ b/aspencroft/simulation/disk.py
@@ -11,7 +11,7 @@
 import unittest.mock
 
 from aspencroft.runtime import uninterrupted
-from aspencroft.storage import store
+from aspencroft.storage import data_file
 
 FOLDER = -1
 ALL_GONE = 0.2
@@ -191,8 +191,8 @@
             return
         if self.chance.random() < ALL_GONE:
             tail = bytearray()
-        for place in range(-(lasting % store.BLOCK) if tail else 0, len(tail), store.BLOCK):
-            block = slice(max(place, 0), min(place + store.BLOCK, len(tail)))
+        for place in range(-(lasting % data_file.BLOCK) if tail else 0, len(tail), data_file.BLOCK):
+            block = slice(max(place, 0), min(place + data_file.BLOCK, len(tail)))
             size = block.stop - block.start
             fate = self.chance.random()
             if fate < 1 / 3:
@@ -220,15 +220,15 @@
         """The disk loses just the last value of each store, though it was synced; how many were lost."""
         lost = 0
         for path in sorted(self.folder.rglob("*.dat")):
-            places = store.scan(path.read_bytes()).places
-            if len(places) > 1:
-                path.write_bytes(path.read_bytes()[: places[-1][0]])
+            extents = data_file.scan(path.read_bytes()).extents
+            if len(extents) > 1:
+                path.write_bytes(path.read_bytes()[: extents[-1].offset])
                 lost += 1
         return lost
 
     def damage(self) -> None:
         """Flip bytes in the middle of a data file."""
-        files = [path for path in sorted(self.folder.rglob("*.dat")) if path.stat().st_size > 2 * store.BLOCK]
+        files = [path for path in sorted(self.folder.rglob("*.dat")) if path.stat().st_size > 2 * data_file.BLOCK]
         for path in files:
             data = bytearray(path.read_bytes())
             place = self.chance.randrange(len(data) // 2)
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -125,7 +125,7 @@
     Mutation(
         "nothing is synced",
         "storage/store.py",
-        '        for name in ("journal.dat", "journal.dir"):\n            self.disk.synchronise(self.home() / name)\n',
+        '        for name in ("journal.dat", "journal.dir"):\n            self.disk.synchronise(self.generation_folder() / name)\n',
         "        pass\n",
         ("simulation/guarantees_test.py::test_a_plan_outlives_power_lost_everywhere_just_after_its_answer",),
     ),
@@ -661,22 +661,22 @@
     Mutation(
         "unsynced values that a killed process wrote are acted on",
         "storage/store.py",
-        "    disk.synchronise(data_file)\n    with",
+        "    disk.synchronise(data_path)\n    with",
         "    with",
         (POWER_LOSS_TEST,),
     ),
     Mutation(
         "older generations go before the pointer's rename lasts",
         "storage/store.py",
-        "    disk.synchronise(folder)\n    for number in generations:\n",
-        "    for number in generations:\n",
+        "    disk.synchronise(folder)\n    for generation in generations:\n",
+        "    for generation in generations:\n",
         (POWER_LOSS_TEST,),
     ),
     Mutation(
         "a hole in an unsynced batch counts as damage",
-        "storage/store.py",
-        "beyond is not None and beyond.synced > len(items)",
-        "beyond is not None",
+        "storage/data_file.py",
+        "later is not None and later.synced_count > len(records)",
+        "later is not None",
         (POWER_LOSS_TEST,),
     ),
     Mutation(
@@ -765,7 +765,7 @@
     Mutation(
         "a torn append is left in the journal",
         "storage/store.py",
-        "        if self.torn:\n            self.undo()\n",
+        "        if self.has_failed_append:\n            self.cut_off_failed_append()\n",
         "",
         (
             "storage/failing_disk_test.py::test_an_append_cut_off_at_any_byte_by_a_full_disk_leaves_nothing_behind",
@@ -775,7 +775,7 @@
     Mutation(
         "an append goes on behind a pointer that was not made to last",
         "storage/store.py",
-        "        if self.replaced is not None:\n            self.finish_point()\n",
+        "        if self.superseded_folder is not None:\n            self.finish_switch()\n",
         "",
         ("storage/failing_disk_test.py::test_a_pointer_that_was_not_made_to_last_holds_appends_back",),
     ),
@@ -868,7 +868,7 @@
     Mutation(
         "an append is confirmed before its sync",
         "storage/store.py",
-        '        for name in ("journal.dat", "journal.dir"):\n            self.disk.synchronise(self.home() / name)\n',
+        '        for name in ("journal.dat", "journal.dir"):\n            self.disk.synchronise(self.generation_folder() / name)\n',
         "",
         (
             "replication/interrupted_write_test.py::test_an_end_at_any_sync_of_appends_snapshots_and_repairs_keeps_what_was_acknowledged",
@@ -1091,15 +1091,15 @@
     Mutation(
         "what a start finds is not synced",
         "storage/store.py",
-        "        self.disk.synchronise(data_file)\n        index =",
-        "        index =",
+        "        self.disk.synchronise(data_path)\n        rows =",
+        "        rows =",
         ("storage/failing_disk_test.py::test_what_a_killed_process_wrote_and_never_synced_lasts_once_it_was_found",),
     ),
     Mutation(
         "a pointer is not synced before the older generation goes",
         "storage/store.py",
-        "    disk.synchronise(folder)\n    for number",
-        "    for number",
+        "    disk.synchronise(folder)\n    for generation",
+        "    for generation",
         (
             "storage/failing_disk_test.py::test_a_pointer_renamed_by_a_killed_process_lasts_before_the_older_generation_goes",
         ),
--- a/aspencroft/storage/failing_disk_test.py
+++ b/aspencroft/storage/failing_disk_test.py
@@ -6,65 +6,65 @@
 import pytest
 
 from aspencroft.simulation import disk
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 
-FIRST = tuple(store.Item(1, bytes([number]) * 300) for number in range(3))
-REFUSED = (store.Item(2, b"a" * 700), store.Item(2, b"b" * 900))
-LATER = (store.Item(3, b"later"),)
+FIRST = tuple(data_file.Record(1, bytes([number]) * 300) for number in range(3))
+REFUSED = (data_file.Record(2, b"a" * 700), data_file.Record(2, b"b" * 900))
+LATER = (data_file.Record(3, b"later"),)
 
 
-def opened(machine: disk.SimDisk) -> tuple[store.Store, tuple[store.Item, ...], store.Condition]:
-    """The store in a disk's folder, opened."""
-    return store.load(machine.folder / "store", machine)
+def open_on(machine: disk.SimDisk) -> store.OpenedStore:
+    """Open the store in a machine's folder."""
+    return store.open_store(machine.folder / "store", machine)
 
 
 def test_an_append_cut_off_at_any_byte_by_a_full_disk_leaves_nothing_behind(tmp_path):
     for space in range(0, 2600, 13):
         machine = disk.SimDisk(tmp_path / str(space), random.Random(space))
-        kept, _, _ = opened(machine)
-        kept.append(FIRST)
+        journal = open_on(machine).store
+        journal.append(FIRST)
         machine.space = space
         try:
-            machine.within_space(kept.append, (REFUSED,))
+            machine.within_space(journal.append, (REFUSED,))
             taken = (*FIRST, *REFUSED)
         except OSError as error:
             assert error.errno == errno.ENOSPC
             taken = FIRST
         machine.space = None
-        kept.append(LATER)
-        _, items, condition = opened(machine)
-        assert (items, condition) == ((*taken, *LATER), store.Condition.SOUND), space
+        journal.append(LATER)
+        _, records, condition = open_on(machine)
+        assert (records, condition) == ((*taken, *LATER), data_file.Condition.SOUND), space
 
 
 def test_a_failed_sync_is_no_append(tmp_path):
     machine = disk.SimDisk(tmp_path, random.Random(1))
-    kept, _, _ = opened(machine)
-    kept.append(FIRST)
+    journal = open_on(machine).store
+    journal.append(FIRST)
     machine.failing_sync = True
     for _ in range(3):
         with pytest.raises(OSError, match="error"):
-            kept.append(REFUSED)
+            journal.append(REFUSED)
     machine.failing_sync = False
-    kept.append(LATER)
-    assert opened(machine)[1:] == ((*FIRST, *LATER), store.Condition.SOUND)
+    journal.append(LATER)
+    assert open_on(machine)[1:] == ((*FIRST, *LATER), data_file.Condition.SOUND)
 
 
 def test_a_replacement_refused_at_any_byte_leaves_the_older_generation_in_force(tmp_path):
     refused = 0
     for space in range(0, 2200, 11):
         machine = disk.SimDisk(tmp_path / str(space), random.Random(space))
-        kept, _, _ = opened(machine)
-        kept.append(FIRST)
+        journal = open_on(machine).store
+        journal.append(FIRST)
         machine.space = space
         try:
-            machine.within_space(kept.replace, (REFUSED,))
+            machine.within_space(journal.replace, (REFUSED,))
             taken = REFUSED
         except OSError:
             taken = FIRST
             refused += 1
         machine.space = None
-        kept.append(LATER)
-        assert opened(machine)[1:] == ((*taken, *LATER), store.Condition.SOUND), space
+        journal.append(LATER)
+        assert open_on(machine)[1:] == ((*taken, *LATER), data_file.Condition.SOUND), space
         assert len(list((machine.folder / "store").glob("generation-*"))) == 1
     assert 100 < refused < 200
 
@@ -72,8 +72,8 @@
 def test_a_pointer_that_was_not_made_to_last_holds_appends_back(tmp_path):
     for seed in range(20):
         machine = disk.SimDisk(tmp_path / str(seed), random.Random(seed))
-        kept, _, _ = opened(machine)
-        kept.append(FIRST)
+        journal = open_on(machine).store
+        journal.append(FIRST)
         syncs = machine.synchronise
 
         def failing(path, syncs=syncs, machine=machine):
@@ -82,43 +82,43 @@
             syncs(path)
 
         machine.synchronise = failing
-        kept.replace(FIRST[:2])
+        journal.replace(FIRST[:2])
         with pytest.raises(OSError, match="error"):
-            kept.append(LATER)
+            journal.append(LATER)
         machine.synchronise = syncs
         machine.power_loss()
-        _, items, condition = opened(machine)
-        assert items in (FIRST, FIRST[:2]) and condition is store.Condition.SOUND
+        _, records, condition = open_on(machine)
+        assert records in (FIRST, FIRST[:2]) and condition is data_file.Condition.SOUND
 
 
 def test_what_a_killed_process_wrote_and_never_synced_lasts_once_it_was_found(tmp_path):
     for seed in range(20):
         machine = disk.SimDisk(tmp_path / str(seed), random.Random(seed))
-        kept, _, _ = opened(machine)
-        kept.append(FIRST)
-        kept.add(LATER)
-        _, items, _ = opened(machine)
-        assert items == (*FIRST, *LATER)
+        journal = open_on(machine).store
+        journal.append(FIRST)
+        journal.write_unsynced(LATER)
+        _, records, _ = open_on(machine)
+        assert records == (*FIRST, *LATER)
         machine.power_loss()
-        assert opened(machine)[1] == items
+        assert open_on(machine)[1] == records
 
 
 def test_a_pointer_renamed_by_a_killed_process_lasts_before_the_older_generation_goes(tmp_path):
     machine = disk.SimDisk(tmp_path, random.Random(1))
-    kept, _, _ = opened(machine)
-    kept.append(FIRST)
-    fresh = kept.successor(kept.generation + 1)
-    fresh.blank()
+    journal = open_on(machine).store
+    journal.append(FIRST)
+    fresh = journal.successor(journal.generation + 1)
+    fresh.create_empty()
     fresh.append(REFUSED)
-    fresh.finish_point = lambda: None
-    fresh.point(kept.home())
-    there, syncs = [], machine.synchronise
+    fresh.finish_switch = lambda: None
+    fresh.put_in_force(journal.generation_folder())
+    superseded_exists, syncs = [], machine.synchronise
 
     def watched(path):
         syncs(path)
         if path == machine.folder / "store":
-            there.append(kept.home().exists())
+            superseded_exists.append(journal.generation_folder().exists())
 
     machine.synchronise = watched
-    assert opened(machine)[1] == REFUSED
-    assert there == [True] and not kept.home().exists()
+    assert open_on(machine)[1] == REFUSED
+    assert superseded_exists == [True] and not journal.generation_folder().exists()
--- a/aspencroft/storage/store_test.py
+++ b/aspencroft/storage/store_test.py
@@ -7,96 +7,126 @@
 import shutil
 import zlib
 
+import logbook
+
 from aspencroft.simulation import disk
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 
 
-def test_cut_at_every_byte_keeps_all_whole_items(tmp_path):
-    written = tuple(store.Item(number, bytes([number]) * (number * 40)) for number in range(1, 8))
-    kept, _, condition = store.load(tmp_path / "a", store.Inline())
-    assert condition is store.Condition.EMPTY
-    kept.append(written)
-    home = kept.home()
+def test_cut_at_every_byte_keeps_all_complete_records(tmp_path):
+    written = tuple(data_file.Record(number, bytes([number]) * (number * 40)) for number in range(1, 8))
+    journal, _, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
+    assert condition is data_file.Condition.EMPTY
+    journal.append(written)
+    home = journal.generation_folder()
     data, index = (home / "journal.dat").read_bytes(), (home / "journal.dir").read_bytes()
-    ends = [place + length for place, length in store.scan(data).places]
+    ends = [extent.end for extent in data_file.scan(data).extents]
     for cut in range(ends[4], ends[6] + 1):
         (home / "journal.dat").write_bytes(data[:cut])
         (home / "journal.dir").write_bytes(index[: cut % len(index)])
-        again, items, _ = store.load(tmp_path / "a", store.Inline())
-        assert items == written[: sum(end <= cut for end in ends)]
-        again.append((store.Item(99, b"after"),))
-        assert store.load(tmp_path / "a", store.Inline())[1] == items + (store.Item(99, b"after"),)
+        again, records, _ = store.open_store(tmp_path / "a", store.NoSyncDisk())
+        assert records == written[: sum(end <= cut for end in ends)]
+        again.append((data_file.Record(99, b"after"),))
+        assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1] == records + (data_file.Record(99, b"after"),)
 
 
-def test_damage_before_the_tail_is_told_not_served(tmp_path):
-    kept, _, _ = store.load(tmp_path / "a", store.Inline())
+def test_damage_before_the_tail_is_reported_and_nothing_is_served(tmp_path):
+    journal = store.open_store(tmp_path / "a", store.NoSyncDisk()).store
     for _ in range(5):
-        kept.append((store.Item(1, b"x" * 700),))
-    path = kept.home() / "journal.dat"
+        journal.append((data_file.Record(1, b"x" * 700),))
+    path = journal.generation_folder() / "journal.dat"
     sound = path.read_bytes()
-    for place in (0, 5, 30, 700, 1024, 2100):
+    for offset in (0, 5, 30, 700, 1024, 2100):
         changed = bytearray(sound)
-        changed[place] ^= 1
+        changed[offset] ^= 1
         path.write_bytes(changed)
-        assert store.scan(bytes(changed)).condition is store.Condition.DAMAGED
-    again, items, condition = store.load(tmp_path / "a", store.Inline())
-    assert condition is store.Condition.DAMAGED and items == ()
-    again.append((store.Item(2, b"new"),))
-    assert store.load(tmp_path / "a", store.Inline())[1:] == ((store.Item(2, b"new"),), store.Condition.SOUND)
+        assert data_file.scan(bytes(changed)).condition is data_file.Condition.DAMAGED
+    again, records, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
+    assert condition is data_file.Condition.DAMAGED and records == ()
+    again.append((data_file.Record(2, b"new"),))
+    assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1:] == (
+        (data_file.Record(2, b"new"),),
+        data_file.Condition.SOUND,
+    )
 
 
 def test_new_generation_replaces_the_old(tmp_path):
-    kept, _, _ = store.load(tmp_path / "a", store.Inline())
-    kept.append((store.Item(1, b"old"),))
-    kept.replace((store.Item(2, b"picture"),))
-    kept.append((store.Item(2, b"tail"),))
-    assert store.load(tmp_path / "a", store.Inline())[1] == (
-        store.Item(2, b"picture"),
-        store.Item(2, b"tail"),
+    journal = store.open_store(tmp_path / "a", store.NoSyncDisk()).store
+    journal.append((data_file.Record(1, b"old"),))
+    journal.replace((data_file.Record(2, b"picture"),))
+    journal.append((data_file.Record(2, b"tail"),))
+    assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1] == (
+        data_file.Record(2, b"picture"),
+        data_file.Record(2, b"tail"),
     )
 
 
-def test_a_hole_in_the_last_batch_ends_the_items_and_is_no_damage(tmp_path):
-    kept, _, _ = store.load(tmp_path / "a", store.Inline())
-    first, batch = store.Item(1, b"first"), tuple(store.Item(1, bytes([number]) * 700) for number in range(5))
-    kept.append((first,))
-    kept.append(batch)
-    path = kept.home() / "journal.dat"
-    whole = path.read_bytes()
-    for hole, (place, length) in enumerate(store.scan(whole).places[1:]):
-        path.write_bytes(whole[:place] + bytes(length) + whole[place + length :])
-        assert store.load(tmp_path / "a", store.Inline())[1:] == ((first, *batch[:hole]), store.Condition.SOUND)
-
-
-def test_damage_anywhere_in_a_generation_that_was_pointed_to_is_told(tmp_path):
-    items = tuple(store.Item(1, bytes([number]) * 700) for number in range(5))
-    kept, _, _ = store.load(tmp_path / "a", store.Inline())
-    kept.replace(items)
-    path = kept.home() / "journal.dat"
+def test_a_hole_in_the_last_batch_ends_the_records_and_is_no_damage(tmp_path):
+    journal = store.open_store(tmp_path / "a", store.NoSyncDisk()).store
+    first = data_file.Record(1, b"first")
+    batch = tuple(data_file.Record(1, bytes([number]) * 700) for number in range(5))
+    journal.append((first,))
+    journal.append(batch)
+    path = journal.generation_folder() / "journal.dat"
+    complete = path.read_bytes()
+    for hole, extent in enumerate(data_file.scan(complete).extents[1:]):
+        path.write_bytes(complete[: extent.offset] + bytes(extent.length) + complete[extent.end :])
+        assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1:] == (
+            (first, *batch[:hole]),
+            data_file.Condition.SOUND,
+        )
+
+
+def test_damage_anywhere_in_a_generation_that_was_pointed_to_is_reported(tmp_path):
+    records = tuple(data_file.Record(1, bytes([number]) * 700) for number in range(5))
+    journal = store.open_store(tmp_path / "a", store.NoSyncDisk()).store
+    journal.replace(records)
+    path = journal.generation_folder() / "journal.dat"
     sound = path.read_bytes()
-    for place, _ in store.scan(sound).places[:-1]:
-        folder = tmp_path / f"b{place}"
+    for extent in data_file.scan(sound).extents[:-1]:
+        folder = tmp_path / f"b{extent.offset}"
         shutil.copytree(tmp_path / "a", folder)
         changed = bytearray(sound)
-        changed[place + 100] ^= 1
-        (folder / kept.home().name / "journal.dat").write_bytes(changed)
-        assert store.load(folder, store.Inline())[1:] == ((), store.Condition.DAMAGED)
+        changed[extent.offset + 100] ^= 1
+        (folder / journal.generation_folder().name / "journal.dat").write_bytes(changed)
+        assert store.open_store(folder, store.NoSyncDisk())[1:] == ((), data_file.Condition.DAMAGED)
 
 
 def test_values_of_the_former_format_are_read_and_followed_by_new_ones(tmp_path):
-    kept, _, _ = store.load(tmp_path / "a", store.Inline())
-    former = [store.Item(1, b"x" * 700), store.Item(2, b"y")]
+    journal = store.open_store(tmp_path / "a", store.NoSyncDisk()).store
+    former = [data_file.Record(1, b"x" * 700), data_file.Record(2, b"y")]
     data = b""
-    for index, item in enumerate(former):
-        header = store.FORMER_HEADER.pack(store.FORMER_MAGIC, index, len(item.payload), item.epoch)
-        data += header + store.CHECK.pack(zlib.crc32(item.payload, zlib.crc32(header))) + item.payload
-        data += bytes(-len(data) % store.BLOCK)
-    (kept.home() / "journal.dat").write_bytes(data)
-    (kept.folder / store.CURRENT).write_text(str(kept.generation))
-    again, items, condition = store.load(tmp_path / "a", store.Inline())
-    assert (items, condition) == (tuple(former), store.Condition.SOUND)
-    again.append((store.Item(3, b"z"),))
-    assert store.load(tmp_path / "a", store.Inline())[1] == (*former, store.Item(3, b"z"))
+    for index, record in enumerate(former):
+        header = data_file.FORMER_HEADER.pack(data_file.FORMER_MAGIC, index, len(record.payload), record.epoch)
+        data += header + data_file.CHECKSUM.pack(zlib.crc32(record.payload, zlib.crc32(header))) + record.payload
+        data += bytes(-len(data) % data_file.BLOCK)
+    (journal.generation_folder() / "journal.dat").write_bytes(data)
+    (journal.folder / store.CURRENT).write_text(str(journal.generation))
+    again, records, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
+    assert (records, condition) == (tuple(former), data_file.Condition.SOUND)
+    again.append((data_file.Record(3, b"z"),))
+    assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1] == (*former, data_file.Record(3, b"z"))
+
+
+def test_a_torn_tail_and_a_damaged_store_are_logged_in_one_sentence_each(tmp_path):
+    journal = store.open_store(tmp_path / "a", store.NoSyncDisk()).store
+    journal.append((data_file.Record(1, b"x" * 700), data_file.Record(1, b"y" * 700)))
+    path = journal.generation_folder() / "journal.dat"
+    first_record = data_file.scan(path.read_bytes()).extents[0]
+    path.write_bytes(path.read_bytes()[:-5])
+    dropped = path.stat().st_size - first_record.end
+    with logbook.TestHandler() as logged:
+        store.open_store(tmp_path / "a", store.NoSyncDisk())
+        store.open_store(tmp_path / "a", store.NoSyncDisk())
+        assert [record.message for record in logged.records] == [
+            f"store {tmp_path / 'a'}: cut off a torn tail; generation=1 records kept=1 bytes dropped={dropped}"
+        ]
+    (journal.folder / store.CURRENT).write_text("9 9")
+    with logbook.TestHandler() as logged:
+        store.open_store(tmp_path / "a", store.NoSyncDisk())
+        assert [(record.level_name, record.message.split(";")[0]) for record in logged.records] == [
+            ("ERROR", f"store {tmp_path / 'a'}: damaged, starts empty")
+        ]
 
 
 class PowerCutError(Exception):
@@ -121,69 +151,69 @@
 
 
 class Journal:
-    """A store in use, the items that were acknowledged, and those that a cut operation may have left."""
+    """A store in use, the records that were acknowledged, and those that a cut operation may have left."""
 
     def __init__(self, machine: CutDisk):
         self.disk = machine
         self.folder = machine.folder / "journal"
-        self.acknowledged: tuple[store.Item, ...] = ()
-        self.allowed: list[tuple[store.Item, ...]] = [()]
-        self.kept: store.Store | None = None
+        self.acknowledged: tuple[data_file.Record, ...] = ()
+        self.allowed: list[tuple[data_file.Record, ...]] = [()]
+        self.store: store.Store | None = None
         self.number = 0
 
-    def fresh(self, count: int) -> tuple[store.Item, ...]:
-        """Items that were never written before, some longer than a block."""
+    def fresh(self, count: int) -> tuple[data_file.Record, ...]:
+        """Records that were never written before, some longer than a block."""
         self.number += count
-        return tuple(store.Item(1, b"%d" % number * 150) for number in range(self.number - count, self.number))
+        return tuple(data_file.Record(1, b"%d" % number * 150) for number in range(self.number - count, self.number))
 
-    def settled(self, items: tuple[store.Item, ...]) -> None:
-        """An operation was acknowledged: exactly these items are held from now on."""
-        self.acknowledged, self.allowed = items, [items]
+    def note_acknowledged(self, records: tuple[data_file.Record, ...]) -> None:
+        """An operation was acknowledged: exactly these records are held from now on."""
+        self.acknowledged, self.allowed = records, [records]
 
     def load(self) -> None:
         """Open the store as a process does that was started again: what it reads may be acted on from then on."""
-        self.kept, items, condition = store.load(self.folder, self.disk)
-        assert condition is not store.Condition.DAMAGED
-        assert items in self.allowed, (len(items), [len(each) for each in self.allowed])
-        self.settled(items)
+        self.store, records, condition = store.open_store(self.folder, self.disk)
+        assert condition is not data_file.Condition.DAMAGED
+        assert records in self.allowed, (len(records), [len(each) for each in self.allowed])
+        self.note_acknowledged(records)
 
     def append(self, count: int) -> None:
-        """Append items in one batch; a loss of power may leave the first of them."""
-        items = self.fresh(count)
-        self.allowed = [self.acknowledged + items[:number] for number in range(count + 1)]
-        self.kept.append(items)
-        self.settled(self.acknowledged + items)
+        """Append records in one batch; a loss of power may leave the first of them."""
+        records = self.fresh(count)
+        self.allowed = [self.acknowledged + records[:number] for number in range(count + 1)]
+        self.store.append(records)
+        self.note_acknowledged(self.acknowledged + records)
 
     def append_and_kill(self, count: int) -> None:
-        """The process is killed when the items are written and not synced."""
-        items = self.fresh(count)
-        whole = self.acknowledged + items
-        self.allowed = [whole[: len(whole) - missing] for missing in range(count + 1)]
-        self.kept.add(items)
+        """The process is killed when the records are written and not synced."""
+        records = self.fresh(count)
+        written = self.acknowledged + records
+        self.allowed = [written[: len(written) - missing] for missing in range(count + 1)]
+        self.store.write_unsynced(records)
         self.load()
-        assert self.acknowledged == whole
+        assert self.acknowledged == written
 
     def replace(self, kill: bool = False) -> None:
         """Write a new generation; with ``kill`` the process ends as soon as the new one is named."""
-        items = self.fresh(2)
-        self.allowed = [self.acknowledged, items]
+        records = self.fresh(2)
+        self.allowed = [self.acknowledged, records]
         if kill:
-            self.cut_after_rename(items)
+            self.cut_after_rename(records)
             self.load()
-            assert self.acknowledged == items
+            assert self.acknowledged == records
         else:
-            self.kept.replace(items)
-            self.settled(items)
+            self.store.replace(records)
+            self.note_acknowledged(records)
 
-    def cut_after_rename(self, items: tuple[store.Item, ...]) -> None:
+    def cut_after_rename(self, records: tuple[data_file.Record, ...]) -> None:
         """As ``Store.replace`` up to the rename of the pointer."""
-        successor = self.kept.successor(self.kept.generation + 1)
-        successor.blank()
-        successor.append(items)
-        self.disk.synchronise(successor.home())
+        successor = self.store.successor(self.store.generation + 1)
+        successor.create_empty()
+        successor.append(records)
+        self.disk.synchronise(successor.generation_folder())
         self.disk.synchronise(self.folder)
         pointer = self.folder / (store.CURRENT + ".fresh")
-        pointer.write_text(store.Pointer(successor.generation, successor.synced).text())
+        pointer.write_text(store.GenerationPointer(successor.generation, successor.synced_count).text())
         self.disk.synchronise(pointer)
         os.replace(pointer, self.folder / store.CURRENT)
 
