--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -12,7 +12,7 @@
 from aspencroft.membership import failure_detector
 from aspencroft.replication import backup, group_replica, group_state, log_shipping, primary
 from aspencroft.runtime import clock
-from aspencroft.transport import connections
+from aspencroft.transport import peer_connection
 
 WORKER_LIST_PERIOD = clock.seconds(1)
 CALLER_SILENCE = clock.seconds(1)
@@ -124,7 +124,7 @@
         takeover_retry=group_state.RETRY,
         append_timeout=log_shipping.APPEND,
         start_patience=group_replica.PATIENCE,
-        reconnect=connections.CONNECT + connections.REST,
+        reconnect=peer_connection.CONNECT_TIMEOUT + peer_connection.RECONNECT_PAUSE,
         pull=relay.PULL,
         pull_timeout=relay.ASK,
         stale_parent=relay.STALE + relay.PULL,
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -259,7 +259,7 @@
         """Become what a snapshot shows; one from before there was a ledger ends behind the operations."""
         shown, place = codec.unpack_from(messages.TalkPicture, body, 0)
         if place < len(body) and self.ledger.restore(body, place) != len(body):
-            raise codec.Broken("bytes are left over")
+            raise codec.CodecError("bytes are left over")
         self.programs = {one.name: one for one in shown.programs}
         self.operations = {one.key: one for one in shown.operations}
         self.going = {go.go: one.name for one in shown.programs for go in one.under_way}
--- a/aspencroft/sessions/ledger.py
+++ b/aspencroft/sessions/ledger.py
@@ -663,7 +663,7 @@
         if end < len(body):
             ages, end = codec.unpack_from(entry.TurnAges, body, end)
         if len(ages.ended) != len(shown.turns):
-            raise codec.Broken("as many ages as turns were expected")
+            raise codec.CodecError("as many ages as turns were expected")
         most_bytes = self.most_bytes
         self.__init__()
         self.most_bytes, self.time = most_bytes, ages.time
--- a/aspencroft/sessions/ledger_test.py
+++ b/aspencroft/sessions/ledger_test.py
@@ -1054,7 +1054,7 @@
     before_ages = len(body) - len(codec.pack(entry.TurnAges(clock.ZERO, ())))
     for end_at in range(9, len(body)):
         if end_at != before_ages:
-            with pytest.raises(codec.Broken):
+            with pytest.raises(codec.CodecError):
                 lane_sessions.Talk().restore(body[:end_at])
 
 
--- a/aspencroft/simulation/guarantees_test.py
+++ b/aspencroft/simulation/guarantees_test.py
@@ -622,7 +622,7 @@
     async def acts(stage: guarantees.Stage) -> None:
         one = stage.scene
         outside = wire.SimNetwork(one.wire, simulated_cluster.OUTSIDE)
-        sound = frame.encode(frame.Frame(frame.ASK, 1, 0, replica_set.WitnessStateRequest("outside")))
+        sound = frame.encode(frame.Frame(frame.REQUEST, 1, 0, replica_set.WitnessStateRequest("outside")))
         for place in (4, 6, 7, 20, len(sound) - 1):
             broken = bytearray(sound)
             broken[place] ^= 0x7F
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -231,7 +231,7 @@
     Mutation(
         "a question that comes twice is answered twice",
         "transport/connections.py",
-        "                    if one.number and one.number <= newest:\n",
+        "                    if received.request_number and received.request_number <= newest_request:\n",
         "                    if False:\n",
         ("simulation/plans_test.py::test_a_conditional_write_whose_frames_come_twice_is_not_refused_for_itself",),
     ),
--- a/aspencroft/simulation/surfaces_test.py
+++ b/aspencroft/simulation/surfaces_test.py
@@ -150,10 +150,10 @@
             if chance.random() < 0.6:
                 body = sample_bytes(codec.KINDS[number], chance)
             header = frame.HEADER.pack(
-                len(body), number, frame.VERSION, chance.choice([frame.TELL, frame.ASK]), 1, 0, 0
+                len(body), number, frame.VERSION, chance.choice([frame.NOTIFICATION, frame.REQUEST]), 1, 0, 0
             )[:-4]
             channel = await outside.connect(f"{chance.choice(one.names())}:1")
-            await channel.write(header + frame.CHECK.pack(frame.checksum(header, body)) + body)
+            await channel.write(header + frame.CHECKSUM.pack(frame.checksum(header, body)) + body)
             await asyncio.sleep(0.01)
             channel.close()
         await asyncio.sleep(6)
@@ -197,5 +197,5 @@
         if present:
             fill(typing.get_args(shape)[0], chance, into, depth + 1)
     else:
-        for _, inner in codec.shapes(shape):
+        for _, inner in codec.field_types(shape):
             fill(inner, chance, into, depth + 1)
--- a/aspencroft/simulation/voters.py
+++ b/aspencroft/simulation/voters.py
@@ -28,7 +28,7 @@
         self.lost: collections.abc.Callable[[str, object], bool] = lambda address, message: False
 
     async def request(self, address: str, message, within):
-        """As ``connections.Link.ask``."""
+        """As ``connections.Link.request``."""
         self.steps += 1
         self.before(self.steps)
         await clock.sleep(DELAY)
@@ -40,7 +40,7 @@
         return reply
 
     def notify(self, address: str, message) -> None:
-        """As ``connections.Link.tell``."""
+        """As ``connections.Link.notify``."""
         if address not in self.down and not self.lost(address, message):
             asyncio.get_running_loop().create_task(self.deliver(self.voters[address], message))
 
--- a/aspencroft/transport/codec_test.py
+++ b/aspencroft/transport/codec_test.py
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Wide:
-    """A record in which fields of every shape stand beside each other."""
+    """A record in which fields of every field_type stand beside each other."""
 
     first: bool
     second: float
@@ -61,56 +61,60 @@
     text: str
 
 
-def plainly_written(shape, value, into: bytearray) -> None:
-    """Append one value, shape by shape: what the compiled codecs have to agree with."""
-    origin = typing.get_origin(shape)
-    if shape is int:
-        into += codec.WHOLE.pack(value)
-    elif shape is str:
+def plainly_written(field_type, value, into: bytearray) -> None:
+    """Append one value, field_type by field_type: what the compiled codecs have to agree with."""
+    origin = typing.get_origin(field_type)
+    if field_type is int:
+        into += codec.INTEGER.pack(value)
+    elif field_type is str:
         data = value.encode()
         into += codec.LENGTH.pack(len(data)) + data
-    elif shape is bytes:
+    elif field_type is bytes:
         into += codec.LENGTH.pack(len(value)) + value
-    elif shape is float:
-        into += codec.REAL.pack(value)
-    elif shape is bool:
+    elif field_type is float:
+        into += codec.FLOAT.pack(value)
+    elif field_type is bool:
         into += codec.FLAG.pack(value)
-    elif shape is datetime.timedelta:
-        into += codec.WHOLE.pack(value // codec.MICROSECOND)
+    elif field_type is datetime.timedelta:
+        into += codec.INTEGER.pack(value // codec.MICROSECOND)
     elif origin is tuple:
         into += codec.LENGTH.pack(len(value))
         for item in value:
-            plainly_written(typing.get_args(shape)[0], item, into)
+            plainly_written(typing.get_args(field_type)[0], item, into)
     elif origin is types.UnionType:
         into += codec.FLAG.pack(value is not None)
         if value is not None:
-            plainly_written(typing.get_args(shape)[0], value, into)
+            plainly_written(typing.get_args(field_type)[0], value, into)
     else:
-        for name, inner in codec.shapes(shape):
+        for name, inner in codec.field_types(field_type):
             plainly_written(inner, getattr(value, name), into)
 
 
-def by_chance(shape, chance: random.Random, depth: int = 0):
-    """A value of a shape."""
-    origin = typing.get_origin(shape)
-    if shape is int:
+def by_chance(field_type, chance: random.Random, depth: int = 0):
+    """A value of a field_type."""
+    origin = typing.get_origin(field_type)
+    if field_type is int:
         return chance.choice([-1, 0, 1, 7, 1 << 40, -(1 << 63), (1 << 63) - 1])
-    if shape is str:
+    if field_type is str:
         return chance.choice(["", "x", "é", "edge-0:1", "\U0001f40d" * 3, "a" * 300])
-    if shape is bytes:
+    if field_type is bytes:
         return chance.randbytes(chance.choice([0, 1, 20, 5000]))
-    if shape is float:
+    if field_type is float:
         return chance.choice([0.0, -1.5, 1e300])
-    if shape is bool:
+    if field_type is bool:
         return chance.random() < 0.5
-    if shape is datetime.timedelta:
+    if field_type is datetime.timedelta:
         return datetime.timedelta(microseconds=chance.choice([-1, 0, 1, 500_000, 86_400_000_000]))
     if origin is tuple:
-        inner = typing.get_args(shape)[0]
+        inner = typing.get_args(field_type)[0]
         return tuple(by_chance(inner, chance, depth + 1) for _ in range(chance.randrange(3) if depth < 4 else 0))
     if origin is types.UnionType:
-        return by_chance(typing.get_args(shape)[0], chance, depth + 1) if chance.random() < 0.5 and depth < 4 else None
-    return shape(**{name: by_chance(inner, chance, depth + 1) for name, inner in codec.shapes(shape)})
+        return (
+            by_chance(typing.get_args(field_type)[0], chance, depth + 1)
+            if chance.random() < 0.5 and depth < 4
+            else None
+        )
+    return field_type(**{name: by_chance(inner, chance, depth + 1) for name, inner in codec.field_types(field_type)})
 
 
 def all_kinds() -> list[type]:
@@ -129,9 +133,9 @@
     data = codec.pack(value)
     assert codec.unpack(Sample, data) == value
     for end in range(len(data)):
-        with pytest.raises(codec.Broken):
+        with pytest.raises(codec.CodecError):
             codec.unpack(Sample, data[:end])
-    with pytest.raises(codec.Broken):
+    with pytest.raises(codec.CodecError):
         codec.unpack(Sample, data + b"\0")
 
 
@@ -141,7 +145,7 @@
         value = by_chance(Wide, chance)
         data = codec.pack(value)
         for end in sorted(chance.sample(range(len(data)), min(200, len(data)))):
-            with pytest.raises(codec.Broken):
+            with pytest.raises(codec.CodecError):
                 codec.unpack(Wide, data[:end])
 
 
@@ -170,7 +174,7 @@
 
 def test_values_outside_any_record_are_written_alike():
     chance = random.Random(2)
-    for shape in (
+    for field_type in (
         int,
         str,
         bytes,
@@ -182,17 +186,17 @@
         bytes | None,
     ):
         for _ in range(30):
-            value, plain, into = by_chance(shape, chance), bytearray(), bytearray()
-            plainly_written(shape, value, plain)
-            codec.write(shape, value, into)
+            value, plain, into = by_chance(field_type, chance), bytearray(), bytearray()
+            plainly_written(field_type, value, plain)
+            codec.write(field_type, value, into)
             assert into == plain
-            assert codec.read(shape, bytes(into), 0) == (value, len(into))
+            assert codec.read(field_type, bytes(into), 0) == (value, len(into))
 
 
 def test_a_length_or_count_past_the_end_is_refused_at_once():
-    for shape in (str, bytes, tuple[int, ...]):
-        with pytest.raises(codec.Broken):
-            codec.read(shape, codec.LENGTH.pack(1 << 31) + b"x" * 20, 0)
+    for field_type in (str, bytes, tuple[int, ...]):
+        with pytest.raises(codec.CodecError):
+            codec.read(field_type, codec.LENGTH.pack(1 << 31) + b"x" * 20, 0)
 
 
 def test_values_of_a_wrong_type_are_refused_where_they_are_written():
@@ -211,10 +215,10 @@
             codec.pack(value)
 
 
-def test_a_record_that_checks_itself_is_made_by_its_own_hand():
+def test_a_record_that_checks_itself_is_made_by_its_constructor():
     assert codec.unpack(Checked, codec.pack(Checked(3))) == Checked(3)
-    with pytest.raises(codec.Broken):
-        codec.unpack(Checked, codec.WHOLE.pack(-3))
+    with pytest.raises(codec.CodecError):
+        codec.unpack(Checked, codec.INTEGER.pack(-3))
 
 
 def test_big_bytes_are_handed_on_not_copied():
--- a/aspencroft/transport/frame.py
+++ b/aspencroft/transport/frame.py
@@ -1,4 +1,4 @@
-"""Frames of the link between nodes: length, kind, version, way, number, epoch, checksum."""
+"""Frames of the link between nodes: length, record kind, version, frame kind, request number, epoch, checksum."""
 
 import dataclasses
 import struct
@@ -8,35 +8,41 @@
 from aspencroft.transport import codec
 
 HEADER = struct.Struct(">IHBBQQI")
-CHECK = struct.Struct(">I")
+CHECKSUM = struct.Struct(">I")
 VERSION = 2
-LARGEST = 64 << 20
-TELL, ASK, ANSWER, FAULT = range(4)
+MAX_BODY_BYTES = 64 << 20
+NOTIFICATION, REQUEST, RESPONSE, FAULT = range(4)
 
 
-class BrokenFrame(ValueError):
+class FrameError(ValueError):
     """Bytes that are no frame of this version."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Frame:
-    """One message on a link."""
+    """One message on a connection; only requests and what answers them are numbered."""
 
-    way: int
-    number: int
+    frame_kind: int
+    request_number: int
     epoch: int
     message: object
 
 
 def encode(frame: Frame) -> bytes:
-    """The frame's bytes."""
+    """The frame's bytes.
+
+    Raises:
+        FrameError: the message is too large.
+        ValueError, TypeError, AttributeError, struct.error: a field holds what its type does not allow.
+
+    """
     body = codec.pack(frame.message)
-    if len(body) > LARGEST:
-        raise BrokenFrame(f"a body of {len(body)} bytes is over the limit")
+    if len(body) > MAX_BODY_BYTES:
+        raise FrameError(f"a body of {len(body)} bytes is over the limit")
     start = HEADER.pack(
-        len(body), codec.NUMBERS[type(frame.message)], VERSION, frame.way, frame.number, frame.epoch, 0
+        len(body), codec.NUMBERS[type(frame.message)], VERSION, frame.frame_kind, frame.request_number, frame.epoch, 0
     )[:-4]
-    return start + CHECK.pack(checksum(start, body)) + body
+    return start + CHECKSUM.pack(checksum(start, body)) + body
 
 
 def checksum(start: bytes, body: bytes) -> int:
@@ -45,29 +51,35 @@
 
 
 async def receive(channel: environment.Channel) -> Frame:
-    """The next frame of a channel; BrokenFrame when the bytes are none."""
+    """Read the next frame of a channel.
+
+    Raises:
+        FrameError: the bytes are no frame of this version.
+        EOFError, OSError: the channel broke.
+
+    """
     header = await channel.read(HEADER.size)
-    length, kind, version, way, number, epoch, expected = HEADER.unpack(header)
+    length, record_kind, version, frame_kind, request_number, epoch, expected = HEADER.unpack(header)
     if version != VERSION:
-        raise BrokenFrame(f"version {version}")
-    if length > LARGEST or way > FAULT:
-        raise BrokenFrame("length or way out of range")
+        raise FrameError(f"version {version}")
+    if length > MAX_BODY_BYTES or frame_kind > FAULT:
+        raise FrameError("length or frame kind out of range")
     body = await channel.read(length)
     if checksum(header[:-4], body) != expected:
-        raise BrokenFrame("checksum")
-    record_type = codec.KINDS.get(kind)
+        raise FrameError("checksum")
+    record_type = codec.KINDS.get(record_kind)
     if record_type is None:
-        raise BrokenFrame(f"kind {kind}")
+        raise FrameError(f"kind {record_kind}")
     try:
-        return Frame(way, number, epoch, codec.unpack(record_type, body))
-    except codec.Broken as error:
-        raise BrokenFrame(str(error)) from error
+        return Frame(frame_kind, request_number, epoch, codec.unpack(record_type, body))
+    except codec.CodecError as error:
+        raise FrameError(str(error)) from error
 
 
-class Buffer:
-    """A channel over bytes, for the test below."""
+class BytesChannel:
+    """The reading half of a channel, over bytes, for tests."""
 
-    def __init__(self, data: bytes):
+    def __init__(self, data: bytes) -> None:
         self.data = data
 
     async def read(self, count: int) -> bytes:
@@ -81,7 +93,7 @@
 @codec.kind(1)
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """A refusal on the link: result number, whether anything ran, detail, microseconds to wait."""
+    """A rejection as it is sent back: result number, whether anything ran, detail, microseconds to wait."""
 
     result: int
     ran: str
--- a/aspencroft/transport/frame_test.py
+++ b/aspencroft/transport/frame_test.py
@@ -6,14 +6,14 @@
 
 
 def test_any_flipped_byte_is_found():
-    one = frame.Frame(frame.FAULT, 7, 3, frame.Fault(1401, "not run", "detail", 5))
-    data = frame.encode(one)
-    assert asyncio.run(frame.receive(frame.Buffer(data))) == one
-    for place in range(len(data)):
+    sent = frame.Frame(frame.FAULT, 7, 3, frame.Fault(1401, "not run", "detail", 5))
+    data = frame.encode(sent)
+    assert asyncio.run(frame.receive(frame.BytesChannel(data))) == sent
+    for offset in range(len(data)):
         changed = bytearray(data)
-        changed[place] ^= 0x41
+        changed[offset] ^= 0x41
         try:
-            asyncio.run(frame.receive(frame.Buffer(bytes(changed))))
-        except (frame.BrokenFrame, EOFError):
+            asyncio.run(frame.receive(frame.BytesChannel(bytes(changed))))
+        except (frame.FrameError, EOFError):
             continue
-        raise AssertionError(f"byte {place} changed unseen")
+        raise AssertionError(f"byte {offset} changed unseen")
--- /dev/null
+++ b/aspencroft/transport/peer_connection_test.py
@@ -0,0 +1,62 @@
+"""Tests of ``aspencroft.transport.peer_connection``."""
+
+import asyncio
+import types
+
+import logbook
+import pytest
+
+from aspencroft.errors import result
+from aspencroft.runtime import clock
+from aspencroft.transport import connections, peer_connection
+
+
+class SilentChannel:
+    """A connection to a machine that takes every byte and never says anything."""
+
+    async def read(self, count: int) -> bytes:
+        """Nothing comes."""
+        await asyncio.Event().wait()
+
+    async def write(self, data: bytes) -> None:
+        """Bytes are taken after a moment."""
+        await asyncio.sleep(0)
+
+    def close(self) -> None:
+        """Nothing to do."""
+
+
+class SilentNetwork:
+    """A network on which every peer is silent."""
+
+    async def listen(self, address: str) -> asyncio.Queue:
+        """Nobody connects."""
+        return asyncio.Queue()
+
+    async def connect(self, address: str) -> SilentChannel:
+        """Connected at once."""
+        return SilentChannel()
+
+
+def test_a_silent_peer_fails_the_requests_in_flight_and_is_logged_once(monkeypatch):
+    monkeypatch.setattr(peer_connection, "KEEPALIVE_PERIOD", clock.seconds(0.01))
+    monkeypatch.setattr(peer_connection, "SILENCE_TIMEOUT", clock.seconds(0.05))
+
+    async def request_of_a_silent_peer() -> connections.Link:
+        link = connections.Link(types.SimpleNamespace(network=SilentNetwork()), "a:1", None)
+        ready = asyncio.Event()
+        running = asyncio.create_task(link.run(ready))
+        await ready.wait()
+        with pytest.raises(result.RequestError) as rejected:
+            await link.request("b:1", peer_connection.Ping(), clock.seconds(20))
+        assert (rejected.value.result, rejected.value.ran) == (result.ResultCode.UNREACHABLE, result.Ran.UNKNOWN)
+        running.cancel()
+        await asyncio.gather(running, return_exceptions=True)
+        return link
+
+    with logbook.TestHandler() as logged:
+        link = asyncio.run(request_of_a_silent_peer())
+        messages = [record.message for record in logged.records]
+    assert link.counts["silent connections"] == 1
+    assert len(messages) == 1 and messages[0].startswith("peer b:1: connection closed for silence; unanswered for=")
+    assert messages[0].endswith("in flight=1")
--- a/aspencroft/transport/stored_bytes_test.py
+++ b/aspencroft/transport/stored_bytes_test.py
@@ -48,19 +48,19 @@
     def __init__(self, number: int):
         self.next = itertools.count(number * 1000 + 1)
 
-    def value(self, shape, depth: int = 0):
+    def value(self, field_type, depth: int = 0):
         """A value of a field's type."""
-        origin = typing.get_origin(shape)
+        origin = typing.get_origin(field_type)
         if origin is tuple:
-            inner = typing.get_args(shape)[0]
+            inner = typing.get_args(field_type)[0]
             return tuple(self.value(inner, depth + 1) for _ in range(self.items if depth < DEEPEST else 0))
         if origin is types.UnionType:
-            return self.value(typing.get_args(shape)[0], depth + 1) if self.present and depth < DEEPEST else None
-        if dataclasses.is_dataclass(shape):
-            return shape(**{name: self.value(inner, depth + 1) for name, inner in codec.shapes(shape)})
-        return self.plain(shape, next(self.next))
+            return self.value(typing.get_args(field_type)[0], depth + 1) if self.present and depth < DEEPEST else None
+        if dataclasses.is_dataclass(field_type):
+            return field_type(**{name: self.value(inner, depth + 1) for name, inner in codec.field_types(field_type)})
+        return self.plain(field_type, next(self.next))
 
-    def plain(self, shape, number: int):
+    def plain(self, field_type, number: int):
         """A value of a type without parts.
 
         Example: ``FullValues(20).plain(str, 5) == "text é 5"``
@@ -72,7 +72,7 @@
             str: f"text é {number}",
             bytes: b"\x00\xff bytes " + str(number).encode(),
             datetime.timedelta: datetime.timedelta(days=1, microseconds=number),
-        }[shape]
+        }[field_type]
 
 
 class SpareValues(FullValues):
@@ -84,7 +84,7 @@
     items = 0
     present = False
 
-    def plain(self, shape, number: int):
+    def plain(self, field_type, number: int):
         """A value of a type without parts.
 
         Example: ``SpareValues(20).plain(int, 5) == -5``
@@ -96,7 +96,7 @@
             str: f"spare {number}",
             bytes: b"",
             datetime.timedelta: datetime.timedelta(microseconds=-number),
-        }[shape]
+        }[field_type]
 
 
 def samples_of(number: int, record_type: type) -> list[str]:
