--- a/aspencroft/alerts/alerts.py
+++ b/aspencroft/alerts/alerts.py
@@ -6,12 +6,12 @@
 
 import logbook
 
-from aspencroft.alerts import sample
 from aspencroft.configuration import alert_expression, alert_rule
 from aspencroft.leadership import singleton_role
 from aspencroft.node import node
 from aspencroft.residency import residency
 from aspencroft.runtime import clock, supervision
+from aspencroft.tracing import sample
 
 LOG = logbook.Logger("alerts.alerts")
 TOPIC = "alerts"
--- a/aspencroft/configuration/alert_expression_test.py
+++ b/aspencroft/configuration/alert_expression_test.py
@@ -1,7 +1,7 @@
 """Tests of ``aspencroft.configuration.alert_expression``."""
 
-from aspencroft.alerts import sample
 from aspencroft.configuration import alert_expression
+from aspencroft.tracing import sample
 
 
 def test_only_the_supported_part_is_taken_and_missing_samples_hold_nothing():
@@ -19,7 +19,7 @@
         ("(a > 9 or b > 9) or b > -1", True),
         ("sum(c) == 0", False),
     ):
-        assert alert_expression.holds(alert_expression.parsed(text), samples) is expected, text
+        assert alert_expression.holds(alert_expression.parse(text), samples) is expected, text
     for text in (
         "a",
         "rate(a[5m]) > 1",
@@ -39,8 +39,8 @@
         "a > 1 and b",
     ):
         try:
-            alert_expression.parsed(text)
-        except alert_expression.Unusable as error:
+            alert_expression.parse(text)
+        except alert_expression.UnsupportedExpressionError as error:
             assert str(error)
             continue
         raise AssertionError(text)
--- a/aspencroft/configuration/alert_rule.py
+++ b/aspencroft/configuration/alert_rule.py
@@ -19,8 +19,8 @@
     if not isinstance(text, str):
         raise voluptuous.Invalid("expected an expression")
     try:
-        alert_expression.parsed(text)
-    except alert_expression.Unusable as error:
+        alert_expression.parse(text)
+    except alert_expression.UnsupportedExpressionError as error:
         raise voluptuous.Invalid(str(error)) from None
     return text
 
@@ -83,7 +83,7 @@
     control = labels.get("control", "")
     return Rule(
         name,
-        alert_expression.parsed(spec["expr"]),
+        alert_expression.parse(spec["expr"]),
         promql_parser.parse_duration(spec.get("for", "0s")),
         promql_parser.parse_duration(spec.get("keep_firing_for", "15s")),
         control,
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -9,7 +9,6 @@
 
 import aspencroft.residency.messages as residency_messages
 import aspencroft.sessions.messages as sessions_messages
-from aspencroft.alerts import sample
 from aspencroft.configuration import lane
 from aspencroft.errors import result
 from aspencroft.gateway import call, closing, priority_queue, selection, wait_queue, worker_view
@@ -18,7 +17,7 @@
 from aspencroft.replication import replica_changes
 from aspencroft.residency import tap
 from aspencroft.runtime import clock, supervision
-from aspencroft.tracing import trace
+from aspencroft.tracing import sample, trace
 from aspencroft.workers import adapter
 
 LOG = logbook.Logger("gateway.path")
--- a/aspencroft/layers_test.py
+++ b/aspencroft/layers_test.py
@@ -33,7 +33,6 @@
     ("cli.fleet", "benchmarks.hollow"),
     ("cli.fleet", "simulation.oracle"),
     ("cli.fleet", "simulation.register"),
-    ("configuration.alert_expression", "alerts.sample"),
     ("consensus.witness_bootstrap", "replication.messages"),
     ("proxy.forwarder", "gateway.path"),
     ("residency.residency", "node.node"),
--- a/aspencroft/node/memory_report.py
+++ b/aspencroft/node/memory_report.py
@@ -5,9 +5,9 @@
 
 import logbook
 
-from aspencroft.alerts import sample
 from aspencroft.replication import group_replica, replica
 from aspencroft.runtime import clock, process_memory
+from aspencroft.tracing import sample
 
 LOG = logbook.Logger("node.memory_report")
 LOOK_EVERY = clock.seconds(1)
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -11,7 +11,6 @@
 
 import aspencroft.replication.messages as replication_messages
 import aspencroft.residency.messages as residency_messages
-from aspencroft.alerts import sample
 from aspencroft.configuration import control_state, operator_configuration
 from aspencroft.consensus import (
     proposer,
@@ -31,7 +30,7 @@
 from aspencroft.replication import group_replica, group_state, replica
 from aspencroft.runtime import clock, environment, supervision
 from aspencroft.sessions import lane_sessions
-from aspencroft.tracing import trace
+from aspencroft.tracing import sample, trace
 from aspencroft.transport import codec, connections
 
 LOG = logbook.Logger("node.node")
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -11,7 +11,6 @@
 
 import logbook
 
-from aspencroft.alerts import sample
 from aspencroft.configuration import http_route
 from aspencroft.errors import result
 from aspencroft.gateway import path
@@ -19,7 +18,7 @@
 from aspencroft.proxy import call, chains, choose, endings, events, instance, instances, judgement, pace, working_set
 from aspencroft.runtime import clock
 from aspencroft.sessions import entry, messages
-from aspencroft.tracing import trace
+from aspencroft.tracing import sample, trace
 from aspencroft.workers import pool
 
 LOG = logbook.Logger("proxy.forwarder")
--- a/aspencroft/alerts/sample.py
+++ b/aspencroft/tracing/sample.py
@@ -27,7 +27,7 @@
 @codec.kind(172)
 @dataclasses.dataclass(frozen=True)
 class Sampled:
-    """A node's samples, told to the holder of the alerts duty."""
+    """A node's samples, sent to the node that holds the alerts role."""
 
     node: str
     samples: tuple[Sample, ...]
