--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -8,7 +8,7 @@
 
 from aspencroft.consensus import replica_set, witness_state
 from aspencroft.runtime import clock, environment
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 from aspencroft.transport import codec
 
 LOG = logbook.Logger("consensus.witness")
@@ -67,15 +67,15 @@
         condition = None
         if self.folder is not None:
             self.store, items, condition = await self.environment.disk.perform(
-                store.load, self.folder, self.environment.disk
+                store.open_store, self.folder, self.environment.disk
             )
             values = [codec.untagged(item.payload) for item in items]
-        if condition is store.Condition.DAMAGED:
+        if condition is data_file.Condition.DAMAGED:
             LOG.warning("voter {} blank: its store was damaged", self.state.address)
         for value in values:
             if isinstance(value, replica_set.RememberedCluster):
                 self.known = value
-        is_new = is_first_start and condition is store.Condition.EMPTY
+        is_new = is_first_start and condition is data_file.Condition.EMPTY
         step = self.state.restore(values, clock.now(), is_new)
         await self.persist(*step.writes)
         self.state = step.state
@@ -85,11 +85,11 @@
         if self.store is None or not values:
             return
         async with self.write_lock:
-            is_compaction = self.store.count > COMPACT_VALUES
+            is_compaction = self.store.record_count > COMPACT_VALUES
             if is_compaction:
                 remembered = witness_state.written_twice(self.known)
                 values = (*self.ballots.values(), self.voter_set, *remembered)
-            items = tuple(store.Item(0, codec.tagged(value)) for value in values)
+            items = tuple(data_file.Record(0, codec.tagged(value)) for value in values)
             write = self.store.replace if is_compaction else self.store.append
             await self.environment.disk.perform(write, items)
 
--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -5,7 +5,6 @@
 
 import aspencroft.replication.messages as replication_messages
 import aspencroft.residency.messages as residency_messages
-from aspencroft.alerts import sample
 from aspencroft.configuration import control_state
 from aspencroft.consensus import replica_set
 from aspencroft.distribution import updates
@@ -13,7 +12,7 @@
 from aspencroft.membership import cluster_member
 from aspencroft.node import configuration_service, group_client, node_view
 from aspencroft.replication import group_replica
-from aspencroft.tracing import trace
+from aspencroft.tracing import sample, trace
 from aspencroft.transport import codec
 
 Handler = collections.abc.Callable[[typing.Any], collections.abc.Awaitable[object]]
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -11,7 +11,6 @@
 
 import logbook
 
-from aspencroft.alerts import sample
 from aspencroft.configuration import control_state, operator_configuration
 from aspencroft.consensus import (
     proposer,
@@ -41,7 +40,7 @@
 from aspencroft.replication import group_replica, group_state, replica
 from aspencroft.runtime import clock, environment, supervision
 from aspencroft.sessions import lane_sessions
-from aspencroft.tracing import trace
+from aspencroft.tracing import sample, trace
 from aspencroft.transport import codec, connections
 
 LOG = logbook.Logger("node.node")
--- a/aspencroft/node/node_view.py
+++ b/aspencroft/node/node_view.py
@@ -5,14 +5,13 @@
 import datetime
 import typing
 
-from aspencroft.alerts import sample
 from aspencroft.consensus import proposer, replica_placement, replica_set, witness, witness_bootstrap
 from aspencroft.distribution import relay, updates
 from aspencroft.leadership import singleton_role
 from aspencroft.membership import failure_detector
 from aspencroft.node import group_client, memory_report, settings
 from aspencroft.replication import group_replica
-from aspencroft.tracing import trace
+from aspencroft.tracing import sample, trace
 from aspencroft.transport import connections
 
 
--- a/aspencroft/node/status.py
+++ b/aspencroft/node/status.py
@@ -5,10 +5,10 @@
 
 import logbook
 
-from aspencroft.alerts import sample
 from aspencroft.membership import cluster_member
 from aspencroft.node import node_view
 from aspencroft.runtime import clock
+from aspencroft.tracing import sample
 
 LOG = logbook.Logger("node.status")
 SAMPLE_PERIOD = clock.seconds(2)
--- a/aspencroft/replication/interrupted_write_test.py
+++ b/aspencroft/replication/interrupted_write_test.py
@@ -11,7 +11,7 @@
 from aspencroft.replication import log_records, replica, snapshotting
 from aspencroft.runtime import clock, environment
 from aspencroft.simulation import disk, loop, members
-from aspencroft.storage import store
+from aspencroft.storage import data_file
 from aspencroft.transport import codec
 
 
@@ -350,7 +350,7 @@
             local_disk.power_loss()
         reopened = make_replica(local_disk)
         await reopened.open()
-        assert reopened.identity == local.identity and reopened.condition is not store.Condition.DAMAGED
+        assert reopened.identity == local.identity and reopened.condition is not data_file.Condition.DAMAGED
         acknowledged_position = acknowledged[-1] if acknowledged else log_records.LogPosition(0, log_records.NO_DIGEST)
         assert reopened.is_incomplete() or has_position(reopened, acknowledged_position), (
             end_at,
--- a/aspencroft/replication/log_records.py
+++ b/aspencroft/replication/log_records.py
@@ -10,7 +10,6 @@
 import typing
 
 from aspencroft.consensus import replica_set
-from aspencroft.storage import store
 from aspencroft.transport import codec
 
 NO_DIGEST = b"\0" * 8
@@ -155,6 +154,6 @@
     return EncodedSnapshot(snapshot.epoch, snapshot.sequence, snapshot.digest, pieces)
 
 
-def encode_item(record: StoredRecord) -> store.Item:
+def encode_item(record: StoredRecord) -> data_file.Record:
     """A record as the store holds it, under its epoch."""
-    return store.Item(getattr(record, "epoch", 0), codec.tagged(record))
+    return data_file.Record(getattr(record, "epoch", 0), codec.tagged(record))
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -10,7 +10,6 @@
 from aspencroft.errors import result
 from aspencroft.replication import log_records, replica_log, replica_storage, snapshotting, state_machine
 from aspencroft.runtime import allocator, environment, uninterrupted
-from aspencroft.storage import store
 from aspencroft.transport import codec
 
 LOG = logbook.Logger("replication.replica")
@@ -47,7 +46,7 @@
         self.folder = folder
         self.group_id = group_id
         self.make_state_machine = make_state_machine
-        self.condition = store.Condition.EMPTY
+        self.condition = data_file.Condition.EMPTY
         self.identity = ""
         self.record: replica_set.ReplicaSet | None = None
         self.goal: log_records.RepairGoal | None = None
@@ -70,7 +69,7 @@
         chunks: list[bytes] = []
         while unread:
             self.restore_record(codec.untagged(unread.popleft().payload), chunks)
-        if self.condition is store.Condition.DAMAGED:
+        if self.condition is data_file.Condition.DAMAGED:
             LOG.warning(
                 "damaged store found: group {}, folder {}, starts empty under a new identity, to be repaired",
                 self.group_id,
--- a/aspencroft/replication/replica_storage.py
+++ b/aspencroft/replication/replica_storage.py
@@ -16,7 +16,7 @@
 
 from aspencroft.replication import log_records
 from aspencroft.runtime import clock, environment
-from aspencroft.storage import store
+from aspencroft.storage import data_file, store
 
 LOG = logbook.Logger("replication.storage")
 
@@ -30,8 +30,8 @@
 class LoadedRecords(typing.NamedTuple):
     """What the disk held at the start. The reader empties the queue, so that it never holds all records twice."""
 
-    unread: collections.deque[store.Item]
-    condition: store.Condition
+    unread: collections.deque[data_file.Record]
+    condition: data_file.Condition
 
 
 class ReplicaStorage:
@@ -56,7 +56,7 @@
         self.latest_generation = 0
         self.write_lock = asyncio.Lock()
         self.write_started: datetime.timedelta | None = None
-        self.snapshot_tail: list[store.Item] | None = None
+        self.snapshot_tail: list[data_file.Record] | None = None
         """Items written since a snapshot was begun, which belong behind it; None while none is, or once it is void."""
 
     @property
@@ -70,7 +70,7 @@
         while True:
             try:
                 self.loaded, items, condition = await self.environment.disk.perform(
-                    store.load, self.folder, self.environment.disk
+                    store.open_store, self.folder, self.environment.disk
                 )
                 self.latest_generation = self.current.generation
                 return LoadedRecords(collections.deque(items), condition)
@@ -84,7 +84,7 @@
                 )
             await clock.sleep(DISK_RETRY)
 
-    async def write_items(self, items: tuple[store.Item, ...]) -> None:
+    async def write_items(self, items: tuple[data_file.Record, ...]) -> None:
         """Append items to the generation in force, and to the snapshot that is being written beside it.
 
         Raises:
@@ -148,14 +148,14 @@
             OSError: The disk failed.
 
         """
-        await self.environment.disk.perform(generation.blank)
-        waiting: list[store.Item] = []
+        await self.environment.disk.perform(generation.create_empty)
+        waiting: list[data_file.Record] = []
         size = 0
         for record in itertools.chain(self.header_records(), snapshot.stored_records(), tuple(entries)):
             waiting.append(log_records.encode_item(record))
             size += len(waiting[-1].payload)
             if size >= log_records.STORED_CHUNK_BYTES:
-                await self.environment.disk.perform(generation.add, waiting)
+                await self.environment.disk.perform(generation.write_unsynced, waiting)
                 waiting, size = [], 0
         await self.environment.disk.perform(generation.append, waiting)
 
@@ -166,7 +166,7 @@
             OSError: The disk failed.
 
         """
-        await self.environment.disk.perform(generation.point, self.current.home())
+        await self.environment.disk.perform(generation.put_in_force, self.current.generation_folder())
         self.loaded = generation
 
     async def discard(self, generation: store.Store) -> None:
--- a/aspencroft/replication/snapshotting.py
+++ b/aspencroft/replication/snapshotting.py
@@ -8,7 +8,6 @@
 
 from aspencroft.replication import log_records, replica_log, replica_storage, state_machine
 from aspencroft.runtime import clock
-from aspencroft.storage import store
 
 LOG = logbook.Logger("replication.snapshots")
 
@@ -135,7 +134,7 @@
             if self.storage.snapshot_tail is tail:
                 self.storage.snapshot_tail = None
 
-    async def write_beside(self, snapshot: log_records.EncodedSnapshot, tail: list[store.Item]) -> None:
+    async def write_beside(self, snapshot: log_records.EncodedSnapshot, tail: list[data_file.Record]) -> None:
         """Write a generation of a snapshot and of what was written since it was begun, then switch to it.
 
         The generation in force takes entries meanwhile; only the tail and the switch hold them up, so that none falls
--- a/aspencroft/sessions/session_snapshot.py
+++ b/aspencroft/sessions/session_snapshot.py
@@ -75,5 +75,5 @@
     if end < len(body):
         ages, end = codec.unpack_from(entry.TurnAges, body, end)
     if len(ages.ended) != len(snapshot.turns):
-        raise codec.Broken("as many ages as turns were expected")
+        raise codec.CodecError("as many ages as turns were expected")
     return Restored(snapshot, ages, end)
