--- a/aspencroft/replication/log_records.py
+++ b/aspencroft/replication/log_records.py
@@ -10,6 +10,7 @@
 import typing
 
 from aspencroft.consensus import replica_set
+from aspencroft.storage import data_file
 from aspencroft.transport import codec
 
 NO_DIGEST = b"\0" * 8
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -10,6 +10,7 @@
 from aspencroft.errors import result
 from aspencroft.replication import log_records, replica_log, replica_storage, snapshotting, state_machine
 from aspencroft.runtime import allocator, environment, uninterrupted
+from aspencroft.storage import data_file
 from aspencroft.transport import codec
 
 LOG = logbook.Logger("replication.replica")
--- a/aspencroft/replication/snapshotting.py
+++ b/aspencroft/replication/snapshotting.py
@@ -8,6 +8,7 @@
 
 from aspencroft.replication import log_records, replica_log, replica_storage, state_machine
 from aspencroft.runtime import clock
+from aspencroft.storage import data_file
 
 LOG = logbook.Logger("replication.snapshots")
 
