--- a/aspencroft/benchmarks/hollow.py
+++ b/aspencroft/benchmarks/hollow.py
@@ -156,8 +156,8 @@
         """
         entries = tuple(own.failure_detector.me for own in self.nodes.values())
         for name, own in self.nodes.items():
-            virtual.context_of(name).run(own.failure_detector.take, self.copied(own, entries))
-            own.failure_detector.peers.taken()
+            virtual.context_of(name).run(own.failure_detector.merge_table, self.copied(own, entries))
+            own.failure_detector.peers.drain_updates()
 
     def copied(
         self, own: node.Node, entries: tuple[cluster_member.ClusterMember, ...]
--- a/aspencroft/membership/failure_detector_test.py
+++ b/aspencroft/membership/failure_detector_test.py
@@ -1,4 +1,4 @@
-"""What a ring tells its neighbours, and how often it works anything out."""
+"""What a node passes on to its neighbours on the ring, and how often it derives anything."""
 
 import asyncio
 import dataclasses
@@ -6,22 +6,22 @@
 import random
 
 from aspencroft.consensus import replica_set
-from aspencroft.membership import cluster_member, failure_detector, member_table
+from aspencroft.membership import cluster_member, failure_detector, member_table, table_exchange
 from aspencroft.transport import codec
 
 
 class Link:
-    """Takes what is told, and answers nothing."""
+    """Notes what is sent, and answers nothing."""
 
     def __init__(self):
-        self.told: list[tuple[str, object]] = []
+        self.sent: list[tuple[str, object]] = []
 
     def notify(self, address, message, epoch=0):
-        self.told.append((address, message))
+        self.sent.append((address, message))
 
 
-class Voters:
-    """An electorate that only keeps its voter set."""
+class VoterSets:
+    """A proposer that only keeps its voter set."""
 
     voter_set = replica_set.VoterSet(0, ("n:0", "n:1", "n:2"), ())
 
@@ -30,13 +30,13 @@
             self.voter_set = voter_set
 
 
-class Around:
-    """Surroundings of which only chance is used."""
+class Environment:
+    """An environment of which only randomness is used."""
 
     randomness = random.Random(1)
 
 
-class Instant(asyncio.SelectorEventLoop):
+class ShortPauseLoop(asyncio.SelectorEventLoop):
     """A loop whose clock makes every pause short."""
 
     def time(self):
@@ -44,101 +44,104 @@
         return self.steps
 
 
-def entry(number: int) -> cluster_member.ClusterMember:
+def member(number: int) -> cluster_member.ClusterMember:
     return cluster_member.ClusterMember(
         f"n:{number}", 1, 0, cluster_member.LIVE, "abc"[number % 3], "core", "", False, ()
     )
 
 
-def ring_of(count: int) -> failure_detector.FailureDetector:
-    one = failure_detector.FailureDetector(Around(), Link(), entry(0), (), Voters())
+def detector_of(count: int) -> failure_detector.FailureDetector:
+    detector = failure_detector.FailureDetector(Environment(), Link(), member(0), (), VoterSets())
     for number in range(1, count):
-        one.peers[f"n:{number}"] = entry(number)
-    return one
+        detector.peers[f"n:{number}"] = member(number)
+    return detector
 
 
-async def spread_once(one: failure_detector.FailureDetector) -> list[tuple[str, object]]:
-    one.tell_change()
-    task = asyncio.ensure_future(one.spread())
-    while not one.link.told:
+async def disseminate_once(detector: failure_detector.FailureDetector) -> list[tuple[str, object]]:
+    detector.view.signal_change()
+    task = asyncio.ensure_future(detector.exchange.disseminate())
+    while not detector.exchange.link.sent:
         await asyncio.sleep(0)
     task.cancel()
-    told, one.link.told = one.link.told, []
-    return told
+    sent, detector.exchange.link.sent = detector.exchange.link.sent, []
+    return sent
 
 
 def test_the_digest_is_that_of_the_packed_table_after_every_change():
-    async def scene():
-        one = ring_of(9)
+    async def scenario():
+        detector = detector_of(9)
 
-        def fresh():
-            return hashlib.blake2b(codec.pack(one.table()), digest_size=8).digest()
+        def recomputed():
+            return hashlib.blake2b(codec.pack(detector.table()), digest_size=8).digest()
 
-        assert one.digest() == fresh()
-        one.take_fellow(dataclasses.replace(entry(3), serial=2))
-        assert one.digest() == fresh()
-        one.learn_record(replica_set.ReplicaSet(0, 3, replica_set.ReplicaId("n:1", "a"), ()))
-        assert one.digest() == fresh()
-        one.proposer.learn(replica_set.VoterSet(4, ("n:1", "n:2", "n:3"), ()))
-        assert one.digest() == fresh()
-        one.peers.pop("n:4", None)
-        assert one.digest() == fresh()
-        one.leave()
-        assert one.digest() == fresh()
+        assert detector.view.digest() == recomputed()
+        detector.view.merge_member(dataclasses.replace(member(3), serial=2))
+        assert detector.view.digest() == recomputed()
+        detector.learn_record(replica_set.ReplicaSet(0, 3, replica_set.ReplicaId("n:1", "a"), ()))
+        assert detector.view.digest() == recomputed()
+        detector.view.proposer.learn(replica_set.VoterSet(4, ("n:1", "n:2", "n:3"), ()))
+        assert detector.view.digest() == recomputed()
+        detector.peers.pop("n:4", None)
+        assert detector.view.digest() == recomputed()
+        detector.leave()
+        assert detector.view.digest() == recomputed()
 
-    with asyncio.Runner(loop_factory=Instant) as runner:
-        runner.run(scene())
+    with asyncio.Runner(loop_factory=ShortPauseLoop) as runner:
+        runner.run(scenario())
 
 
 def test_heartbeats_pack_no_entry_while_nothing_changes(monkeypatch):
-    async def scene():
-        one = ring_of(9)
-        one.digest()
+    async def scenario():
+        detector = detector_of(9)
+        detector.view.digest()
         packed = []
         monkeypatch.setattr(member_table.codec, "pack", lambda value: packed.append(value) or b"")
-        beat = cluster_member.Heartbeat(entry(3), one.digest())
-        assert await one.beat(beat) == replica_set.Acknowledged() and one.watched() is one.watched()
+        heartbeat = cluster_member.Heartbeat(member(3), detector.view.digest())
+        assert (
+            await detector.exchange.answer_heartbeat(heartbeat) == replica_set.Acknowledged()
+            and detector.exchange.watched() is detector.exchange.watched()
+        )
         assert packed == []
 
-    with asyncio.Runner(loop_factory=Instant) as runner:
-        runner.run(scene())
+    with asyncio.Runner(loop_factory=ShortPauseLoop) as runner:
+        runner.run(scenario())
 
 
 def test_only_what_changed_is_passed_on_and_only_once():
-    async def scene():
-        one = ring_of(12)
-        told = await spread_once(one)
-        assert len(told[0][1].table.peers) == 12
-        one.take(
+    async def scenario():
+        detector = detector_of(12)
+        sent = await disseminate_once(detector)
+        assert len(sent[0][1].table.members) == 12
+        detector.merge_table(
             cluster_member.MembershipTable(
-                (dataclasses.replace(entry(5), state=cluster_member.DOWN), entry(6)),
+                (dataclasses.replace(member(5), state=cluster_member.DOWN), member(6)),
                 (),
-                one.proposer.voter_set,
+                detector.view.proposer.voter_set,
             )
         )
-        told = await spread_once(one)
-        assert {address for address, _ in told} == {
-            *one.peers.watchers("n:0", failure_detector.WATCHERS),
-            *one.watched(),
+        sent = await disseminate_once(detector)
+        assert {address for address, _ in sent} == {
+            *detector.peers.watchers("n:0", table_exchange.WATCHERS),
+            *detector.exchange.watched(),
         }
-        for _, message in told:
-            assert message.table.peers == (one.peers["n:5"],) and message.table.records == ()
-        one.learn_record(replica_set.ReplicaSet(2, 7, replica_set.ReplicaId("n:1", "a"), ()))
-        for _, message in await spread_once(one):
-            assert message.table.peers == () and message.table.records == (one.records[2],)
+        for _, message in sent:
+            assert message.table.members == (detector.peers["n:5"],) and message.table.records == ()
+        detector.learn_record(replica_set.ReplicaSet(2, 7, replica_set.ReplicaId("n:1", "a"), ()))
+        for _, message in await disseminate_once(detector):
+            assert message.table.members == () and message.table.records == (detector.records[2],)
 
-    with asyncio.Runner(loop_factory=Instant) as runner:
-        runner.run(scene())
+    with asyncio.Runner(loop_factory=ShortPauseLoop) as runner:
+        runner.run(scenario())
 
 
 def test_a_node_that_missed_news_is_given_the_table_at_its_next_heartbeat():
-    async def scene():
-        one, other = ring_of(6), ring_of(6)
-        one.take_fellow(dataclasses.replace(entry(4), state=cluster_member.DOWN))
-        reply = await one.beat(cluster_member.Heartbeat(other.me, other.digest()))
+    async def scenario():
+        detector, other = detector_of(6), detector_of(6)
+        detector.view.merge_member(dataclasses.replace(member(4), state=cluster_member.DOWN))
+        reply = await detector.exchange.answer_heartbeat(cluster_member.Heartbeat(other.me, other.view.digest()))
         assert isinstance(reply, cluster_member.MembershipTable)
-        other.take(reply)
-        assert other.digest() == one.digest() and other.state("n:4") == cluster_member.DOWN
+        other.merge_table(reply)
+        assert other.view.digest() == detector.view.digest() and other.state("n:4") == cluster_member.DOWN
 
-    with asyncio.Runner(loop_factory=Instant) as runner:
-        runner.run(scene())
+    with asyncio.Runner(loop_factory=ShortPauseLoop) as runner:
+        runner.run(scenario())
--- a/aspencroft/membership/member_table.py
+++ b/aspencroft/membership/member_table.py
@@ -1,153 +1,158 @@
-"""The table of peers with what is worked out from it (orders, watchers, packed entries).
+"""Dictionaries that count their changes, and the table of members with what is derived from it.
 
-Each kept until it changes.
+Ring order, watchers and packed entries are each kept until the table changes.
 """
 
 import bisect
+import typing
 
 from aspencroft.membership import cluster_member
 from aspencroft.transport import codec
 
+Key = typing.TypeVar("Key")
+Value = typing.TypeVar("Value")
+NEVER_SORTED = -1
 
-class Counted(dict):
-    """A dictionary that counts its changes, so that whatever was worked out from it can be kept until the next one."""
 
-    def __init__(self):
+class ChangeCountingDict(dict[Key, Value]):
+    """A dictionary that counts its changes, so that what was derived from it can be kept until the next one."""
+
+    def __init__(self) -> None:
         super().__init__()
         self.changes = 0
-        self.touched: dict[object, None] = {}
+        self.updated_keys: dict[Key, None] = {}
 
-    def __setitem__(self, key, value):
+    def __setitem__(self, key: Key, value: Value) -> None:
         self.changes += 1
-        self.touched[key] = None
+        self.updated_keys[key] = None
         super().__setitem__(key, value)
 
-    def __delitem__(self, key):
+    def __delitem__(self, key: Key) -> None:
         super().__delitem__(key)
         self.changes += 1
 
-    def pop(self, key, *otherwise):
-        """Take an entry out."""
+    def pop(self, key: Key, *default: typing.Any) -> typing.Any:
+        """Remove an entry and return it."""
         self.changes += 1
-        return super().pop(key, *otherwise)
+        return super().pop(key, *default)
 
-    def taken(self) -> tuple:
-        """The entries that were set since this was asked last, and are still there, by their keys' order."""
-        keys, self.touched = sorted(key for key in self.touched if key in self), {}
+    def drain_updates(self) -> tuple[Value, ...]:
+        """The entries set since the last call that are still there, ordered by key."""
+        keys, self.updated_keys = sorted(key for key in self.updated_keys if key in self), {}  # type: ignore[type-var]
         return tuple(self[key] for key in keys)
 
-    def popitem(self):
-        """Not done to these tables."""
+    def popitem(self) -> typing.Any:
+        """Not supported, like each other way to change a dictionary that would go uncounted."""
         raise NotImplementedError
 
-    clear = setdefault = update = __ior__ = popitem
+    clear = setdefault = update = __ior__ = popitem  # type: ignore[assignment]
 
 
-class MemberTable(Counted):
-    """Peers by address; ``layout`` counts the changes that move anybody's place on the ring or in the tree."""
+class MemberTable(ChangeCountingDict[str, cluster_member.ClusterMember]):
+    """Members by address; ``layout`` counts the changes that move any node on the ring or in the tree."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__()
         self.layout = 0
-        self.worked_out = -1
-        self.around: list[cluster_member.ClusterMember] = []
+        self.sorted_layout = NEVER_SORTED
+        self.ring: list[cluster_member.ClusterMember] = []
         self.positions: list[int] = []
-        self.named: dict[str, tuple[str, ...]] = {}
-        self.naming: dict[str, tuple[str, ...]] | None = None
+        self.watchers_of: dict[str, tuple[str, ...]] = {}
+        self.watched_by: dict[str, tuple[str, ...]] | None = None
         self.tree: tuple[str, ...] | None = None
-        self.bytes: dict[str, tuple[cluster_member.ClusterMember, bytes]] = {}
+        self.packed_entries: dict[str, tuple[cluster_member.ClusterMember, bytes]] = {}
 
-    def __setitem__(self, address, one):
+    def __setitem__(self, address: str, member: cluster_member.ClusterMember) -> None:
         known = self.get(address)
-        if known is None or place_of(known) != place_of(one):
+        if known is None or layout_key(known) != layout_key(member):
             self.layout += 1
-        super().__setitem__(address, one)
+        super().__setitem__(address, member)
 
-    def __delitem__(self, address):
+    def __delitem__(self, address: str) -> None:
         super().__delitem__(address)
-        self.forget(address)
+        self.discard_derived(address)
 
-    def pop(self, address, *otherwise):
-        """Take a peer out."""
-        self.forget(address)
-        return super().pop(address, *otherwise)
+    def pop(self, address: str, *default: typing.Any) -> typing.Any:
+        """Remove a member and return its entry."""
+        self.discard_derived(address)
+        return super().pop(address, *default)
 
-    def forget(self, address: str) -> None:
-        """A peer's entry is gone: so is what was worked out from it."""
+    def discard_derived(self, address: str) -> None:
+        """Drop what was derived from an entry that is removed."""
         self.layout += 1
-        self.bytes.pop(address, None)
+        self.packed_entries.pop(address, None)
 
-    def work_out(self) -> None:
-        """Order the ring anew, if anybody's place changed since."""
-        if self.worked_out == self.layout:
+    def sort_ring(self) -> None:
+        """Sort the ring again if any node moved on it since."""
+        if self.sorted_layout == self.layout:
             return
-        self.around = sorted(
-            (one for one in self.values() if one.state != cluster_member.DOWN),
-            key=lambda one: cluster_member.position(one.address),
+        self.ring = sorted(
+            (member for member in self.values() if member.state != cluster_member.DOWN),
+            key=lambda member: cluster_member.position(member.address),
         )
-        self.positions = [cluster_member.position(one.address) for one in self.around]
-        self.named, self.naming, self.tree = {}, None, None
-        self.worked_out = self.layout
+        self.positions = [cluster_member.position(member.address) for member in self.ring]
+        self.watchers_of, self.watched_by, self.tree = {}, None, None
+        self.sorted_layout = self.layout
 
     def live(self) -> tuple[str, ...]:
-        """Addresses of the peers that are not thought to be down, in ring order."""
-        self.work_out()
-        return tuple(one.address for one in self.around)
-
-    def watchers(self, of: str, count: int) -> tuple[str, ...]:
-        """The same as ``peer.watchers``, without ordering the ring for each question."""
-        self.work_out()
-        if of not in self.named:
-            start = bisect.bisect_left(self.positions, cluster_member.position(of))
-            self.named[of] = named_from(of, self.around, start, count)
-        return self.named[of]
-
-    def watched(self, by: str, count: int) -> tuple[str, ...]:
-        """The peers that name one as a watcher, in ring order."""
-        self.work_out()
-        if self.naming is None:
+        """Addresses of the members that are not down, in ring order."""
+        self.sort_ring()
+        return tuple(member.address for member in self.ring)
+
+    def watchers(self, address: str, count: int) -> tuple[str, ...]:
+        """The members that watch a node; the same as ``cluster_member.watchers``."""
+        self.sort_ring()
+        if address not in self.watchers_of:
+            start = bisect.bisect_left(self.positions, cluster_member.position(address))
+            self.watchers_of[address] = select_watchers(address, self.ring, start, count)
+        return self.watchers_of[address]
+
+    def watched(self, watcher: str, count: int) -> tuple[str, ...]:
+        """The members that a node watches, in ring order."""
+        self.sort_ring()
+        if self.watched_by is None:
             found: dict[str, list[str]] = {}
-            for one in self.around:
-                for name in self.watchers(one.address, count):
-                    found.setdefault(name, []).append(one.address)
-            self.naming = {name: tuple(row) for name, row in found.items()}
-        return self.naming.get(by, ())
+            for member in self.ring:
+                for name in self.watchers(member.address, count):
+                    found.setdefault(name, []).append(member.address)
+            self.watched_by = {name: tuple(addresses) for name, addresses in found.items()}
+        return self.watched_by.get(watcher, ())
 
     def tree_order(self) -> tuple[str, ...]:
-        """Live peers in the order that spans the relay tree: the core first, then by place on the ring."""
-        self.work_out()
+        """Live members in the order that spans the dissemination tree: cores first, then by ring position."""
+        self.sort_ring()
         if self.tree is None:
-            self.tree = tuple(one.address for one in sorted(self.around, key=lambda one: one.role != "core"))
+            self.tree = tuple(member.address for member in sorted(self.ring, key=lambda member: member.role != "core"))
         return self.tree
 
     def packed(self, address: str) -> bytes:
-        """An entry's bytes, as in a packed table."""
-        one = self[address]
-        held = self.bytes.get(address)
-        if held is None or held[0] is not one:
-            held = self.bytes[address] = (one, codec.pack(one))
-        return held[1]
+        """A member's encoded entry, as in a packed table."""
+        member = self[address]
+        cached = self.packed_entries.get(address)
+        if cached is None or cached[0] is not member:
+            cached = self.packed_entries[address] = (member, codec.pack(member))
+        return cached[1]
 
 
-def place_of(one: cluster_member.ClusterMember) -> tuple:
-    """What of an entry others' places depend on."""
-    return one.state == cluster_member.DOWN, one.area, one.role
+def layout_key(member: cluster_member.ClusterMember) -> tuple[bool, str, str]:
+    """The fields of an entry on which ring, watchers and tree depend."""
+    return member.state == cluster_member.DOWN, member.area, member.role
 
 
-def named_from(of: str, around: list[cluster_member.ClusterMember], start: int, count: int) -> tuple[str, ...]:
-    """The next peers on the ring from a place on: those of areas not named yet first, then any."""
+def select_watchers(address: str, ring: list[cluster_member.ClusterMember], start: int, count: int) -> tuple[str, ...]:
+    """The successors on the ring from an index on: those in areas not named yet first, then any."""
     named: list[str] = []
-    passed: list[str] = []
+    passed_over: list[str] = []
     areas: set[str] = set()
-    for step in range(len(around)):
-        one = around[(start + step) % len(around)]
-        if one.address == of:
+    for step in range(len(ring)):
+        member = ring[(start + step) % len(ring)]
+        if member.address == address:
             continue
-        if one.area in areas:
-            passed.append(one.address)
+        if member.area in areas:
+            passed_over.append(member.address)
             continue
-        areas.add(one.area)
-        named.append(one.address)
+        areas.add(member.area)
+        named.append(member.address)
         if len(named) == count:
             return tuple(named)
-    return tuple((named + passed)[:count])
+    return tuple((named + passed_over)[:count])
--- /dev/null
+++ b/aspencroft/membership/suspicion.py
@@ -0,0 +1,102 @@
+"""Suspicion: a silent member is down only once a probe fails and a second watcher misses it too."""
+
+import logbook
+
+from aspencroft.errors import result
+from aspencroft.membership import cluster_member, membership_view, table_exchange
+from aspencroft.runtime import clock, supervision
+from aspencroft.transport import connections
+
+LOG = logbook.Logger("membership.suspicion")
+SUSPICION_TIMEOUT = clock.seconds(2)  # four heartbeats missed
+SECOND_WATCHER_TIMEOUT = clock.seconds(1.2)  # shorter, as the second watcher began to miss heartbeats a little later
+FORGET_DOWN_AFTER = clock.seconds(300)
+
+
+class SuspicionMonitor:
+    """Watches the members that the ring assigns to this node, and confirms suspicions of other watchers."""
+
+    def __init__(
+        self,
+        link: connections.Link,
+        view: membership_view.MembershipView,
+        exchange: table_exchange.TableExchange,
+    ) -> None:
+        self.link = link
+        self.view = view
+        self.exchange = exchange
+
+    async def answer_confirm_suspicion(self, message: cluster_member.ConfirmSuspicion) -> cluster_member.SuspicionReply:
+        """Answer as second watcher whether a member is missed here too."""
+        last_heard = self.view.last_heard.get(message.address)
+        if last_heard is not None and clock.now() - last_heard < SECOND_WATCHER_TIMEOUT:
+            return cluster_member.SuspicionReply(False)
+        return cluster_member.SuspicionReply(not await self.exchange.probe(message.address))
+
+    async def watch(self) -> None:
+        """Suspect silent members, twice a heartbeat interval, and forget those that are down for long."""
+        previous = clock.now()
+        while True:
+            await clock.sleep(table_exchange.HEARTBEAT_INTERVAL / 2)
+            now = clock.now()
+            if now - previous > SUSPICION_TIMEOUT / 2:
+                # This process itself stood still: the silence says nothing about others.
+                self.view.last_heard = dict.fromkeys(self.view.last_heard, now)
+            previous = now
+            silent = [
+                address
+                for address in self.exchange.watched()
+                if now - self.view.last_heard.setdefault(address, now) > SUSPICION_TIMEOUT
+            ]
+            if silent:
+                async with supervision.Group() as group:
+                    for address in silent:
+                        group.create_task(self.suspect(address))
+            self.view.forget_down_before(now - FORGET_DOWN_AFTER)
+
+    async def suspect(self, address: str) -> None:
+        """Probe a silent member and ask a second watcher; mark it down if it is missed there too."""
+        suspected = self.view.members[address]
+        self.view.counts["suspicions"] += 1
+        LOG.info(
+            "member {} (incarnation {}) is suspected: no heartbeat for more than {:g} s",
+            address,
+            suspected.incarnation,
+            SUSPICION_TIMEOUT.total_seconds(),
+        )
+        if await self.exchange.probe(address):
+            LOG.info("suspicion of {} is denied: it answers a probe", address)
+            return
+        confirmed_by = await self.ask_second_watcher(suspected)
+        if confirmed_by is None:
+            return
+        # The entry may have changed during the requests above; only the one that was suspected is marked down.
+        if self.view.members.get(address) == suspected:
+            self.view.counts["confirmed"] += 1
+            LOG.info(
+                "member {} (incarnation {}) is down: suspicion confirmed by {}",
+                address,
+                suspected.incarnation,
+                confirmed_by or "no other watcher, as none could be asked",
+            )
+            self.view.mark_down(suspected)
+
+    async def ask_second_watcher(self, suspected: cluster_member.ClusterMember) -> str | None:
+        """The watcher that confirms the suspicion, "" if none answers; None if one denies it."""
+        address = suspected.address
+        for watcher in self.view.members.watchers(address, table_exchange.WATCHERS):
+            if watcher == self.view.me.address:
+                continue
+            try:
+                reply = await self.link.request(
+                    watcher,
+                    cluster_member.ConfirmSuspicion(address, suspected.incarnation),
+                    2 * table_exchange.PROBE_TIMEOUT,
+                )
+            except result.RequestError:
+                continue
+            if not reply.missing:
+                LOG.info("suspicion of {} is denied: {} hears from it", address, watcher)
+                return None
+            return watcher
+        return ""
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -239,18 +239,18 @@
         """Answer a message of another node."""
         match message:
             case cluster_member.Heartbeat():
-                return await self.failure_detector.beat(message)
+                return await self.failure_detector.exchange.answer_heartbeat(message)
             case updates.Pull():
                 return self.relay.answer_pull(message, self.is_root())
             case updates.FetchConfiguration():
                 return self.relay.answer_fetch(message)
             case cluster_member.Join():
-                return self.failure_detector.join(message)
+                return self.failure_detector.exchange.answer_join(message)
             case updates.Push():
                 self.relay.hurry.set()
                 return replica_set.Acknowledged()
             case cluster_member.ConfirmSuspicion():
-                return await self.failure_detector.confirm(message)
+                return await self.failure_detector.suspicion.answer_confirm_suspicion(message)
             case replication_messages.Append():
                 return await self.group_replica(message.record.group_id).append(message)
             case replication_messages.Submit():
@@ -711,7 +711,7 @@
                     "http": one.http,
                     "disk": one.disk,
                 }
-                for one in self.failure_detector.table().peers
+                for one in self.failure_detector.table().members
             ],
             "holders": {
                 str(group_id): {
--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -9,7 +9,7 @@
 
 from aspencroft.consensus import proposer, witness
 from aspencroft.distribution import relay
-from aspencroft.membership import failure_detector
+from aspencroft.membership import suspicion, table_exchange
 from aspencroft.replication import backup, group_replica, group_state, log_shipping, primary
 from aspencroft.runtime import clock
 from aspencroft.transport import connections
@@ -113,8 +113,8 @@
 ) -> Times:
     """The times that the modules use, with those that settings decide."""
     return Times(
-        heartbeat=failure_detector.BEAT,
-        silence=failure_detector.SILENCE,
+        heartbeat=table_exchange.HEARTBEAT_INTERVAL,
+        silence=suspicion.SUSPICION_TIMEOUT,
         lease=witness.LEASE,
         lease_margin=witness.LEASE_MARGIN,
         renewal=primary.RENEW,
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -902,7 +902,9 @@
         "distribution/relay.py",
         ' if len(whole.body) <= configuration_transfer.PART_BYTES else ""\n',
         "\n",
-        ("distribution/plan_transfer_test.py::test_a_child_that_was_away_for_any_number_of_changes_catches_up",),
+        (
+            "distribution/configuration_transfer_test.py::test_a_child_that_was_away_for_any_number_of_changes_catches_up",
+        ),
     ),
     Mutation(
         "a step is taken upon whatever plan is held",
@@ -910,7 +912,7 @@
         " or (one.base is not None and one.base != known):",
         ":",
         (
-            "distribution/plan_transfer_test.py::test_a_relay_with_a_gap_in_its_steps_gives_the_whole_and_no_step_is_taken_twice",
+            "distribution/configuration_transfer_test.py::test_a_relay_with_a_gap_in_its_steps_gives_the_whole_and_no_step_is_taken_twice",
         ),
     ),
     Mutation(
@@ -918,7 +920,7 @@
         "distribution/configuration_transfer.py",
         "        if part.digest != self.digest:\n",
         "        if self.digest == NO_DIGEST:\n",
-        ("distribution/plan_transfer_test.py::test_parts_of_two_plans_are_not_mixed",),
+        ("distribution/configuration_transfer_test.py::test_parts_of_two_plans_are_not_mixed",),
     ),
     Mutation(
         "a repeat under another condition is known again",
@@ -969,8 +971,8 @@
     ),
     Mutation(
         "nodes do not knock at seeds that they do not know to be live",
-        "membership/failure_detector.py",
-        "for address in (*self.seeds, *self.proposer.voter_set.everyone())\n",
+        "membership/table_exchange.py",
+        "for address in (*self.seeds, *view.proposer.voter_set.everyone())\n",
         "for address in ()\n",
         ("membership/seeds_test.py",),
     ),
@@ -1109,7 +1111,9 @@
         "distribution/relay.py",
         "        if place != self.revision:\n            whole",
         "        if not row:\n            whole",
-        ("distribution/plan_transfer_test.py::test_a_child_that_was_away_for_any_number_of_changes_catches_up",),
+        (
+            "distribution/configuration_transfer_test.py::test_a_child_that_was_away_for_any_number_of_changes_catches_up",
+        ),
     ),
     Mutation(
         "a primary that fails acknowledges what it could not write",
