--- a/aspencroft/node/status.py
+++ b/aspencroft/node/status.py
@@ -99,7 +99,7 @@
                 "http": member.http,
                 "disk": member.disk,
             }
-            for member in self.node.failure_detector.table().peers
+            for member in self.node.failure_detector.table().members
         ]
 
     def groups(self) -> dict:
