--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -42,9 +42,9 @@
     """Heartbeats, joins and suspicions."""
     detector = node.failure_detector
     return {
-        cluster_member.Heartbeat: detector.beat,
-        cluster_member.Join: answered_at_once(detector.join),
-        cluster_member.ConfirmSuspicion: detector.confirm,
+        cluster_member.Heartbeat: detector.exchange.answer_heartbeat,
+        cluster_member.Join: answered_at_once(detector.exchange.answer_join),
+        cluster_member.ConfirmSuspicion: detector.suspicion.answer_confirm_suspicion,
     }
 
 
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -32,7 +32,7 @@
     return types.SimpleNamespace(
         address="edge:1",
         environment=around,
-        sampled=[],
+        sample_sources=[],
         stopping=asyncio.Event(),
         settings=types.SimpleNamespace(group_count=2, talk_pairs=1, area="north", address="edge:1"),
         relay=types.SimpleNamespace(
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -256,7 +256,7 @@
         own = types.SimpleNamespace(
             address=name,
             environment=around,
-            sampled=[],
+            sample_sources=[],
             stopping=asyncio.Event(),
             standing=None,
             settings=types.SimpleNamespace(
