--- a/aspencroft/alerts/alerts.py
+++ b/aspencroft/alerts/alerts.py
@@ -69,7 +69,7 @@
     async def hear(self) -> None:
         """Take samples from nodes."""
         while True:
-            message = await self.duty.words.get()
+            message = await self.duty.inbox.get()
             if isinstance(message, sample.Sampled) and (message.node in self.heard or len(self.heard) < MOST_NODES):
                 self.heard[message.node] = (clock.now(), message.samples)
 
@@ -77,7 +77,7 @@
         """One step a second while the duty is held."""
         while True:
             await clock.sleep(STEP)
-            if not self.duty.held():
+            if not self.duty.has_lease():
                 self.held = False
                 continue
             now = clock.now()
--- a/aspencroft/benchmarks/catchup.py
+++ b/aspencroft/benchmarks/catchup.py
@@ -147,7 +147,7 @@
     for number in range(1, changes + 2):
         for event in view.decide(orders(routes, number), clock.now(), 1)[0]:
             view.apply(event)
-        link.parent.take_committed(view.read_plan(link.parent.revision))
+        link.parent.apply_committed(view.read_plan(link.parent.revision))
         if number == 1:
             await child.pull("a:1")
             link.sizes.clear()
--- a/aspencroft/benchmarks/configuration_changes.py
+++ b/aspencroft/benchmarks/configuration_changes.py
@@ -69,7 +69,7 @@
     held = relay.Relay(None, node, clock.seconds(4))
     held.push = lambda: None
     tracemalloc.start()
-    span, _ = timed(lambda: held.take_committed(view.read_plan(control_state.NEVER)))
+    span, _ = timed(lambda: held.apply_committed(view.read_plan(control_state.NEVER)))
     found["node's memory MB"] = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     asked = [
@@ -87,7 +87,7 @@
         decided += timed(lambda: taken(view, command))[0]
         span, shown = timed(lambda: view.read_plan(held.revision))
         read += span
-        learned += timed(lambda: held.take_committed(shown))[0]
+        learned += timed(lambda: held.apply_committed(shown))[0]
         assert held.configuration.version == number + 2 and held.configuration.http_routes[one.name].rank == number + 1
     found.update(
         {
--- /dev/null
+++ b/aspencroft/distribution/configuration_state.py
@@ -0,0 +1,140 @@
+"""The configuration and the other topics that a node holds, and what brings another node up to date."""
+
+import asyncio
+import json
+import typing
+
+import logbook
+
+from aspencroft.configuration import control_state, resources
+from aspencroft.distribution import configuration_transfer, updates
+from aspencroft.errors import result
+
+LOG = logbook.Logger("distribution.configuration_state")
+PATCHES_KEPT = 64  # a child that is further behind gets the complete configuration
+PATCH_BYTES_PER_MESSAGE = 256 << 10
+
+Document = dict[str, typing.Any]
+
+
+class ConfigurationState:
+    """The configuration under its revision, the patches that led to it, and the newest update of each other topic.
+
+    ``counts`` is where "news" and "whole plans" are counted.
+    """
+
+    def __init__(self, address: str, counts: dict[str, int]) -> None:
+        self.address = address
+        self.counts = counts
+        self.topics: dict[str, updates.Update] = {}
+        self.patches: dict[control_state.Revision, updates.Update] = {}
+        self.complete = configuration_transfer.CompleteConfigurations()
+        self.document: Document = {}
+        self.revisions: dict[str, str] = {}
+        self.configuration = resources.of({})
+        self.revision = control_state.NEVER
+        self.changes: dict[str, asyncio.Event] = {}
+
+    def apply(self, update: updates.Update) -> bool:
+        """Apply a topic's newer state; whether it was applied. A patch upon another base than the one held is not."""
+        held = self.topics.get(update.topic)
+        known = self.revision if update.topic == updates.PLAN else held.revision if held else control_state.NEVER
+        if not known < update.revision:
+            return False
+        if update.base is not None and update.base != known:
+            LOG.info(
+                "{} rejected {} revision {}: it is a patch upon {}, but {} is held",
+                self.address,
+                update.topic,
+                update.revision.text(),
+                update.base.text(),
+                known.text(),
+            )
+            return False
+        if update.topic == updates.PLAN and not update.body:
+            return False
+        if update.topic == updates.PLAN:
+            self.apply_configuration(update)
+        else:
+            self.topics[update.topic] = update
+        self.counts["news"] += 1
+        self.changes.pop(update.topic, asyncio.Event()).set()
+        return True
+
+    def apply_configuration(self, update: updates.Update) -> None:
+        """Apply a complete configuration, or a patch upon the one held."""
+        content = json.loads(update.body)
+        if update.base is not None:
+            patch = content.get("plan", {})
+            content = resources.merge(self.content(), content)
+            configuration = resources.after(self.configuration, content["plan"], patch, content["version"])
+            self.patches[update.base] = update
+        else:
+            configuration = resources.of(content["plan"], content["version"])
+            self.counts["whole plans"] += 1
+        self.document, self.revisions, self.configuration = content["plan"], content["revisions"], configuration
+        self.revision = update.revision
+        while len(self.patches) > PATCHES_KEPT:
+            del self.patches[next(iter(self.patches))]
+        LOG.info(
+            "{} applied configuration: revision {}, version {}, {}",
+            self.address,
+            update.revision.text(),
+            configuration.version,
+            "complete" if update.base is None else f"patch upon {update.base.text()}",
+        )
+
+    def update_to(self, read: control_state.ResourcesRead) -> updates.Update | None:
+        """The update that leads from the configuration held to what the control group holds; None if it gave none."""
+        if not read.document:
+            return None
+        if self.revision == control_state.NEVER:
+            return updates.Update(updates.PLAN, read.revision, None, read.document)
+        content = json.loads(read.document)
+        patch = {
+            "plan": resources.patch_between(self.document, content["plan"]),
+            "revisions": resources.patch_between(self.revisions, content["revisions"]),
+            "version": content["version"],
+        }
+        return updates.Update(updates.PLAN, read.revision, self.revision, json.dumps(patch))
+
+    async def wait_for_change(self, topic: str) -> None:
+        """Wait until a topic changes."""
+        await self.changes.setdefault(topic, asyncio.Event()).wait()
+
+    def content(self) -> Document:
+        """The complete configuration as it is given to others."""
+        return {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}
+
+    def pending_updates(self, known: control_state.Revision) -> tuple[updates.Update, ...]:
+        """What brings a node from the revision it knows to the one held: consecutive patches, or the complete one.
+
+        As many patches as one message may have. A complete configuration that is too large for one message is only
+        named, and fetched in chunks.
+        """
+        if not known < self.revision:
+            return ()
+        patches, reached, size = [], known, 0
+        while reached != self.revision and reached in self.patches:
+            patches.append(self.patches[reached])
+            reached = self.patches[reached].revision
+        if reached != self.revision:
+            complete = self.complete.newest(self.revision, self.content())
+            body = complete.body.decode() if len(complete.body) <= configuration_transfer.CHUNK_BYTES else ""
+            return (updates.Update(updates.PLAN, self.revision, None, body),)
+        for count, patch in enumerate(patches):
+            size += len(patch.body)
+            if count and size > PATCH_BYTES_PER_MESSAGE:
+                return tuple(patches[:count])
+        return tuple(patches)
+
+    def next_chunk(self, message: updates.FetchConfiguration) -> updates.ConfigurationChunk:
+        """The next chunk of a complete configuration.
+
+        Raises:
+            result.RequestError: NO_CLAIM, while no configuration is held.
+
+        """
+        if self.revision == control_state.NEVER:
+            raise result.RequestError(result.ResultCode.NO_CLAIM, detail="no plan is held here yet")
+        return self.complete.chunk(message, self.revision, self.content())
--- a/aspencroft/distribution/configuration_transfer.py
+++ b/aspencroft/distribution/configuration_transfer.py
@@ -1,81 +1,97 @@
-"""A whole plan in bounded parts, for a node that is further behind than the steps that its parent keeps."""
+"""A complete configuration in bounded chunks, for a node that is further behind than the patches its parent keeps."""
 
 import dataclasses
 import datetime
 import hashlib
 import json
+import typing
+
+import logbook
 
 from aspencroft.configuration import control_state
 from aspencroft.distribution import updates
 from aspencroft.runtime import clock
 
-PART_BYTES = 128 << 10
-KEPT_UNUSED = clock.seconds(5)
+LOG = logbook.Logger("distribution.configuration_transfer")
+CHUNK_BYTES = 128 << 10
+KEEP_UNUSED_FOR = clock.seconds(5)  # a child whose fetch failed comes back to it by then
 NO_DIGEST = b""
 
+Document = dict[str, typing.Any]
+
 
 @dataclasses.dataclass
-class WholePlan:
-    """An encoded plan and when it was last asked for."""
+class EncodedConfiguration:
+    """An encoded configuration and when a chunk of it was last asked for."""
 
     revision: control_state.Revision
     digest: bytes
     body: bytes
-    used: datetime.timedelta
+    last_used: datetime.timedelta
+
+
+def body_digest(body: bytes) -> bytes:
+    """What names an encoded configuration."""
+    return hashlib.blake2b(body, digest_size=16).digest()
 
 
 class CompleteConfigurations:
-    """The parent's side: encoded plans, each kept for as long as somebody fetches it."""
+    """The parent's side: encoded configurations, each kept for as long as a child fetches it."""
 
-    def __init__(self):
-        self.plans: dict[bytes, WholePlan] = {}
+    def __init__(self) -> None:
+        self.encoded: dict[bytes, EncodedConfiguration] = {}
 
-    def newest(self, revision: control_state.Revision, shown: dict) -> WholePlan:
-        """The plan of a revision, encoded once."""
+    def newest(self, revision: control_state.Revision, content: Document) -> EncodedConfiguration:
+        """The configuration of a revision, encoded once."""
         now = clock.now()
-        for one in self.plans.values():
-            if one.revision == revision:
-                one.used = now
-                return one
-        self.plans = {digest: one for digest, one in self.plans.items() if now - one.used < KEPT_UNUSED}
-        body = json.dumps(shown).encode()
-        fresh = WholePlan(revision, hashlib.blake2b(body, digest_size=16).digest(), body, now)
-        self.plans[fresh.digest] = fresh
-        return fresh
-
-    def part(
-        self, message: updates.FetchConfiguration, revision: control_state.Revision, shown: dict
+        for configuration in self.encoded.values():
+            if configuration.revision == revision:
+                configuration.last_used = now
+                return configuration
+        self.encoded = {
+            digest: configuration
+            for digest, configuration in self.encoded.items()
+            if now - configuration.last_used < KEEP_UNUSED_FOR
+        }
+        body = json.dumps(content).encode()
+        encoded = EncodedConfiguration(revision, body_digest(body), body, now)
+        self.encoded[encoded.digest] = encoded
+        return encoded
+
+    def chunk(
+        self, message: updates.FetchConfiguration, revision: control_state.Revision, content: Document
     ) -> updates.ConfigurationChunk:
-        """The next part of the plan that a child fetches; of the newest from its start where that one is not kept."""
-        whole, offset = self.plans.get(message.digest), message.offset
-        if whole is None or offset > len(whole.body):
-            whole, offset = self.newest(revision, shown), 0
-        whole.used = clock.now()
-        body = whole.body[offset : offset + PART_BYTES]
-        return updates.ConfigurationChunk(whole.revision, whole.digest, offset, len(whole.body), body)
+        """The next chunk of what a child fetches; the first of the newest configuration if that is not kept."""
+        encoded, offset = self.encoded.get(message.digest), message.offset
+        if encoded is None or offset > len(encoded.body):
+            encoded, offset = self.newest(revision, content), 0
+        encoded.last_used = clock.now()
+        body = encoded.body[offset : offset + CHUNK_BYTES]
+        return updates.ConfigurationChunk(encoded.revision, encoded.digest, offset, len(encoded.body), body)
 
 
 class PartialConfiguration:
-    """The child's side: what came of a plan so far; kept when the parent fails, for the next try."""
+    """The child's side: the chunks received so far; kept when the parent fails, for the next attempt."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.digest = NO_DIGEST
         self.body = bytearray()
 
-    def next_part(self) -> updates.FetchConfiguration:
-        """What to ask for."""
+    def next_request(self) -> updates.FetchConfiguration:
+        """The request for the next chunk."""
         return updates.FetchConfiguration(self.digest, len(self.body))
 
-    def take(self, part: updates.ConfigurationChunk) -> updates.Update | None:
-        """Add a part; the plan once it is whole, none before."""
-        if part.digest != self.digest:
-            self.digest, self.body = part.digest, bytearray()
-        if part.offset == len(self.body):
-            self.body += part.body
-        if len(self.body) < part.size:
+    def add(self, chunk: updates.ConfigurationChunk) -> updates.Update | None:
+        """Add a chunk; the configuration once it is complete, None before."""
+        if chunk.digest != self.digest:
+            self.digest, self.body = chunk.digest, bytearray()
+        if chunk.offset == len(self.body):
+            self.body += chunk.body
+        if len(self.body) < chunk.size:
             return None
         body, digest = bytes(self.body), self.digest
         self.digest, self.body = NO_DIGEST, bytearray()
-        if hashlib.blake2b(body, digest_size=16).digest() != digest:
+        if body_digest(body) != digest:
+            LOG.info("rejected configuration: revision {}, its digest does not match", chunk.revision.text())
             return None
-        return updates.Update(updates.PLAN, part.revision, None, body.decode())
+        return updates.Update(updates.PLAN, chunk.revision, None, body.decode())
--- a/aspencroft/distribution/configuration_transfer_test.py
+++ b/aspencroft/distribution/configuration_transfer_test.py
@@ -6,7 +6,7 @@
 import pytest
 
 from aspencroft.configuration import control_state
-from aspencroft.distribution import configuration_transfer, relay, updates
+from aspencroft.distribution import configuration_state, configuration_transfer, relay, updates
 from aspencroft.errors import result
 from aspencroft.runtime import clock
 from aspencroft.simulation import loop
@@ -21,7 +21,7 @@
     def __init__(self):
         self.relays: dict[str, relay.Relay] = {}
         self.sizes: list[int] = []
-        self.parts = 0
+        self.chunks = 0
         self.broken_at = -1
         self.between = lambda: None
 
@@ -32,8 +32,8 @@
         await clock.sleep(clock.seconds(0.01))
         parent = self.relays[address]
         if isinstance(message, updates.FetchConfiguration):
-            self.parts += 1
-            if self.parts == self.broken_at:
+            self.chunks += 1
+            if self.chunks == self.broken_at:
                 raise result.RequestError(result.ResultCode.UNREACHABLE)
             reply = parent.answer_fetch(message)
             self.between()
@@ -58,15 +58,15 @@
     return updates.Update(updates.PLAN, control_state.Revision(1, number), None, body)
 
 
-def change(one: relay.Relay, size: int = 1) -> None:
+def change(node: relay.Relay, size: int = 1) -> None:
     """The next change at a relay, which adds a number of services."""
-    number = one.revision.number + 1
+    number = node.revision.number + 1
     patch = json.dumps({"plan": plan_of(size, f"-{number}"), "revisions": {}, "version": number})
-    one.learn(updates.Update(updates.PLAN, control_state.Revision(1, number), one.revision, patch))
+    node.apply_update(updates.Update(updates.PLAN, control_state.Revision(1, number), node.revision, patch))
 
 
-def run(scene) -> None:
-    loop.SimLoop().run_until_complete(scene())
+def run(scenario) -> None:
+    loop.SimLoop().run_until_complete(scenario())
 
 
 async def caught_up(child: relay.Relay, parent: str, most: int = 200) -> int:
@@ -84,102 +84,102 @@
     [(1, 40), (63, 40), (64, 40), (65, 40), (66, 40), (500, 40), (2000, 40), (64, 10_000), (66, 10_000)],
 )
 def test_a_child_that_was_away_for_any_number_of_changes_catches_up(away, routes):
-    async def scene():
+    async def scenario():
         link = Link()
         parent, child = relay_of(link, "a:1"), relay_of(link, "b:1")
-        for one in (parent, child):
-            one.learn(whole(1, plan_of(routes)))
+        for node in (parent, child):
+            node.apply_update(whole(1, plan_of(routes)))
         for _ in range(away):
             change(parent)
         assert await caught_up(child, "a:1") <= 3
-        assert child.counts["whole plans"] == (1 if away <= relay.DELTAS else 2)
+        assert child.counts["whole plans"] == (1 if away <= configuration_state.PATCHES_KEPT else 2)
         assert max(link.sizes) < LARGEST_MESSAGE
 
-    run(scene)
+    run(scenario)
 
 
 def test_large_steps_go_in_several_messages():
-    async def scene():
+    async def scenario():
         link = Link()
         parent, child = relay_of(link, "a:1"), relay_of(link, "b:1")
-        for one in (parent, child):
-            one.learn(whole(1, plan_of(10)))
+        for node in (parent, child):
+            node.apply_update(whole(1, plan_of(10)))
         for _ in range(60):
             change(parent, 500)
         assert 3 < await caught_up(child, "a:1") < 20
         assert child.counts["whole plans"] == 1 and max(link.sizes) < LARGEST_MESSAGE
 
-    run(scene)
+    run(scenario)
 
 
 def test_a_plan_that_changes_while_it_is_fetched_is_fetched_to_its_end():
-    async def scene():
+    async def scenario():
         link = Link()
         parent, child = relay_of(link, "a:1"), relay_of(link, "b:1")
-        parent.learn(whole(1, plan_of(20_000)))
-        size = len(json.dumps(parent.shown()))
+        parent.apply_update(whole(1, plan_of(20_000)))
+        size = len(json.dumps(parent.state.content()))
         link.between = lambda: change(parent)
         await child.pull("a:1")
         assert child.revision == control_state.Revision(1, 1)
-        assert link.parts == -(-size // configuration_transfer.PART_BYTES) > 4
+        assert link.chunks == -(-size // configuration_transfer.CHUNK_BYTES) > 4
         link.between = lambda: None
         await caught_up(child, "a:1")
         assert child.counts["whole plans"] == 1
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize("broken", range(1, 7))
 def test_a_broken_fetch_goes_on_with_another_parent(broken):
-    async def scene():
+    async def scenario():
         link = Link()
         first, second, child = relay_of(link, "a:1"), relay_of(link, "c:1"), relay_of(link, "b:1")
-        for one in (first, second):
-            one.learn(whole(1, plan_of(20_000)))
-        size = len(json.dumps(first.shown()))
+        for node in (first, second):
+            node.apply_update(whole(1, plan_of(20_000)))
+        size = len(json.dumps(first.state.content()))
         link.broken_at = broken
         await child.pull("a:1")
-        assert child.revision == control_state.NEVER and "a:1" in child.shunned
+        assert child.revision == control_state.NEVER and "a:1" in child.parents.avoided_until
         await child.pull("c:1")
         assert child.revision == first.revision and child.document == first.document
-        assert link.parts == -(-size // configuration_transfer.PART_BYTES) + 1
+        assert link.chunks == -(-size // configuration_transfer.CHUNK_BYTES) + 1
 
-    run(scene)
+    run(scenario)
 
 
 def test_parts_of_two_plans_are_not_mixed():
-    async def scene():
+    async def scenario():
         link = Link()
         first, second, child = relay_of(link, "a:1"), relay_of(link, "c:1"), relay_of(link, "b:1")
-        first.learn(whole(1, plan_of(20_000)))
-        second.learn(whole(2, plan_of(20_000, "-other")))
+        first.apply_update(whole(1, plan_of(20_000)))
+        second.apply_update(whole(2, plan_of(20_000, "-other")))
         link.broken_at = 4
         await child.pull("a:1")
         await child.pull("c:1")
         assert child.revision == second.revision and child.document == second.document
 
-    run(scene)
+    run(scenario)
 
 
 def test_a_relay_with_a_gap_in_its_steps_gives_the_whole_and_no_step_is_taken_twice():
-    async def scene():
+    async def scenario():
         link = Link()
         source, parent, child = relay_of(link, "s:1"), relay_of(link, "a:1"), relay_of(link, "b:1")
-        for one in (source, parent, child):
-            one.learn(whole(1, plan_of(10)))
+        for node in (source, parent, child):
+            node.apply_update(whole(1, plan_of(10)))
         change(source)
-        parent.learn(source.deltas[control_state.Revision(1, 1)])
+        parent.apply_update(source.state.patches[control_state.Revision(1, 1)])
         for _ in range(3):
             change(source)
-        latest = source.deltas[control_state.Revision(1, 4)]
-        assert not parent.learn(latest) and parent.revision == control_state.Revision(1, 2)
-        parent.learn(whole(source.revision.number, source.document))
+        latest = source.state.patches[control_state.Revision(1, 4)]
+        assert not parent.apply_update(latest) and parent.revision == control_state.Revision(1, 2)
+        parent.apply_update(whole(source.revision.number, source.document))
         change(source)
-        parent.learn(source.deltas[parent.revision])
+        parent.apply_update(source.state.patches[parent.revision])
         assert parent.revision == source.revision
-        news = parent.pending_updates(child.revision)
-        assert [one.base for one in news] == [None]
+        pending = parent.state.pending_updates(child.revision)
+        assert [update.base for update in pending] == [None]
         await caught_up(child, "a:1")
-        assert child.document == source.document and not child.learn(latest)
+        assert child.document == source.document and not child.apply_update(latest)
 
-    run(scene)
+    run(scenario)
--- a/aspencroft/distribution/parent_test.py
+++ b/aspencroft/distribution/parent_test.py
@@ -7,7 +7,7 @@
 
 from aspencroft.configuration import control_state
 from aspencroft.consensus import replica_set
-from aspencroft.distribution import relay, updates
+from aspencroft.distribution import parent_selection, relay, timing, updates
 from aspencroft.errors import result
 from aspencroft.runtime import clock
 from aspencroft.simulation import loop
@@ -36,7 +36,7 @@
         pass
 
 
-def made(address: str, answers: Answers, root: str = ROOT) -> relay.Relay:
+def relay_of(address: str, answers: Answers, root: str = ROOT) -> relay.Relay:
     record = types.SimpleNamespace(primary=replica_set.ReplicaId(root, "1"), epoch=1)
     members = types.SimpleNamespace(
         me=types.SimpleNamespace(address=address),
@@ -51,85 +51,87 @@
 
 
 def test_while_the_usual_parent_is_left_out_the_root_is_asked_and_then_another_core():
-    async def acts() -> None:
-        one = made("edge-19:1", Answers({}))
-        usual = one.parent()
-        assert usual == relay.parent_of("edge-19:1", ROOT, ORDER) and usual.startswith("edge")
-        one.leave_out(usual)
-        assert one.parent() == ROOT and one.parent_depth == 0
-        one.leave_out(ROOT)
-        assert one.parent() == ORDER[1] and one.parent_depth == 1
+    async def scenario() -> None:
+        node = relay_of("edge-19:1", Answers({}))
+        usual = node.parent()
+        assert usual == parent_selection.parent_of("edge-19:1", ROOT, ORDER) and usual.startswith("edge")
+        node.avoid_parent(usual, "test")
+        assert node.parent() == ROOT and node.parents.parent_depth == 0
+        node.avoid_parent(ROOT, "test")
+        assert node.parent() == ORDER[1] and node.parents.parent_depth == 1
         for address in ORDER:
-            one.leave_out(address)
-        assert one.parent() == usual
-        await clock.sleep(relay.SHUN)
-        assert one.parent() == usual
+            node.avoid_parent(address, "test")
+        assert node.parent() == usual
+        await clock.sleep(timing.AVOID_PARENT_FOR)
+        assert node.parent() == usual
 
-    run(acts)
+    run(scenario)
 
 
 def test_a_new_root_is_asked_though_it_was_left_out_before():
-    async def acts() -> None:
-        one = made("edge-19:1", Answers({}))
+    async def scenario() -> None:
+        node = relay_of("edge-19:1", Answers({}))
         for address in ORDER:
-            one.leave_out(address)
-            one.parent()
-        one.failure_detector.records[0].primary = replica_set.ReplicaId(ORDER[1], "1")
-        usual = one.parent()
-        assert not one.shunned and usual == relay.parent_of("edge-19:1", ORDER[1], ORDER)
+            node.avoid_parent(address, "test")
+            node.parent()
+        node.failure_detector.records[0].primary = replica_set.ReplicaId(ORDER[1], "1")
+        usual = node.parent()
+        assert not node.parents.avoided_until and usual == parent_selection.parent_of("edge-19:1", ORDER[1], ORDER)
 
-    run(acts)
+    run(scenario)
 
 
 @pytest.mark.parametrize("silent", (True, False))
 def test_a_node_that_reaches_the_root_hears_of_it_within_two_failed_parents(silent):
-    async def acts() -> None:
+    async def scenario() -> None:
         ages = dict.fromkeys(ORDER, 60.0) if not silent else {}
         answers = Answers({**ages, ROOT: 0.0})
-        one = made("edge-19:1", answers)
-        running = asyncio.ensure_future(one.run())
-        await clock.sleep(relay.PULL + relay.ASK + clock.seconds(0.1))
+        node = relay_of("edge-19:1", answers)
+        running = asyncio.ensure_future(node.run())
+        await clock.sleep(timing.PULL_INTERVAL + timing.PULL_TIMEOUT + clock.seconds(0.1))
         running.cancel()
         assert ROOT in answers.asked and answers.asked.index(ROOT) == 1
-        assert one.age() <= relay.PULL + clock.seconds(0.1)
+        assert node.root_age() <= timing.PULL_INTERVAL + clock.seconds(0.1)
 
-    run(acts)
+    run(scenario)
 
 
 def test_a_restarted_parent_that_holds_no_configuration_is_left_as_well():
-    async def acts() -> None:
+    async def scenario() -> None:
         answers = Answers({ROOT: 0.0})
-        one = made("edge-19:1", answers)
-        answers.ages[one.parent()] = 5.0
-        await one.pull(one.parent())
-        assert one.parent() == ROOT and one.counts["stale parents"] == 1
+        node = relay_of("edge-19:1", answers)
+        answers.ages[node.parent()] = 5.0
+        await node.pull(node.parent())
+        assert node.parent() == ROOT and node.counts["stale parents"] == 1
 
-    run(acts)
+    run(scenario)
 
 
 def test_while_no_root_is_heard_of_the_tree_is_asked_at_its_usual_pace():
-    async def acts() -> None:
+    async def scenario() -> None:
         answers = Answers(dict.fromkeys(ORDER, 60.0))
-        one = made("edge-19:1", answers)
-        running = asyncio.ensure_future(one.run())
+        node = relay_of("edge-19:1", answers)
+        running = asyncio.ensure_future(node.run())
         await clock.sleep(clock.seconds(10))
         running.cancel()
-        rounds = clock.seconds(10) / relay.SHUN + 1
-        assert len(answers.asked) < clock.seconds(10) / relay.PULL + rounds * (relay.SPARE_PARENTS + 2)
+        rounds = clock.seconds(10) / timing.AVOID_PARENT_FOR + 1
+        assert len(answers.asked) < clock.seconds(10) / timing.PULL_INTERVAL + rounds * (
+            parent_selection.SPARE_PARENTS + 2
+        )
 
-    run(acts)
+    run(scenario)
 
 
 def test_a_relay_passes_on_how_long_ago_its_root_was_heard_of_and_a_root_says_zero():
-    async def acts() -> None:
+    async def scenario() -> None:
         await clock.sleep(clock.seconds(100))
-        one = made(ORDER[1], Answers({ROOT: 0.5}))
-        await one.pull(ROOT)
+        node = relay_of(ORDER[1], Answers({ROOT: 0.5}))
+        await node.pull(ROOT)
         await clock.sleep(clock.seconds(1))
         message = updates.Pull("edge-1:1", (), (), b"", (), b"", b"")
-        assert clock.seconds(1.5) <= one.answer_pull(message, rooted=False).age < clock.seconds(1.6)
-        assert one.answer_pull(message, rooted=True).age == clock.ZERO
+        assert clock.seconds(1.5) <= node.answer_pull(message, rooted=False).root_age < clock.seconds(1.6)
+        assert node.answer_pull(message, rooted=True).root_age == clock.ZERO
         await clock.sleep(clock.seconds(1))
-        assert one.answer_pull(message, rooted=False).age == clock.seconds(1)
+        assert node.answer_pull(message, rooted=False).root_age == clock.seconds(1)
 
-    run(acts)
+    run(scenario)
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -1,128 +1,44 @@
-"""Delivery: a tree of relays that nodes form, news down, confirmations up, and claims on currency."""
+"""A node of the dissemination tree: pulls updates and its lease from the parent, answers its children's pulls."""
 
 import asyncio
-import dataclasses
 import datetime
-import hashlib
-import json
+import typing
 
 import logbook
 
 from aspencroft.configuration import control_state, resources
-from aspencroft.distribution import configuration_transfer, updates
+from aspencroft.distribution import (
+    configuration_lease,
+    configuration_state,
+    configuration_transfer,
+    parent_selection,
+    subtree_state,
+    timing,
+    updates,
+)
 from aspencroft.errors import result
 from aspencroft.membership import failure_detector
 from aspencroft.runtime import clock
 from aspencroft.transport import connections
 
 LOG = logbook.Logger("distribution.relay")
-BRANCHES = 4
-PULL = clock.seconds(0.4)
-ASK = clock.seconds(0.8)
-SHUN = clock.seconds(2)
-STALE = clock.seconds(0.8)
-CHILD = clock.seconds(2)
-DELTAS = 64
-SPARE_PARENTS = 9
-STEP_BYTES = 256 << 10
+CONTROL_GROUP = 0
 
 
-def parent_of(address: str, root: str, order: tuple[str, ...]) -> str:
-    """A node's parent in the tree that the ring's order spans from the root.
-
-    Example: ``parent_of("b", "a", ("a", "b", "c")) == "a"``
-    """
-    line = [root, *[one for one in order if one != root]]
-    if address not in line:
-        return root
-    return line[max(0, (line.index(address) - 1) // BRANCHES)]
-
-
-def depth_of(address: str, root: str, order: tuple[str, ...]) -> int:
-    """How many relays a node is below the root; one for a node that the order does not name.
-
-    Example: ``depth_of("b", "a", ("a", "b", "c")) == 1``
-    """
-    if address == root:
-        return 0
-    if address not in order:
-        return 1
-    place, depth = order.index(address), 0
-    place += 1 - (root in order and order.index(root) < place)
-    while place > 0:
-        place, depth = (place - 1) // BRANCHES, depth + 1
-    return depth
-
-
-@dataclasses.dataclass(frozen=True)
-class Grant:
-    """What the root knows of a node: until when it may act on a plan, and which one it confirmed."""
-
-    end: datetime.timedelta
-    revision: control_state.Revision
-
-
-@dataclasses.dataclass(frozen=True)
-class Subtree:
-    """A node and all below it with the revisions that they confirmed, and the digest of that."""
-
-    nodes: dict[str, control_state.Revision]
-    digest: bytes
-
-
-def subtree_of(nodes: dict[str, control_state.Revision]) -> Subtree:
-    """A subtree with its digest.
+class Relay:
+    """A node's part in the tree; ``currency`` is the length of a lease, ``root_heard`` when the root was heard of last.
 
-    Example: ``subtree_of({}) == subtree_of({})``
+    ``acknowledged`` is the parent that stored this node's subtree last, and that subtree: the next pull from it names
+    only what differs.
     """
-    lines = (f"{address} {revision.text()}" for address, revision in sorted(nodes.items()))
-    return Subtree(nodes, hashlib.blake2b("\n".join(lines).encode(), digest_size=16).digest())
-
-
-def names_digest(names: tuple[str, ...]) -> bytes:
-    """The digest of sorted names."""
-    return hashlib.blake2b("\n".join(names).encode(), digest_size=16).digest()
-
-
-NOBODY = names_digest(())
-
-
-class Relay:
-    """A node's place in the tree: what it knows, its parent, its children, its claim on currency."""
 
     def __init__(
-        self, links: connections.Link, members: failure_detector.FailureDetector, currency: datetime.timedelta
-    ):
-        self.link = links
+        self, link: connections.Link, members: failure_detector.FailureDetector, currency: datetime.timedelta
+    ) -> None:
+        self.link = link
         self.currency = currency
         self.failure_detector = members
         self.address = members.me.address
-        self.topics: dict[str, updates.Update] = {}
-        self.deltas: dict[control_state.Revision, updates.Update] = {}
-        self.wholes = configuration_transfer.CompleteConfigurations()
-        self.partial = configuration_transfer.PartialConfiguration()
-        self.document: dict = {}
-        self.revisions: dict[str, str] = {}
-        self.configuration = resources.of({})
-        self.revision = control_state.NEVER
-        self.currency_end = clock.ZERO
-        self.counted: frozenset[str] = frozenset()
-        self.counted_digest = NOBODY
-        self.children: dict[str, datetime.timedelta] = {}
-        self.below: dict[str, Subtree] = {}
-        self.own = subtree_of({})
-        self.taken_by: tuple[str, Subtree] = ("", self.own)
-        self.counted_below: dict[str, tuple[tuple[bytes, bytes | None], tuple[str, ...], bytes]] = {}
-        self.shunned: dict[str, datetime.timedelta] = {}
-        self.parent_depth = 0
-        self.root_heard = clock.ZERO
-        self.followed_root = ""
-        self.grants: dict[str, Grant] = {}
-        self.stranger_end = clock.ZERO
-        self.root = False
-        self.hurry = asyncio.Event()
-        self.confirmed = asyncio.Event()
-        self.versions: dict[str, asyncio.Event] = {}
         self.counts = {
             "pulls": 0,
             "pushes": 0,
@@ -131,329 +47,262 @@
             "subtrees lost": 0,
             "stale parents": 0,
         }
+        self.state = configuration_state.ConfigurationState(self.address, self.counts)
+        self.partial = configuration_transfer.PartialConfiguration()
+        self.subtree = subtree_state.SubtreeState(self.address)
+        self.parents = parent_selection.ParentSelection(self.address)
+        self.lease = configuration_lease.ConfigurationLease(self.address)
+        self.grants = configuration_lease.LeaseGrants(self.address)
+        self.acknowledged: tuple[str, subtree_state.Subtree] = ("", self.subtree.complete)
+        self.root_heard = clock.ZERO
+        self.root = False
+        self.pull_soon = asyncio.Event()
+
+    # -- state as others read it ------------------------------------------------------------------
+
+    @property
+    def configuration(self) -> resources.Configuration:
+        """The configuration in force."""
+        return self.state.configuration
+
+    @property
+    def document(self) -> configuration_state.Document:
+        """The configuration as JSON."""
+        return self.state.document
+
+    @property
+    def revision(self) -> control_state.Revision:
+        """The revision in force."""
+        return self.state.revision
+
+    @property
+    def revisions(self) -> dict[str, str]:
+        """The revision of each resource, as text, by kind and name."""
+        return self.state.revisions
+
+    @property
+    def topics(self) -> dict[str, updates.Update]:
+        """The newest update of each topic but the configuration."""
+        return self.state.topics
+
+    @property
+    def children(self) -> typing.Iterable[str]:
+        """Addresses of the children."""
+        return self.subtree.expiry
+
+    @property
+    def currency_end(self) -> datetime.timedelta:
+        """When the lease on the configuration expires."""
+        return self.lease.end
 
     def current(self) -> bool:
-        """Whether this node holds a plan whose currency is claimed at this moment."""
-        return clock.now() < self.currency_end and self.revision != control_state.NEVER
+        """Whether this node holds a configuration with a lease at this moment."""
+        return clock.now() < self.lease.end and self.state.revision != control_state.NEVER
 
     def parent(self) -> str | None:
-        """The parent at this moment; none for the root.
-
-        While the parent in the tree is left out, the root itself is asked, and while that is left out too, another
-        core: a node that reaches the root is never more than one failed parent away from it.
-        """
-        held = self.failure_detector.records.get(0)
-        if held is None or held.primary.address == self.address:
+        """The parent at this moment; none for the root, or while none is known."""
+        control_group = self.failure_detector.records.get(CONTROL_GROUP)
+        if control_group is None or control_group.primary.address == self.address:
             return None
-        root, order = held.primary.address, self.failure_detector.peers.tree_order()
-        if root != self.followed_root:
-            self.followed_root = root
-            self.shunned.clear()
-        usual = parent_of(self.address, root, order)
-        candidates = (usual, root, *(address for address in order[:SPARE_PARENTS] if address != self.address))
-        now = clock.now()
-        parent = next((one for one in candidates if self.shunned.get(one, clock.ZERO) <= now), usual)
-        self.parent_depth = depth_of(parent, root, order)
-        return parent
-
-    def learn(self, one: updates.Update) -> bool:
-        """Take a topic's newer state; a patch upon another base than ours is not taken."""
-        held = self.topics.get(one.topic)
-        known = self.revision if one.topic == updates.PLAN else held.revision if held else control_state.NEVER
-        if not known < one.revision or (one.base is not None and one.base != known):
-            return False
-        if one.topic == updates.PLAN and not one.body:
+        return self.parents.select(control_group.primary.address, self.failure_detector.peers.tree_order())
+
+    def root_age(self) -> datetime.timedelta:
+        """How long ago the root was last heard of, by way of the relays between."""
+        return clock.now() - self.root_heard
+
+    async def wait_for_change(self, topic: str) -> None:
+        """Wait until a topic changes."""
+        await self.state.wait_for_change(topic)
+
+    # -- updates -----------------------------------------------------------------------------------
+
+    def apply_update(self, update: updates.Update) -> bool:
+        """Apply a topic's newer state and push it on; whether it was applied."""
+        if not self.state.apply(update):
             return False
-        if one.topic == updates.PLAN:
-            shown = json.loads(one.body)
-            if one.base is not None:
-                patch = shown.get("plan", {})
-                shown = resources.merge(
-                    {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}, shown
-                )
-                fresh = resources.after(self.configuration, shown["plan"], patch, shown["version"])
-                self.deltas[one.base] = one
-            else:
-                fresh = resources.of(shown["plan"], shown["version"])
-                self.counts["whole plans"] += 1
-            self.document, self.revisions, self.configuration = shown["plan"], shown["revisions"], fresh
-            self.revision = one.revision
-            while len(self.deltas) > DELTAS:
-                del self.deltas[next(iter(self.deltas))]
-        else:
-            self.topics[one.topic] = one
-        self.counts["news"] += 1
-        self.versions.pop(one.topic, asyncio.Event()).set()
         self.push()
         return True
 
-    async def changed(self, topic: str) -> None:
-        """Wait until a topic changes."""
-        await self.versions.setdefault(topic, asyncio.Event()).wait()
-
     def push(self) -> None:
-        """Tell the children at once that there is something new."""
-        self.hurry.set()
-        now = clock.now()
-        for address, end in list(self.children.items()):
-            if end < now:
-                self.children.pop(address)
-                self.below.pop(address, None)
-                self.counted_below.pop(address, None)
-            else:
-                self.counts["pushes"] += 1
-                self.link.notify(address, updates.Push())
-
-    def pending_updates(self, known: control_state.Revision) -> tuple[updates.Update, ...]:
-        """What brings a node from the revision it knows to ours: patches in a row, or the whole.
-
-        The row is as long as one message may be. A whole plan that is too large for one message is only named, and
-        fetched in parts.
-        """
-        if not known < self.revision:
-            return ()
-        row, place, size = [], known, 0
-        while place != self.revision and place in self.deltas:
-            row.append(self.deltas[place])
-            place = self.deltas[place].revision
-        if place != self.revision:
-            whole = self.wholes.newest(self.revision, self.shown())
-            body = whole.body.decode() if len(whole.body) <= configuration_transfer.PART_BYTES else ""
-            return (updates.Update(updates.PLAN, self.revision, None, body),)
-        for count, one in enumerate(row):
-            size += len(one.body)
-            if count and size > STEP_BYTES:
-                return tuple(row[:count])
-        return tuple(row)
-
-    def shown(self) -> dict:
-        """The whole plan as it is told to others."""
-        return {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}
+        """Have the children pull at once."""
+        self.pull_soon.set()
+        for address in self.subtree.live_children():
+            self.counts["pushes"] += 1
+            self.link.notify(address, updates.Push())
+
+    # -- answers to children -----------------------------------------------------------------------
 
     def answer_fetch(self, message: updates.FetchConfiguration) -> updates.ConfigurationChunk:
-        """Give a child the next part of a whole plan."""
-        if self.revision == control_state.NEVER:
-            raise result.RequestError(result.ResultCode.NO_CLAIM, detail="no plan is held here yet")
-        return self.wholes.part(message, self.revision, self.shown())
+        """Answer a child with the next chunk of a complete configuration.
 
-    async def fetch_configuration(self, parent: str) -> None:
-        """Fetch a whole plan from a parent, part by part; what came before it failed is kept."""
-        while True:
-            part = await self.link.request(parent, self.partial.next_part(), ASK)
-            whole = self.partial.take(part)
-            if whole is not None:
-                self.learn(whole)
-            if whole is not None or not part.body:
-                return
+        Raises:
+            result.RequestError: NO_CLAIM, while no configuration is held.
 
-    def subtree(self) -> Subtree:
-        """This node and all below it, each with the plan revision it confirmed."""
-        now = clock.now()
-        found = {}
-        for child, end in self.children.items():
-            if end >= now and child in self.below:
-                found.update(self.below[child].nodes)
-        found[self.address] = self.revision
-        if found != self.own.nodes:
-            self.own = subtree_of(found)
-        return self.own
-
-    def taken(self, message: updates.Pull) -> Subtree | None:
-        """The subtree that a pull names; none when its differences are upon one that is not held here."""
-        held = self.below.get(message.address)
-        named = {one.address: one.revision for one in message.subtree}
-        if not message.base:
-            return subtree_of(named)
-        if held is None or held.digest != message.base:
-            return None
-        if not named and not message.gone:
-            return held
-        nodes = {**held.nodes, **named}
-        for address in message.gone:
-            nodes.pop(address, None)
-        found = subtree_of(nodes)
-        return found if found.digest == message.digest else None
-
-    def counted_of(self, child: str, below: Subtree, rooted: bool) -> tuple[tuple[str, ...], bytes]:
-        """Those below a child that the root counted, and their digest."""
-        upon = below.digest, None if rooted else self.counted_digest
-        known = self.counted_below.get(child)
-        if known is None or known[0] != upon:
-            names = tuple(sorted(address for address in below.nodes if rooted or address in self.counted))
-            known = self.counted_below[child] = upon, names, names_digest(names)
-        return known[1], known[2]
+        """
+        return self.state.next_chunk(message)
 
     def answer_pull(self, message: updates.Pull, rooted: bool) -> updates.Pulled:
-        """Give a child its news, and currency no longer than our own.
+        """Answer a child with the updates that it lacks, and a lease no longer than this node's own.
 
-        A child below a relay gets currency only once the root counted it: the root must know all
-        who may act on a plan. Nothing is granted without the plan that the grant is for.
+        A child below a relay gets a lease only once the root counted it: the root must know all who may act on a
+        configuration. Nothing is granted without the configuration that the lease is for.
         """
         now = clock.now()
-        below = self.taken(message)
-        if below is None:
+        subtree = self.subtree.resolve(message)
+        if subtree is None:
             self.counts["subtrees lost"] += 1
-            return updates.Pulled((), control_state.NEVER, clock.ZERO, (), False, True, self.age())
-        self.children[message.address] = now + CHILD
-        if message.address not in self.below or below.digest != self.below[message.address].digest:
-            self.below[message.address] = below
-            if not rooted:
-                self.hurry.set()
-        have = {one.topic: one.revision for one in message.have}
-        fresh = [one for one in self.topics.values() if have.get(one.topic, control_state.NEVER) < one.revision]
-        fresh.extend(self.pending_updates(have.get(updates.PLAN, control_state.NEVER)))
+            return updates.Pulled((), control_state.NEVER, clock.ZERO, (), False, True, self.root_age())
+        if self.subtree.store(message.address, subtree) and not rooted:
+            self.pull_soon.set()
+        known = {held.topic: held.revision for held in message.have}
+        missing = [
+            update
+            for update in self.state.topics.values()
+            if known.get(update.topic, control_state.NEVER) < update.revision
+        ]
+        missing.extend(self.state.pending_updates(known.get(updates.PLAN, control_state.NEVER)))
         if rooted:
             self.root_heard = now
-            currency = self.currency
-            for address, revision in below.nodes.items():
-                self.grants[address] = Grant(now + self.currency, revision)
-            self.confirmed.set()
+            lease = self.currency
+            self.grants.grant(subtree.nodes, now + self.currency)
         else:
-            trusted = message.address in self.counted
-            currency = max(self.currency_end - now, clock.ZERO) if trusted else clock.ZERO
-        if self.revision == control_state.NEVER:
-            currency = clock.ZERO
-        counted, digest = self.counted_of(message.address, below, rooted)
-        same = digest == message.counted
-        return updates.Pulled(
-            tuple(fresh), self.revision, currency, () if same else counted, same, False, now - self.root_heard
+            is_counted = message.address in self.lease.counted
+            lease = max(self.lease.end - now, clock.ZERO) if is_counted else clock.ZERO
+        if self.state.revision == control_state.NEVER:
+            lease = clock.ZERO
+        counted = self.subtree.counted_nodes(
+            message.address,
+            subtree,
+            None if rooted else self.lease.counted,
+            None if rooted else self.lease.counted_digest,
         )
+        same = counted.digest == message.counted
+        addresses = () if same else counted.addresses
+        return updates.Pulled(tuple(missing), self.state.revision, lease, addresses, same, False, now - self.root_heard)
+
+    # -- pulls from the parent ---------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Pull from the parent again and again, at once when there is something to pull or tell."""
+        """Pull from the parent in each interval, and at once when there is something to pull or to confirm."""
         while True:
             try:
-                async with clock.limit(PULL):
-                    await self.hurry.wait()
+                async with clock.limit(timing.PULL_INTERVAL):
+                    await self.pull_soon.wait()
             except TimeoutError:
                 pass
-            self.hurry.clear()
+            self.pull_soon.clear()
             parent = self.parent()
             if parent is not None:
                 await self.pull(parent)
-
-    def age(self) -> datetime.timedelta:
-        """How long ago the root was last heard of, by way of the relays between."""
-        return clock.now() - self.root_heard
-
-    def is_stale(self, age: datetime.timedelta) -> bool:
-        """Whether a parent that heard of the root so long ago is to be left out.
-
-        Each relay above it may put it behind by one pull.
-        """
-        return age > min(STALE + PULL * self.parent_depth, self.currency / 2)
-
-    def leave_out(self, parent: str) -> None:
-        """Ask others than this parent for a while, at once unless all were tried."""
-        now = clock.now()
-        if self.shunned.get(parent, clock.ZERO) <= now:
-            self.hurry.set()
-        self.shunned[parent] = now + SHUN
-
-    def pull_of(self, parent: str, have: tuple[updates.HeldRevision, ...], own: Subtree) -> updates.Pull:
-        """A pull that names the subtree: what differs from the one that this parent took last, else the whole."""
-        taker, held = self.taken_by
-        nodes, base, gone = own.nodes, b"", ()
-        if taker == parent:
-            base, gone = (
-                held.digest,
-                tuple(sorted(address for address in held.nodes if address not in own.nodes)),
-            )
-            nodes = {
-                address: revision for address, revision in own.nodes.items() if held.nodes.get(address) != revision
-            }
-        named = tuple(updates.Confirmation(address, revision) for address, revision in sorted(nodes.items()))
-        return updates.Pull(self.address, have, named, base, gone, own.digest, self.counted_digest)
+            self.lease.log_transition(self.current(), self.state.revision, self.root_age())
 
     async def pull(self, parent: str) -> None:
-        """One pull; a parent that fails, or that heard nothing of the root for long, is left out for a while."""
+        """Pull once; a parent that fails, or that heard nothing of the root for long, is avoided for a while."""
         asked = clock.now()
-        have = tuple(updates.HeldRevision(one.topic, one.revision) for one in self.topics.values())
-        have += (updates.HeldRevision(updates.PLAN, self.revision),)
         self.counts["pulls"] += 1
-        before, own = self.revision, self.subtree()
-        message = self.pull_of(parent, have, own)
-        self.taken_by = ("", own)
+        before, subtree = self.state.revision, self.subtree.merge(self.state.revision)
+        message = self.make_pull(parent, subtree)
+        # Until the answer is there nobody knows what the parent stored: a pull after a lost answer names everything.
+        self.acknowledged = ("", subtree)
         try:
-            reply = await self.link.request(parent, message, ASK)
-            if any(one.topic == updates.PLAN and not one.body for one in reply.news):
+            reply = await self.link.request(parent, message, timing.PULL_TIMEOUT)
+            if any(update.topic == updates.PLAN and not update.body for update in reply.updates):
                 await self.fetch_configuration(parent)
-        except result.RequestError as refusal:
-            if refusal.result is result.ResultCode.UNREACHABLE:
-                self.leave_out(parent)
+        except result.RequestError as error:
+            if error.result is result.ResultCode.UNREACHABLE:
+                self.avoid_parent(parent, str(error))
             return
-        if reply.lost:
-            self.hurry.set()
-            await clock.sleep(PULL / 40)
+        if reply.subtree_unknown:
+            self.pull_soon.set()
+            await clock.sleep(timing.PULL_SOON)
             return
-        self.taken_by = (parent, own)
-        for one in reply.news:
-            self.learn(one)
-        if not reply.same:
-            self.counted, self.counted_digest = (
-                frozenset(reply.counted),
-                names_digest(tuple(sorted(reply.counted))),
-            )
-        if reply.revision == self.revision and reply.currency > clock.ZERO:
-            self.currency_end = max(self.currency_end, asked + reply.currency)
-        self.root_heard = max(self.root_heard, asked - reply.age)
-        stale = self.is_stale(reply.age)
+        self.acknowledged = (parent, subtree)
+        self.apply_reply(reply, asked)
+        stale = self.parents.is_stale(reply.root_age, self.currency)
         if stale:
             self.counts["stale parents"] += 1
-            self.leave_out(parent)
-        if before != self.revision or (self.address not in self.counted and not stale):
-            self.hurry.set()
-            await clock.sleep(PULL / 40)
+            self.avoid_parent(parent, f"it heard of the root {reply.root_age.total_seconds():.1f} s ago")
+        if before != self.state.revision or (self.address not in self.lease.counted and not stale):
+            self.pull_soon.set()
+            await clock.sleep(timing.PULL_SOON)
+
+    def make_pull(self, parent: str, subtree: subtree_state.Subtree) -> updates.Pull:
+        """A pull that names the subtree: what differs from the one that this parent stored last, else all of it."""
+        held = tuple(updates.HeldRevision(update.topic, update.revision) for update in self.state.topics.values())
+        held += (updates.HeldRevision(updates.PLAN, self.state.revision),)
+        acknowledged_by, acknowledged = self.acknowledged
+        nodes, base = subtree.nodes, b""
+        gone: tuple[str, ...] = ()
+        if acknowledged_by == parent:
+            base = acknowledged.digest
+            gone = tuple(sorted(address for address in acknowledged.nodes if address not in subtree.nodes))
+            nodes = {
+                address: revision
+                for address, revision in subtree.nodes.items()
+                if acknowledged.nodes.get(address) != revision
+            }
+        named = tuple(updates.Confirmation(address, revision) for address, revision in sorted(nodes.items()))
+        return updates.Pull(self.address, held, named, base, gone, subtree.digest, self.lease.counted_digest)
+
+    def apply_reply(self, reply: updates.Pulled, asked: datetime.timedelta) -> None:
+        """Apply the updates of a pull, then extend the lease: only for the revision that it was granted for."""
+        for update in reply.updates:
+            self.apply_update(update)
+        if not reply.counted_unchanged:
+            self.lease.set_counted(reply.counted)
+        if reply.revision == self.state.revision and reply.currency > clock.ZERO:
+            self.lease.extend(asked + reply.currency)
+        self.root_heard = max(self.root_heard, asked - reply.root_age)
 
-    # -- root ----------------------------------------------------------------------------------
+    async def fetch_configuration(self, parent: str) -> None:
+        """Fetch a complete configuration from a parent, chunk by chunk; what came before it failed is kept.
 
-    def become_root(self) -> None:
-        """Begin to grant, once all that was committed before is held here.
+        Raises:
+            result.RequestError: the parent did not answer, or holds no configuration.
 
-        Grants of the root before are unknown: count one as running for everybody.
         """
+        while True:
+            chunk = await self.link.request(parent, self.partial.next_request(), timing.PULL_TIMEOUT)
+            complete = self.partial.add(chunk)
+            if complete is not None:
+                self.apply_update(complete)
+            if complete is not None or not chunk.body:
+                return
+
+    def avoid_parent(self, parent: str, reason: str) -> None:
+        """Pull from others than this parent for a while, at once unless all were tried."""
+        if self.parents.avoid(parent):
+            self.pull_soon.set()
+            LOG.info("{} avoids parent {}: {}", self.address, parent, reason)
+
+    # -- root --------------------------------------------------------------------------------------
+
+    def become_root(self) -> None:
+        """Begin to grant leases, once all that was committed before is held here."""
         self.root = True
-        self.grants = {}
-        self.stranger_end = clock.now() + self.currency
+        self.grants.reset(self.currency)
 
-    def take_committed(self, read: control_state.ResourcesRead) -> None:
-        """As root: take the plan that the copies hold, keeping the steps for those that are behind."""
-        for step in read.steps:
-            self.learn(updates.Update(updates.PLAN, step.revision, step.base, step.patch))
-        if not read.document:
-            return
-        shown = json.loads(read.document)
-        if self.revision != control_state.NEVER:
-            patch = {
-                "plan": resources.patch_between(self.document, shown["plan"]),
-                "revisions": resources.patch_between(self.revisions, shown["revisions"]),
-                "version": shown["version"],
-            }
-            self.learn(updates.Update(updates.PLAN, read.revision, self.revision, json.dumps(patch)))
-        else:
-            self.learn(updates.Update(updates.PLAN, read.revision, None, read.document))
+    def stop_being_root(self, reason: str) -> None:
+        """Grant no more leases as root."""
+        if self.root:
+            LOG.info("{} is no longer the root of the dissemination tree: {}", self.address, reason)
+        self.root = False
 
-    async def everywhere(self, revision: control_state.Revision) -> None:
-        """As root: wait until all who may act on a plan confirmed this one or may not act any more."""
-        while self.revision < revision:
-            await self.changed(updates.PLAN)
-        snapshot = dict(self.grants)
-        while True:
-            self.confirmed.clear()
-            now = clock.now()
-            behind = [
-                address
-                for address, grant in snapshot.items()
-                if now < grant.end and self.grants.get(address, grant).revision < revision and address != self.address
-            ]
-            wait = max(
-                [snapshot[address].end - now for address in behind] + [self.stranger_end - now],
-                default=clock.ZERO,
-            )
-            if not behind and wait <= clock.ZERO:
-                return
-            try:
-                async with clock.limit(max(min(wait, PULL), PULL / 100)):
-                    await self.confirmed.wait()
-            except TimeoutError:
-                pass
+    def extend_as_root(self, lease_end: datetime.timedelta) -> None:
+        """As root: note that the root is heard of, and extend the lease to that on the control group."""
+        self.root_heard = clock.now()
+        self.lease.extend(lease_end)
+
+    def apply_committed(self, read: control_state.ResourcesRead) -> None:
+        """As root: apply what the control group holds, keeping its steps as patches for those that are behind."""
+        for step in read.steps:
+            self.apply_update(updates.Update(updates.PLAN, step.revision, step.base, step.patch))
+        update = self.state.update_to(read)
+        if update is not None:
+            self.apply_update(update)
+
+    async def wait_until_applied(self, revision: control_state.Revision) -> None:
+        """As root: wait until each node with a lease has applied a revision, or its lease has expired."""
+        while self.state.revision < revision:
+            await self.state.wait_for_change(updates.PLAN)
+        await self.grants.wait_until_applied(revision)
--- a/aspencroft/distribution/relay_test.py
+++ b/aspencroft/distribution/relay_test.py
@@ -5,7 +5,7 @@
 import types
 
 from aspencroft.configuration import control_state, resources
-from aspencroft.distribution import relay, updates
+from aspencroft.distribution import parent_selection, relay, subtree_state, updates
 from aspencroft.errors import result
 from aspencroft.runtime import clock
 
@@ -37,7 +37,7 @@
 def relay_of(address: str, link: Link) -> relay.Relay:
     members = types.SimpleNamespace(me=types.SimpleNamespace(address=address), records={}, peers={})
     one = relay.Relay(link, members, CURRENCY)
-    one.revision = control_state.Revision(1, 1)
+    one.state.revision = control_state.Revision(1, 1)
     return one
 
 
@@ -53,8 +53,8 @@
 
 
 def set_below(child: relay.Relay, nodes: dict[str, control_state.Revision]) -> None:
-    child.children["c:1"] = clock.now() + clock.seconds(3600)
-    child.below["c:1"] = relay.subtree_of(dict(nodes))
+    child.subtree.expiry["c:1"] = clock.now() + clock.seconds(3600)
+    child.subtree.subtrees["c:1"] = subtree_state.subtree_of(dict(nodes))
 
 
 def test_differences_lead_the_parent_to_the_same_subtree_and_the_child_to_the_same_counted_nodes():
@@ -71,20 +71,24 @@
                 set_below(child, nodes)
                 link.is_root = chance.random() < 0.7
                 if chance.random() < 0.3:
-                    parent.counted = frozenset(one for one in ("b:1", "n:1", "n:2", "n:3") if chance.random() < 0.5)
-                    parent.counted_digest = relay.names_digest(tuple(sorted(parent.counted)))
+                    parent.lease.counted = frozenset(
+                        one for one in ("b:1", "n:1", "n:2", "n:3") if chance.random() < 0.5
+                    )
+                    parent.lease.counted_digest = subtree_state.addresses_digest(tuple(sorted(parent.lease.counted)))
                 if chance.random() < 0.1:
-                    parent.below.clear()
+                    parent.subtree.subtrees.clear()
                 link.losing = chance.choice(("", "", "", "question", "answer"))
                 await child.pull("a:1")
                 if link.losing:
                     continue
-                if link.answered[-1].lost:
+                if link.answered[-1].subtree_unknown:
                     await child.pull("a:1")
                 wanted = {**nodes, "b:1": child.revision}
-                assert parent.below["b:1"].nodes == wanted
-                assert parent.below["b:1"].digest == relay.subtree_of(wanted).digest
-                assert child.counted == frozenset(one for one in wanted if link.is_root or one in parent.counted)
+                assert parent.subtree.subtrees["b:1"].nodes == wanted
+                assert parent.subtree.subtrees["b:1"].digest == subtree_state.subtree_of(wanted).digest
+                assert child.lease.counted == frozenset(
+                    one for one in wanted if link.is_root or one in parent.lease.counted
+                )
 
     run(scene)
 
@@ -98,8 +102,8 @@
         first, second = link.asked
         assert len(first.subtree) == 201 and first.base == b""
         assert second.subtree == () and second.gone == () and second.base == first.digest
-        assert link.answered[1].counted == () and link.answered[1].same and len(child.counted) == 201
-        assert len(parent.grants) == 201
+        assert link.answered[1].counted == () and link.answered[1].counted_unchanged and len(child.lease.counted) == 201
+        assert len(parent.grants.grants) == 201
 
     run(scene)
 
@@ -108,14 +112,19 @@
     async def scene():
         parent, child, link = family()
         await child.pull("a:1")
-        parent.below.clear(), parent.children.clear(), parent.grants.clear()
-        end = child.currency_end
+        parent.subtree.subtrees.clear(), parent.subtree.expiry.clear(), parent.grants.grants.clear()
+        end = child.lease.end
         set_below(child, {"n:1": control_state.Revision(1, 1)})
         await child.pull("a:1")
-        assert link.answered[-1].lost and link.answered[-1].currency == clock.ZERO
-        assert parent.grants == {} and parent.children == {} and child.currency_end == end and child.hurry.is_set()
+        assert link.answered[-1].subtree_unknown and link.answered[-1].currency == clock.ZERO
+        assert (
+            parent.grants.grants == {}
+            and parent.subtree.expiry == {}
+            and child.lease.end == end
+            and child.pull_soon.is_set()
+        )
         await child.pull("a:1")
-        assert link.asked[-1].base == b"" and set(parent.grants) == {"b:1", "n:1"}
+        assert link.asked[-1].base == b"" and set(parent.grants.grants) == {"b:1", "n:1"}
 
     run(scene)
 
@@ -126,21 +135,25 @@
         await child.pull("a:1")
         link.parent = relay_of("d:1", Link())
         await child.pull("d:1")
-        assert link.asked[-1].base == b"" and not link.answered[-1].lost and "b:1" in link.parent.below
+        assert (
+            link.asked[-1].base == b""
+            and not link.answered[-1].subtree_unknown
+            and "b:1" in link.parent.subtree.subtrees
+        )
 
     run(scene)
 
 
 def test_tree_has_one_root_and_no_crowded_parent():
     order = tuple(f"n:{number}" for number in range(40))
-    parents = {one: relay.parent_of(one, "n:7", order) for one in order}
+    parents = {one: parent_selection.parent_of(one, "n:7", order) for one in order}
     assert parents["n:7"] == "n:7"
     for one in order:
         steps = 0
         while one != "n:7":
             one, steps = parents[one], steps + 1
             assert steps < 5
-    assert max(list(parents.values()).count(one) for one in order) <= relay.BRANCHES + 1
+    assert max(list(parents.values()).count(one) for one in order) <= parent_selection.CHILDREN_PER_RELAY + 1
 
 
 def test_patches_between_documents_lead_from_one_to_the_other():
--- a/aspencroft/distribution/stale_parent_test.py
+++ b/aspencroft/distribution/stale_parent_test.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from aspencroft.distribution import relay
+from aspencroft.distribution import parent_selection
 from aspencroft.runtime import clock
 from aspencroft.simulation import groups, simulated_cluster
 
@@ -37,6 +37,9 @@
     for address in order:
         steps, one = 0, address
         while one != "n:1":
-            one, steps = relay.parent_of(one, "n:1", order), steps + 1
-        assert relay.depth_of(address, "n:1", order) == steps
-    assert relay.depth_of("n:1", "n:1", order) == 0 and relay.depth_of("elsewhere", "n:1", order) == 1
+            one, steps = parent_selection.parent_of(one, "n:1", order), steps + 1
+        assert parent_selection.depth_of(address, "n:1", order) == steps
+    assert (
+        parent_selection.depth_of("n:1", "n:1", order) == 0
+        and parent_selection.depth_of("elsewhere", "n:1", order) == 1
+    )
--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -1,4 +1,4 @@
-"""What goes down the relay tree and what comes up: one family of records."""
+"""Messages of the dissemination tree: updates on their way down, confirmations on their way up."""
 
 import dataclasses
 import datetime
@@ -14,7 +14,7 @@
 class Update:
     """A topic's state under a revision; with a base it is a merge patch upon that revision.
 
-    A plan with neither base nor body is too large for one message: it is to be fetched in parts.
+    A configuration with neither base nor body is too large for one message: it is to be fetched in chunks.
     """
 
     topic: str
@@ -44,11 +44,11 @@
 @codec.kind(133)
 @dataclasses.dataclass(frozen=True)
 class Pull:
-    """A child asks its parent for news and for plan currency, naming its whole subtree.
+    """A child asks its parent for updates and for a lease on the configuration, naming its complete subtree.
 
-    With a ``base``, the digest of the subtree that the parent took last, only what differs from it is named: changed
-    entries and those that are ``gone``. ``digest`` is that of the whole subtree, ``counted`` that of the counted nodes
-    that the child knows.
+    With a ``base``, the digest of the subtree that the parent stored last, only what differs from it is named: changed
+    entries and those that are ``gone``. ``digest`` is that of the complete subtree, ``counted`` that of the counted
+    nodes that the child knows.
     """
 
     address: str
@@ -63,26 +63,26 @@
 @codec.kind(134)
 @dataclasses.dataclass(frozen=True)
 class Pulled:
-    """News that the child lacks, and how long the plan may be trusted from when the child asked.
+    """Updates that the child lacks, and the length of its lease, counted from when the child asked.
 
-    ``same``: the counted nodes are those that the child knows. ``lost``: the parent does not hold the subtree that the
-    child's differences are upon, and took nothing from the pull. ``age``: how long ago the root was last heard of, over
-    all relays up to it; zero from the root itself.
+    ``counted_unchanged``: the counted nodes are those that the child knows. ``subtree_unknown``: the parent does not
+    hold the subtree that the child's differences are upon, and took nothing from the pull. ``root_age``: how long ago
+    the root was last heard of, over all relays up to it; zero from the root itself.
     """
 
-    news: tuple[Update, ...]
+    updates: tuple[Update, ...]
     revision: control_state.Revision
     currency: datetime.timedelta
     counted: tuple[str, ...]
-    same: bool
-    lost: bool
-    age: datetime.timedelta
+    counted_unchanged: bool
+    subtree_unknown: bool
+    root_age: datetime.timedelta
 
 
 @codec.kind(185)
 @dataclasses.dataclass(frozen=True)
 class FetchConfiguration:
-    """A child asks for a plan that is too large for one message, from an offset on; no digest asks for the newest."""
+    """A child asks for a configuration too large for one message, from an offset on; no digest asks for the newest."""
 
     digest: bytes
     offset: int
@@ -91,7 +91,7 @@
 @codec.kind(186)
 @dataclasses.dataclass(frozen=True)
 class ConfigurationChunk:
-    """Bytes of a whole plan; all parts of one plan bear its digest."""
+    """Bytes of a complete configuration; all chunks of one bear its digest, ``size`` is that of all in bytes."""
 
     revision: control_state.Revision
     digest: bytes
@@ -103,13 +103,13 @@
 @codec.kind(135)
 @dataclasses.dataclass(frozen=True)
 class Push:
-    """There is something new: pull at once."""
+    """There is an update: pull at once."""
 
 
 @codec.kind(136)
 @dataclasses.dataclass(frozen=True)
 class Publish:
-    """A duty's holder gives the root a topic's new state."""
+    """The holder of a singleton role gives the root a topic's new state."""
 
     news: Update
 
--- a/aspencroft/leadership/singleton_role.py
+++ b/aspencroft/leadership/singleton_role.py
@@ -1,7 +1,9 @@
-"""A duty that one node does: the first live node in an agreed order, under an epoch."""
+"""A singleton role: work that one node does at a time, under a lease and a fencing epoch of the control group."""
 
 import asyncio
 import collections.abc
+import datetime
+import typing
 
 import logbook
 
@@ -11,59 +13,104 @@
 from aspencroft.runtime import clock
 
 LOG = logbook.Logger("leadership.singleton_role")
-RENEW = clock.seconds(0.5)
-WITHIN = clock.seconds(1)
-WORDS = 4096
+CONTROL_GROUP = 0
+RENEWAL_INTERVAL = clock.seconds(0.5)  # four renewals within a lease
+ACQUIRE_TIMEOUT = clock.seconds(1)  # half a lease, so that a lost request leaves time for another
+INBOX_MESSAGES = 4096
 
+Members = dict[str, cluster_member.ClusterMember]
+Submit = collections.abc.Callable[
+    [int, control_state.AcquireRole, datetime.timedelta], collections.abc.Awaitable[control_state.RoleAcquired]
+]
 
-def first_of(name: str, peers: dict[str, cluster_member.ClusterMember], role: str = "") -> str:
-    """The node that should do a duty: the first live one of a role, or of the control plane, in the duty's order."""
-    able = [
-        one.address
-        for one in peers.values()
-        if one.state == cluster_member.LIVE and (one.role == role if role else one.role != "edge")
+
+def preferred_holder(role: str, members: Members, node_role: str = "") -> str:
+    """The address of the node that should hold a role: the first live one in the role's own order; "" without any.
+
+    :param node_role: which nodes may hold it; all but edges if empty
+    """
+    eligible = [
+        member.address
+        for member in members.values()
+        if member.state == cluster_member.LIVE and (member.role == node_role if node_role else member.role != "edge")
     ]
-    return min(able, key=lambda address: cluster_member.position(name + address), default="")
+    return min(eligible, key=lambda address: cluster_member.position(role + address), default="")
 
 
 class SingletonRole:
-    """A node's claim on a duty."""
+    """A node's lease on a singleton role; ``inbox`` holds the messages for the role's holder."""
 
     def __init__(
         self,
         name: str,
         address: str,
         incarnation: int,
-        peers: collections.abc.Callable[[], dict[str, cluster_member.ClusterMember]],
-        submit: collections.abc.Callable,
-        role: str = "",
-    ):
+        members: collections.abc.Callable[[], Members],
+        submit: Submit,
+        node_role: str = "",
+    ) -> None:
         self.name = name
         self.address = address
         self.incarnation = incarnation
-        self.peers = peers
+        self.members = members
         self.submit = submit
-        self.role = role
+        self.node_role = node_role
         self.epoch = 0
-        self.end = clock.ZERO
-        self.words: asyncio.Queue = asyncio.Queue(WORDS)
+        self.lease_end = clock.ZERO
+        self.is_holder_logged = False
+        self.rejection_logged = ""
+        self.inbox: asyncio.Queue[typing.Any] = asyncio.Queue(INBOX_MESSAGES)
 
-    def held(self) -> bool:
-        """Whether this node may do the duty at this moment."""
-        return clock.now() < self.end
+    def has_lease(self) -> bool:
+        """Whether this node may act as the role's holder at this moment."""
+        return clock.now() < self.lease_end
 
     async def run(self) -> None:
-        """Claim the duty while first in its order, and go on claiming it."""
+        """Acquire the role while this node is the preferred holder, and renew its lease."""
         while True:
-            if first_of(self.name, self.peers(), self.role) == self.address:
-                asked = clock.now()
-                try:
-                    taken = await self.submit(
-                        0, control_state.AcquireRole(self.name, self.address, self.incarnation), WITHIN
-                    )
-                    if self.epoch != taken.epoch:
-                        LOG.info("does {} under epoch {}", self.name, taken.epoch)
-                    self.epoch, self.end = taken.epoch, asked + control_state.ROLE_LEASE
-                except result.RequestError as refusal:
-                    LOG.info("duty {}: {}", self.name, refusal)
-            await clock.sleep(RENEW)
+            preferred = preferred_holder(self.name, self.members(), self.node_role)
+            if preferred == self.address:
+                await self.acquire()
+            self.log_loss(preferred)
+            await clock.sleep(RENEWAL_INTERVAL)
+
+    async def acquire(self) -> None:
+        """Acquire or renew the lease."""
+        # The lease counts from before the request: the control group counts it from later, so it ends here first.
+        asked = clock.now()
+        try:
+            acquired = await self.submit(
+                CONTROL_GROUP,
+                control_state.AcquireRole(self.name, self.address, self.incarnation),
+                ACQUIRE_TIMEOUT,
+            )
+        except result.RequestError as rejection:
+            self.log_rejection(str(rejection))
+            return
+        self.epoch, self.lease_end = acquired.epoch, asked + control_state.ROLE_LEASE
+        self.log_acquired()
+
+    def log_acquired(self) -> None:
+        """Log the role as acquired, once for each time that it is."""
+        self.rejection_logged = ""
+        if not self.is_holder_logged:
+            self.is_holder_logged = True
+            LOG.info("singleton role {} acquired: epoch {}, holder {}", self.name, self.epoch, self.address)
+
+    def log_rejection(self, reason: str) -> None:
+        """Log why the role could not be acquired, once for each reason."""
+        if reason != self.rejection_logged:
+            self.rejection_logged = reason
+            LOG.info("singleton role {} not acquired by {}: {}", self.name, self.address, reason)
+
+    def log_loss(self, preferred: str) -> None:
+        """Log the role as lost once its lease has expired."""
+        if self.is_holder_logged and not self.has_lease():
+            self.is_holder_logged = False
+            LOG.info(
+                "singleton role {} lost: epoch {}, holder {}: lease expired, preferred holder is {}",
+                self.name,
+                self.epoch,
+                self.address,
+                preferred or "nobody",
+            )
--- a/aspencroft/leadership/singleton_role_test.py
+++ b/aspencroft/leadership/singleton_role_test.py
@@ -7,14 +7,14 @@
 
 
 def test_every_node_agrees_on_the_first():
-    peers = {
+    members = {
         f"n:{number}": cluster_member.ClusterMember(
             f"n:{number}", 1, 0, cluster_member.LIVE, "a", "core", "", False, ()
         )
         for number in range(9)
     }
-    first = singleton_role.first_of("residency", peers)
-    turned = dict(reversed(peers.items()))
-    assert singleton_role.first_of("residency", turned) == first
-    peers[first] = dataclasses.replace(peers[first], state=cluster_member.DOWN)
-    assert singleton_role.first_of("residency", peers) not in ("", first)
+    preferred = singleton_role.preferred_holder("residency", members)
+    reordered = dict(reversed(members.items()))
+    assert singleton_role.preferred_holder("residency", reordered) == preferred
+    members[preferred] = dataclasses.replace(members[preferred], state=cluster_member.DOWN)
+    assert singleton_role.preferred_holder("residency", members) not in ("", preferred)
--- a/aspencroft/node/configuration_service.py
+++ b/aspencroft/node/configuration_service.py
@@ -47,14 +47,13 @@
             held = self.node.group_replicas[group_client.CONTROL_GROUP_ID]
             if not held.has_lease():
                 if relay.root:
-                    LOG.info("{} is no longer the configuration root: lease over; {}", self.node.address, self.newest())
-                relay.root = False
+                    relay.stop_being_root(f"no lease as primary of the control group; {self.newest()}")
                 await clock.sleep(COMMIT_WAIT / 2)
                 continue
             # Cleared before the read: what is committed during it ends the wait below at once.
             held.committed.clear()
             try:
-                relay.take_committed(
+                relay.apply_committed(
                     await held.submit(control_state.ReadResources(relay.revision), group_client.ATTEMPT_TIMEOUT)
                 )
             except result.RequestError:
@@ -64,8 +63,7 @@
                     relay.become_root()
                     LOG.info("{} became the configuration root: {}", self.node.address, self.newest())
             if self.is_root():
-                relay.root_heard = clock.now()
-                relay.currency_end = max(relay.currency_end, held.lease_end)
+                relay.extend_as_root(held.lease_end)
             try:
                 async with clock.limit(COMMIT_WAIT):
                     await held.committed.wait()
@@ -138,7 +136,7 @@
         """
         try:
             async with clock.limit(limit):
-                await self.node.relay.everywhere(revision)
+                await self.node.relay.wait_until_applied(revision)
         except TimeoutError:
             LOG.warning(
                 "revision {} is stored but not confirmed by all nodes after {:.2f} s; no acknowledgement from {}",
@@ -161,7 +159,7 @@
 
     def unconfirmed_by(self, revision: control_state.Revision) -> list[str]:
         """The nodes that may act on an older configuration than a revision at this moment."""
-        now, grants = clock.now(), self.node.relay.grants
+        now, grants = clock.now(), self.node.relay.grants.grants
         return sorted(
             address
             for address, grant in grants.items()
--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -131,12 +131,12 @@
     def publish(message: updates.Publish) -> None:
         if not node.is_root():
             raise result.RequestError(result.ResultCode.NOT_PRIMARY)
-        node.relay.learn(message.news)
+        node.relay.apply_update(message.news)
 
     return {
         updates.Pull: answered_at_once(lambda message: node.relay.answer_pull(message, node.is_root())),
         updates.FetchConfiguration: answered_at_once(node.relay.answer_fetch),
-        updates.Push: acknowledged(lambda _: node.relay.hurry.set()),
+        updates.Push: acknowledged(lambda _: node.relay.pull_soon.set()),
         updates.Publish: acknowledged(publish),
         updates.WriteEverywhere: service.write_at_root,
         updates.ApplyEverywhere: service.apply_at_root,
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -225,8 +225,8 @@
     def deliver_to_roles(self, message: object) -> None:
         """Queue a report of an edge for the singleton roles on this node; a role whose queue is full loses it."""
         for role in self.singleton_roles.values():
-            if not role.words.full():
-                role.words.put_nowait(message)
+            if not role.inbox.full():
+                role.inbox.put_nowait(message)
 
     def group_replica(self, group_id: int) -> group_replica.GroupReplica:
         """This node's replica of a group.
--- a/aspencroft/node/operator_api.py
+++ b/aspencroft/node/operator_api.py
@@ -163,7 +163,7 @@
         """Wait until a topic changed here, or for WATCH_CHECK_PERIOD."""
         try:
             async with clock.limit(WATCH_CHECK_PERIOD):
-                await self.node.relay.changed(topic)
+                await self.node.relay.wait_for_change(topic)
         except TimeoutError:
             pass
 
--- a/aspencroft/node/root_test.py
+++ b/aspencroft/node/root_test.py
@@ -49,7 +49,7 @@
         assert not root_node.is_root() and root_node.relay.currency_end == clock.ZERO
         primary.readable = True
         await clock.sleep(clock.seconds(0.5))
-        assert root_node.is_root() and root_node.relay.stranger_end > clock.now()
+        assert root_node.is_root() and root_node.relay.grants.unknown_grants_end > clock.now()
         primary.leased = False
         assert not root_node.is_root()
         await clock.sleep(clock.seconds(0.5))
--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -8,7 +8,7 @@
 import datetime
 
 from aspencroft.consensus import proposer, witness
-from aspencroft.distribution import relay
+from aspencroft.distribution import timing
 from aspencroft.membership import suspicion, table_exchange
 from aspencroft.replication import backup, group_replica, group_state, log_shipping, primary
 from aspencroft.runtime import clock
@@ -125,9 +125,9 @@
         append_timeout=log_shipping.APPEND_TIMEOUT,
         start_patience=group_replica.START_PATIENCE,
         reconnect=peer_connection.CONNECT_TIMEOUT + peer_connection.RECONNECT_PAUSE,
-        pull=relay.PULL,
-        pull_timeout=relay.ASK,
-        stale_parent=relay.STALE + relay.PULL,
+        pull=timing.PULL_INTERVAL,
+        pull_timeout=timing.PULL_TIMEOUT,
+        stale_parent=timing.STALE_PARENT_AFTER + timing.PULL_INTERVAL,
         list_period=WORKER_LIST_PERIOD,
         order_timeout=order_timeout,
         confirm=confirm,
--- a/aspencroft/power/machine_power.py
+++ b/aspencroft/power/machine_power.py
@@ -64,7 +64,7 @@
     async def hear(self) -> None:
         """Take word from edges: how long workers worked, and which sleeping ones are needed."""
         while True:
-            message = await self.duty.words.get()
+            message = await self.duty.inbox.get()
             if isinstance(message, messages.Called):
                 self.served.append((clock.now(), message.worker, message.took.total_seconds()))
             elif isinstance(message, messages.Wanted):
@@ -80,7 +80,7 @@
             except TimeoutError:
                 pass
             self.hurry.clear()
-            if not self.duty.held():
+            if not self.duty.has_lease():
                 self.started = clock.ZERO
                 continue
             try:
@@ -159,7 +159,7 @@
 
     async def wake(self, target: worker.Worker) -> None:
         """Say that a machine is needed; it leaves the list once it says that it is awake."""
-        if not self.duty.held():
+        if not self.duty.has_lease():
             return
         try:
             left = await self.adapter.rest(target, False)
@@ -189,7 +189,7 @@
 
     async def put_to_sleep(self, target: worker.Worker) -> None:
         """Let a machine sleep that was drained."""
-        if not self.duty.held():
+        if not self.duty.has_lease():
             return
         try:
             await self.adapter.rest(target, True)
--- a/aspencroft/residency/residency.py
+++ b/aspencroft/residency/residency.py
@@ -96,7 +96,7 @@
     async def hear(self) -> None:
         """Take word from edges: calls served and intents locked."""
         while True:
-            message = await self.duty.words.get()
+            message = await self.duty.inbox.get()
             now = clock.now()
             if isinstance(message, messages.Intended):
                 self.counts["intents"] += 1
@@ -119,7 +119,7 @@
     async def read_list(self) -> None:
         """Read the platform's list while the duty is held."""
         while True:
-            if self.duty.held() and self.node.settings.workers:
+            if self.duty.has_lease() and self.node.settings.workers:
                 try:
                     self.workers = await self.adapter.workers(self.node.settings.workers)
                 except result.RequestError as refusal:
@@ -146,7 +146,7 @@
         while True:
             await clock.sleep(PROBE)
             found = self.models("asleep")
-            if not self.duty.held() or not found:
+            if not self.duty.has_lease() or not found:
                 continue
             place = (place + 1) % len(found)
             target = found[place]
@@ -167,7 +167,7 @@
                 pass
             asked = self.hurry.is_set()
             self.hurry.clear()
-            if not self.duty.held():
+            if not self.duty.has_lease():
                 self.beliefs, self.keeps, self.published = {}, {}, ("", clock.ZERO)
                 continue
             if self.node.control("hold_moves", False) and not asked and self.keeps:
@@ -284,7 +284,7 @@
 
     async def order(self, target: worker.Worker, step: keep_plan.Step) -> None:
         """Send one order under the duty's epoch; a worker that refuses the epoch ends the duty here."""
-        if not self.duty.held():
+        if not self.duty.has_lease():
             return
         self.number += 1
         order = adapter.Order(self.duty.epoch, self.number, step.release, step.offload, step.load, step.restore)
@@ -294,7 +294,7 @@
         except result.RequestError as refusal:
             self.counts["orders refused"] += 1
             if refusal.result is result.ResultCode.LOWER_EPOCH:
-                self.duty.end = clock.ZERO
+                self.duty.lease_end = clock.ZERO
             belief = self.beliefs[target.name]
             for name in (*step.release, *step.offload, *step.load, *step.restore):
                 belief.ordered.pop(name, None)
@@ -330,7 +330,7 @@
 async def publish(own: node.Node, held: singleton_role.SingletonRole, topic: str, body: str) -> None:
     """Give a topic's new state to the root, under a revision that grows with the duty's epoch."""
     holders = own.failure_detector.records.get(0)
-    if holders is None or not held.held():
+    if holders is None or not held.has_lease():
         return
     known = own.relay.topics.get(topic)
     number = max(held.epoch * EPOCH_UNIT, known.revision.number if known else 0) + 1
--- a/aspencroft/simulation/alerting_test.py
+++ b/aspencroft/simulation/alerting_test.py
@@ -39,7 +39,7 @@
         holder = next(
             name
             for name, own in one.nodes.items()
-            if own.singleton_roles.get("alerts") and own.singleton_roles["alerts"].held()
+            if own.singleton_roles.get("alerts") and own.singleton_roles["alerts"].has_lease()
         )
         one.kill(holder)
         for _ in range(40):
--- a/aspencroft/simulation/guarantees_test.py
+++ b/aspencroft/simulation/guarantees_test.py
@@ -487,7 +487,9 @@
 
             def held() -> bool:
                 return any(
-                    one.alive(name) and own.singleton_roles.get("residency") and own.singleton_roles["residency"].held()
+                    one.alive(name)
+                    and own.singleton_roles.get("residency")
+                    and own.singleton_roles["residency"].has_lease()
                     for name, own in one.nodes.items()
                 )
 
@@ -495,7 +497,9 @@
             holder = next(
                 name
                 for name, own in one.nodes.items()
-                if one.alive(name) and own.singleton_roles.get("residency") and own.singleton_roles["residency"].held()
+                if one.alive(name)
+                and own.singleton_roles.get("residency")
+                and own.singleton_roles["residency"].has_lease()
             )
             began, before = one.loop.time(), sum(worker.counts["reports read"] for worker in one.world.models)
             for number in range(20):
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -43,8 +43,8 @@
     async def hear(self) -> None:
         """The variant without intent does not hear of headers."""
         if self.variant == NO_INTENT:
-            kept = self.duty.words.put_nowait
-            self.duty.words.put_nowait = lambda message: (
+            kept = self.duty.inbox.put_nowait
+            self.duty.inbox.put_nowait = lambda message: (
                 None if isinstance(message, messages.Intended) else kept(message)
             )
         await super().hear()
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -170,7 +170,7 @@
     ),
     Mutation(
         "operators are answered before the plan is in force",
-        "distribution/relay.py",
+        "distribution/configuration_lease.py",
         "            if not behind and wait <= clock.ZERO:\n                return\n",
         "            return\n",
         ("simulation/campaign_test.py",),
@@ -178,8 +178,8 @@
     Mutation(
         "a plan is trusted without a claim",
         "distribution/relay.py",
-        "        return clock.now() < self.currency_end and self.revision != control_state.NEVER\n",
-        "        return self.revision != control_state.NEVER\n",
+        "        return clock.now() < self.lease.end and self.state.revision != control_state.NEVER\n",
+        "        return self.state.revision != control_state.NEVER\n",
         ("simulation/campaign_test.py", "simulation/plans_test.py"),
     ),
     Mutation(
@@ -899,8 +899,8 @@
     ),
     Mutation(
         "a large plan goes to a child as one message",
-        "distribution/relay.py",
-        ' if len(whole.body) <= configuration_transfer.PART_BYTES else ""\n',
+        "distribution/configuration_state.py",
+        ' if len(complete.body) <= configuration_transfer.CHUNK_BYTES else ""\n',
         "\n",
         (
             "distribution/configuration_transfer_test.py::test_a_child_that_was_away_for_any_number_of_changes_catches_up",
@@ -908,9 +908,9 @@
     ),
     Mutation(
         "a step is taken upon whatever plan is held",
-        "distribution/relay.py",
-        " or (one.base is not None and one.base != known):",
-        ":",
+        "distribution/configuration_state.py",
+        "        if update.base is not None and update.base != known:\n",
+        "        if False:\n",
         (
             "distribution/configuration_transfer_test.py::test_a_relay_with_a_gap_in_its_steps_gives_the_whole_and_no_step_is_taken_twice",
         ),
@@ -918,7 +918,7 @@
     Mutation(
         "parts of two plans are mixed",
         "distribution/configuration_transfer.py",
-        "        if part.digest != self.digest:\n",
+        "        if chunk.digest != self.digest:\n",
         "        if self.digest == NO_DIGEST:\n",
         ("distribution/configuration_transfer_test.py::test_parts_of_two_plans_are_not_mixed",),
     ),
@@ -1108,9 +1108,9 @@
     ),
     Mutation(
         "a row of steps is sent though a step is missing",
-        "distribution/relay.py",
-        "        if place != self.revision:\n            whole",
-        "        if not row:\n            whole",
+        "distribution/configuration_state.py",
+        "        if reached != self.revision:\n            complete",
+        "        if not patches:\n            complete",
         (
             "distribution/configuration_transfer_test.py::test_a_child_that_was_away_for_any_number_of_changes_catches_up",
         ),
@@ -1126,14 +1126,14 @@
     ),
     Mutation(
         "a stale relay parent is kept",
-        "distribution/relay.py",
-        "        return age > min(STALE + PULL * self.parent_depth, self.currency / 2)\n",
+        "distribution/parent_selection.py",
+        "        return root_age > min(timing.STALE_PARENT_AFTER + timing.PULL_INTERVAL * self.parent_depth, currency / 2)\n",
         "        return False\n",
         ("distribution/parent_test.py",),
     ),
     Mutation(
         "the root is not asked while the usual parent is left out",
-        "distribution/relay.py",
+        "distribution/parent_selection.py",
         "        candidates = (usual, root, *(",
         "        candidates = (usual, *(",
         ("distribution/parent_test.py",),
@@ -1142,15 +1142,15 @@
     Mutation(
         "a relay says that it just heard of the root",
         "distribution/relay.py",
-        "            tuple(fresh), self.revision, currency, () if same else counted, same, False, now - self.root_heard\n",
-        "            tuple(fresh), self.revision, currency, () if same else counted, same, False, clock.ZERO\n",
+        " lease, addresses, same, False, now - self.root_heard)\n",
+        " lease, addresses, same, False, clock.ZERO)\n",
         ("distribution/parent_test.py", "simulation/cutoff_test.py"),
     ),
     Mutation(
         "a child of a stale parent pulls without a pause",
         "distribution/relay.py",
-        "        if before != self.revision or (self.address not in self.counted and not stale):\n",
-        "        if before != self.revision or self.address not in self.counted:\n",
+        "        if before != self.state.revision or (self.address not in self.lease.counted and not stale):\n",
+        "        if before != self.state.revision or self.address not in self.lease.counted:\n",
         ("distribution/parent_test.py",),
     ),
     Mutation(
--- a/aspencroft/simulation/resting_test.py
+++ b/aspencroft/simulation/resting_test.py
@@ -75,7 +75,7 @@
                 (
                     name
                     for name, own in one.nodes.items()
-                    if one.alive(name) and own.singleton_roles.get("rest") and own.singleton_roles["rest"].held()
+                    if one.alive(name) and own.singleton_roles.get("rest") and own.singleton_roles["rest"].has_lease()
                 ),
                 None,
             )
--- a/aspencroft/simulation/surfaces_test.py
+++ b/aspencroft/simulation/surfaces_test.py
@@ -47,7 +47,7 @@
             noted = await stage.ask(one.edges[number % 2], "shopper", "x", program=f"after-{number}")
             assert noted.ran == "done", noted
         assert any(
-            own.singleton_roles.get("residency") and own.singleton_roles["residency"].held()
+            own.singleton_roles.get("residency") and own.singleton_roles["residency"].has_lease()
             for own in one.nodes.values()
         )
 
--- a/aspencroft/workers/list_reader.py
+++ b/aspencroft/workers/list_reader.py
@@ -140,7 +140,7 @@
         """Read while the duty is held; how long until the next read depends on what was found."""
         while True:
             began = clock.now()
-            if not self.duty.held():
+            if not self.duty.has_lease():
                 self.shown = None
                 await clock.sleep(self.period / 4)
                 continue
@@ -181,7 +181,7 @@
     async def publish(self, topic: str, body: str) -> control_state.Revision | None:
         """Give a topic's new state to the root of the relay tree; its revision if the root took it."""
         holders = self.node.failure_detector.records.get(0)
-        if holders is None or not self.duty.held():
+        if holders is None or not self.duty.has_lease():
             return None
         known = self.node.relay.topics.get(topic)
         number = max(self.duty.epoch * EPOCH_UNIT, known.revision.number if known else 0, self.revision.number) + 1
@@ -248,7 +248,7 @@
         """Take what the relay tree brings of a topic, each time that it changes."""
         while True:
             self.take()
-            await self.node.relay.changed(topic)
+            await self.node.relay.wait_for_change(topic)
 
     def take(self) -> None:
         """Take what the relay tree brought."""
--- a/aspencroft/workers/list_reader_test.py
+++ b/aspencroft/workers/list_reader_test.py
@@ -54,7 +54,7 @@
 
     def holder(self) -> str:
         """The node that does the duty, or nothing."""
-        return next((name for name, one in self.readers.items() if self.scene.alive(name) and one.duty.held()), "")
+        return next((name for name, one in self.readers.items() if self.scene.alive(name) and one.duty.has_lease()), "")
 
     def known(self) -> list[frozenset[str]]:
         """What each edge would send to."""
@@ -206,7 +206,7 @@
         platform.listed["b"] = worker("b", True)
         await platform.everywhere("a", 6)
         await platform.scene.until(
-            lambda: any(one.duty.held() for name, one in platform.readers.items() if name != holder),
+            lambda: any(one.duty.has_lease() for name, one in platform.readers.items() if name != holder),
             15,
             "another holder",
         )
