--- a/aspencroft/node/status.py
+++ b/aspencroft/node/status.py
@@ -79,7 +79,9 @@
             "quorum": self.quorum(),
             "fellows": self.members(),
             **self.groups(),
-            "duties": {name: {"held": role.has_lease(), "epoch": role.epoch} for name, role in node.singleton_roles.items()},
+            "duties": {
+                name: {"held": role.has_lease(), "epoch": role.epoch} for name, role in node.singleton_roles.items()
+            },
             "faults": {"outside": dict(node.outside), "standing tasks": dict(node.standing)},
             "counts": {
                 "link": dict(node.link.counts),
--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -287,7 +287,8 @@
         clock here.
         """
         is_gone = functools.cache(is_edge_gone)
-        overdue = (*self.history.find_overdue(now, is_gone), *self.keys.find_overdue(now, is_gone))
+        overdue: list[entry.Command] = [*self.history.find_overdue(now, is_gone)]
+        overdue += self.keys.find_overdue(now, is_gone)
         tables = (
             retention.ScanTable(self.budgets.accounts, self.budgets.find_expired),
             retention.ScanTable(self.history.retained, self.history.find_expired),
@@ -308,7 +309,7 @@
 
         What changes meanwhile is not in it.
         """
-        tables = [
+        tables: list[collections.abc.Sequence[object]] = [
             list(self.budgets.accounts.values()),
             list(self.history.retained.values()),
             list(self.history.in_flight.values()),
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -1070,7 +1070,7 @@
 
 def test_a_picture_from_before_there_was_a_ledger_is_read_and_a_cut_one_refused():
     view = lane_sessions.SessionState()
-    view.restore(codec.pack(messages.TalkPicture((), ())))
+    view.restore(codec.pack(messages.SessionSnapshot((), ())))
     assert view.size() == 0
     take(view.calls, begin("a"), START)
     body = view.snapshot()
--- a/aspencroft/sessions/lane_sessions_test.py
+++ b/aspencroft/sessions/lane_sessions_test.py
@@ -5,15 +5,14 @@
 import dataclasses
 import random
 
-import aspencroft.sessions.lane_sessions as talk_module
 from aspencroft.errors import result
 from aspencroft.runtime import clock
-from aspencroft.sessions import messages
+from aspencroft.sessions import lane_sessions, messages
 
 
 def test_budget_and_history_agree_with_a_plain_model():
     for seed in range(200):
-        chance, talk, now = random.Random(seed), talk_module.SessionState(), clock.ZERO
+        chance, state, now = random.Random(seed), lane_sessions.SessionState(), clock.ZERO
         plain = collections.defaultdict(list)
         put_out, under_way = 0, {}
         for step in range(60):
@@ -34,7 +33,7 @@
                     "p", helper, after, "chat", go, 10, 60, clock.seconds(9), clock.seconds(5), "edge"
                 )
             try:
-                events, reply = talk.decide(command, now, 1)
+                events, reply = state.decide(command, now, 1)
             except result.RequestError as refusal:
                 expected = helper in under_way or after != len(plain[helper]) or put_out + 10 * len(under_way) >= 60
                 assert expected, refusal
@@ -44,51 +43,51 @@
                 assert [(one.input, one.output) for one in reply.past] == plain[helper]
                 under_way[helper] = (go, f"in {go}")
             for event in events:
-                talk.apply(event)
+                state.apply(event)
             if chance.random() < 0.2:
-                again = talk_module.SessionState()
-                again.restore(talk.snapshot())
-                assert again.snapshot() == talk.snapshot()
+                again = lane_sessions.SessionState()
+                again.restore(state.snapshot())
+                assert again.snapshot() == state.snapshot()
         assert put_out <= 60 + 10
-        assert not talk.programs or talk.programs["p"].used == put_out
+        assert not state.programs or state.programs["p"].used == put_out
 
 
 def test_a_key_runs_once_and_is_free_only_after_a_minute_beyond():
-    talk, now = talk_module.SessionState(), clock.ZERO
+    state, now = lane_sessions.SessionState(), clock.ZERO
     claim = messages.ClaimOperation("key", "void", "go 1", b"d", clock.seconds(5), clock.ZERO)
-    events, reply = talk.decide(claim, now, 1)
-    talk.apply(events[0])
+    events, reply = state.decide(claim, now, 1)
+    state.apply(events[0])
     assert reply.mine
-    _, second = talk.decide(dataclasses.replace(claim, go="go 2"), now, 1)
+    _, second = state.decide(dataclasses.replace(claim, go="go 2"), now, 1)
     assert not second.mine and second.outcome == ""
     try:
-        talk.decide(dataclasses.replace(claim, go="go 3", digest=b"e"), now, 1)
+        state.decide(dataclasses.replace(claim, go="go 3", digest=b"e"), now, 1)
         raise AssertionError("another request took the key's answer")
     except result.RequestError as refusal:
         assert refusal.result is result.ResultCode.OPERATION_MISMATCH
-    later = talk_module.SessionState()
-    later.restore(talk.snapshot())
+    later = lane_sessions.SessionState()
+    later.restore(state.snapshot())
     for span in (0, 1, 2, 60, 61):
         assert later.due(now + clock.seconds(1000 + span), bool) == ()
-    late = now + clock.seconds(1001) + 2 * talk_module.MINUTE
+    late = now + clock.seconds(1001) + 2 * lane_sessions.MIN_KEY_RETENTION
     assert (later.due(late, bool), later.due(late, bool))[1] != ()
 
 
 def test_the_looks_at_a_large_pair_are_bounded_and_reach_everything():
-    talk, now = talk_module.SessionState(), clock.seconds(5)
-    for number in range(3 * talk_module.LOOKS):
-        talk.apply(messages.OperationClaimed(f"k{number}", "void", "go", b"", clock.seconds(1), clock.ZERO))
-    talk.apply(messages.TurnOpened("p", "", 0, "chat", "go", 1, 9, clock.ZERO, clock.seconds(1), "edge"))
-    assert talk.due(now, lambda edge: edge == "edge")[0].go == "go"
+    state, now = lane_sessions.SessionState(), clock.seconds(5)
+    for number in range(3 * lane_sessions.SCAN_LIMIT):
+        state.apply(messages.OperationClaimed(f"k{number}", "void", "go", b"", clock.seconds(1), clock.ZERO))
+    state.apply(messages.TurnOpened("p", "", 0, "chat", "go", 1, 9, clock.ZERO, clock.seconds(1), "edge"))
+    assert state.due(now, lambda edge: edge == "edge")[0].go == "go"
     for _ in range(9):
-        assert len(talk.due(now, lambda edge: False)) == 0
-    assert len(talk.noted) == 3 * talk_module.LOOKS
-    late, seen = now + 10 * talk_module.MINUTE, set()
-    for _ in range(3 * talk_module.LOOKS // talk_module.MOST_DUE + 20):
-        due = talk.due(late, lambda edge: False)
-        assert len(due) <= talk_module.MOST_DUE + 1
+        assert len(state.due(now, lambda edge: False)) == 0
+    assert len(state.key_noted_at) == 3 * lane_sessions.SCAN_LIMIT
+    late, seen = now + 10 * lane_sessions.MIN_KEY_RETENTION, set()
+    for _ in range(3 * lane_sessions.SCAN_LIMIT // lane_sessions.DUE_LIMIT + 20):
+        due = state.due(late, lambda edge: False)
+        assert len(due) <= lane_sessions.DUE_LIMIT + 1
         for command in due:
             if isinstance(command, messages.ForgetOperation):
                 seen.add(command.key)
-                talk.apply(messages.OperationForgotten(command.key))
-    assert len(seen) == 3 * talk_module.LOOKS
+                state.apply(messages.OperationForgotten(command.key))
+    assert len(seen) == 3 * lane_sessions.SCAN_LIMIT
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -246,7 +246,7 @@
 
 @codec.kind(121)
 @dataclasses.dataclass(frozen=True)
-class TalkPicture:
+class SessionSnapshot:
     """All programs and operations of a session group."""
 
     programs: tuple[Program, ...]
