--- a/aspencroft/benchmarks/catchup.py
+++ b/aspencroft/benchmarks/catchup.py
@@ -163,7 +163,7 @@
 
 
 def catchup(*, changes: list[int] = CHANGES, routes: int = 40, large: int = 4000) -> None:
-    """Time and bytes to catch up with so many changes: control replica, talk group replica, relay.
+    """Time and bytes to catch up with so many changes: control replica, session group replica, relay.
 
     :param changes: how many changes were made meanwhile
     :param routes: routes of the configuration
--- a/aspencroft/benchmarks/repair.py
+++ b/aspencroft/benchmarks/repair.py
@@ -1,4 +1,4 @@
-"""What a talk group's losses cost against what it holds: commits, a lost backup, a lost primary.
+"""What a session group's losses cost against what it holds: commits, a lost backup, a lost primary.
 
 A restart from the disk.
 """
@@ -143,7 +143,7 @@
 
 
 def repair(*, turns: list[int] = (100, 1000, 5000, 20_000), size: int = 1000, repeats: int = 3, seed: int = 1) -> None:
-    """Losses of a talk group's members against the turns that it holds; prints JSON.
+    """Losses of a session group's members against the turns that it holds; prints JSON.
 
     Virtual times leave out what processors take; that and the longest hold of a loop stand beside them.
     Disks are real, without
--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -292,7 +292,7 @@
     repeats: int = 3,
     seed: int = 1,
 ) -> None:
-    """A talk group's ledger against programs (one turn of 400 bytes), turns in a chain, and bytes of a turn.
+    """A session group's ledger against programs (one turn of 400 bytes), turns in a chain, and bytes of a turn.
 
     :param programs: numbers of programs
     :param turns: turns of one program, of 4,000 bytes each
@@ -414,7 +414,7 @@
 
             async def taken() -> None:
                 known = instances.Instances()
-                timer("take it in, ms", lambda: known.take(shown, clock.now()))
+                timer("take it in, ms", lambda: known.update(shown, clock.now()))
                 timer("candidates of one service, ms", lambda: known.candidates("model-1"))
 
             asyncio.run(taken())
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -123,7 +123,7 @@
         return result.RequestError(result.ResultCode.OVERLOADED, retry=max(SOON, expected))
 
     def tell(self, one: call.Call, what: str, detail: str = "") -> None:
-        """Add a line to the request's story."""
+        """Add a line to the request's trace."""
         self.traces.add(one.request.identity, one.lane.name, clock.now() - one.began, what, detail)
 
     # -- stages ----------------------------------------------------------------------------------
@@ -549,7 +549,7 @@
         self.active.pop(one.request.identity, None)
 
     def share_story(self, one: call.Call) -> None:
-        """Give the request's story to another edge to keep, as this one may die."""
+        """Give the request's trace to another edge to keep, as this one may die."""
         edges = sorted(
             (
                 each.address
--- a/aspencroft/proxy/endings.py
+++ b/aspencroft/proxy/completion_queue.py
@@ -1,4 +1,4 @@
-"""What is told to the talk groups behind an answer: bounded rows and a few tellers for each group."""
+"""What is told to the session group behind an answer: bounded rows and a few tellers for each group."""
 
 import asyncio
 import collections
@@ -8,11 +8,11 @@
 from aspencroft.runtime import clock, supervision
 
 BOUND = 1024
-TELLERS = 4
+SENDERS_PER_GROUP = 4
 WITHIN = clock.seconds(12)
 
 
-class Endings:
+class CompletionQueue:
     """Commands that end turns and keys; what cannot be told in time the group ends by its own timer."""
 
     def __init__(self, own: node.Node):
@@ -36,10 +36,10 @@
         """All tellers."""
         async with supervision.Group() as group:
             for number in self.rows:
-                for _ in range(TELLERS):
-                    group.create_task(supervision.stand(f"endings {number}", self.teller(number), self.node.standing))
+                for _ in range(SENDERS_PER_GROUP):
+                    group.create_task(supervision.stand(f"endings {number}", self.sender(number), self.node.standing))
 
-    def teller(self, number: int):
+    def sender(self, number: int):
         """The work of one teller of a group."""
 
         async def work() -> None:
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -15,30 +15,41 @@
 from aspencroft.errors import result
 from aspencroft.gateway import path
 from aspencroft.node import node
-from aspencroft.proxy import call, chains, choose, endings, events, instance, instances, judgement, pace, working_set
+from aspencroft.proxy import (
+    call,
+    completion_queue,
+    events,
+    instance,
+    instances,
+    outlier_detection,
+    stream_pace,
+    turn_cache,
+    worker_selection,
+    working_set,
+)
 from aspencroft.runtime import clock
 from aspencroft.sessions import entry, messages
 from aspencroft.tracing import sample, trace
 from aspencroft.workers import pool
 
 LOG = logbook.Logger("proxy.forwarder")
-SOON = clock.seconds(0.3)
-LATER = clock.seconds(1)
-OVERTIME = clock.seconds(0.2)
-QUARTER = 4
-PART = 0.4
-WINDOW = clock.seconds(60)
-SETTLE = clock.seconds(0.05)
-LOOK = clock.seconds(0.02)
-UNREADY = clock.seconds(2.5)
-GRACE = clock.seconds(7.2)
+RETRY_SOON = clock.seconds(0.3)
+RETRY_LATER = clock.seconds(1)
+TURN_END_GRACE = clock.seconds(0.2)
+AIM_PARTS_FOR_WAITING = 4
+WAITING_SHARE = 0.4
+LEAST_RETENTION = clock.seconds(60)
+DRAIN_POLL_INTERVAL = clock.seconds(0.05)
+WAIT_POLL_INTERVAL = clock.seconds(0.02)
+SERVED_WHILE_UNREADY = clock.seconds(2.5)
+DRAIN_LIMIT = clock.seconds(7.2)
 MOST_CALLS = 1024
-MOST_CHOICES = 12
+MOST_SELECTIONS = 12
 MOST_CONNECTIONS = 64
-FULL = 1.25
-CONFIRMED = clock.seconds(2)
+LOAD_LIMIT = 1.25
+CONFIRMATION_AGE = clock.seconds(2)
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-NOT_HERE = (
+GROUP_UNAVAILABLE = (
     result.ResultCode.UNREACHABLE,
     result.ResultCode.NOT_PRIMARY,
     result.ResultCode.NO_BACKUP,
@@ -79,7 +90,7 @@
 
 
 @dataclasses.dataclass
-class Passage:
+class CallState:
     """One call on its way: its route, its time, what was begun for it and whether a worker was sent it."""
 
     call: call.Call
@@ -87,16 +98,16 @@
     end: datetime.timedelta
     body: bytes
     program: str = ""
-    begun: bool = False
-    claimed: bool = False
+    turn_reserved: bool = False
+    key_reserved: bool = False
     last_worker: str = ""
     attempts: Attempts = dataclasses.field(default_factory=Attempts)
-    tried: frozenset[str] = frozenset()
-    at: str = ""
+    tried_workers: frozenset[str] = frozenset()
+    current_worker: str = ""
     hedged: bool = False
 
     def turn(self) -> bool:
-        """Whether the call is a turn that the talk groups count or keep."""
+        """Whether the call is a turn that the session group count or keep."""
         return self.route.kind == http_route.STREAM and bool(self.call.budget or self.route.retained)
 
     def repeatable(self) -> bool:
@@ -117,8 +128,8 @@
         self.instances = known
         self.pool = connections
         self.traces = trace.Traces(own.address)
-        self.endings = endings.Endings(own)
-        self.chains = chains.Chains()
+        self.completions = completion_queue.CompletionQueue(own)
+        self.chains = turn_cache.TurnCache()
         self.working_sets = working_set.WorkingSets()
         self.freed = asyncio.Event()
         self.active = 0
@@ -130,7 +141,7 @@
 
     async def run(self) -> None:
         """The standing work beside the calls: the ends of calls that nobody waits for."""
-        await self.endings.run()
+        await self.completions.run()
 
     # -- admit -----------------------------------------------------------------------------------
 
@@ -138,24 +149,26 @@
         """Whether this edge should get new connections."""
         return not self.node.stopping.is_set() and self.node.relay.current() and bool(self.instances.listed)
 
-    def admit(self, one: call.Call) -> Passage:
+    def admit(self, one: call.Call) -> CallState:
         """The call's route and time; refused, not run, when there is none or this edge cannot serve it."""
         self.counts["asked"] += 1
         if self.closed:
-            raise result.RequestError(result.ResultCode.LEAVING, retry=SOON)
+            raise result.RequestError(result.ResultCode.LEAVING, retry=RETRY_SOON)
         if not self.node.relay.current():
-            raise result.RequestError(result.ResultCode.NO_PLAN, retry=SOON)
+            raise result.RequestError(result.ResultCode.NO_PLAN, retry=RETRY_SOON)
         if self.active >= MOST_CALLS:
-            raise result.RequestError(result.ResultCode.OVERLOADED, retry=LATER)
+            raise result.RequestError(result.ResultCode.OVERLOADED, retry=RETRY_LATER)
         route = self.node.relay.configuration.route_table.match(one.host, one.path())
         if route is None:
             if not self.knows_all_routes():
-                raise result.RequestError(result.ResultCode.NO_PLAN, detail="no route here, but one may be", retry=SOON)
+                raise result.RequestError(
+                    result.ResultCode.NO_PLAN, detail="no route here, but one may be", retry=RETRY_SOON
+                )
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=one.path()[:200])
         end = min(one.end(), one.arrived + route.timeout)
         if end <= clock.now():
-            raise result.RequestError(result.ResultCode.DEADLINE, retry=SOON)
-        return Passage(one, route, end, one.body, program=one.program or one.session or one.attempt)
+            raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
+        return CallState(one, route, end, one.body, program=one.program or one.session or one.attempt)
 
     def knows_all_routes(self) -> bool:
         """Whether a route that this edge does not know surely is not there.
@@ -165,91 +178,91 @@
         """
         relay = self.node.relay
         configured = bool(relay.configuration.version or relay.configuration.http_routes)
-        return configured and (relay.root or clock.now() <= relay.currency_end - relay.currency + CONFIRMED)
+        return configured and (relay.root or clock.now() <= relay.currency_end - relay.currency + CONFIRMATION_AGE)
 
-    async def wait_for_plan(self, one: call.Call) -> None:
+    async def wait_for_configuration(self, one: call.Call) -> None:
         """Hold a call for a part of its time while this edge, just started, learns the plan and the workers.
 
         The time is that of the route, as far as an older plan tells it.
         """
         route = self.node.relay.configuration.route_table.match(one.host, one.path())
-        limit = clock.now() + (one.within if route is None else min(one.within, route.timeout)) * PART
+        limit = clock.now() + (one.within if route is None else min(one.within, route.timeout)) * WAITING_SHARE
         while not (self.node.relay.current() and self.instances.listed) and clock.now() < limit and not self.closed:
             if self.waiting >= MOST_CALLS:
                 return
             self.waiting += 1
             try:
-                await clock.sleep(LOOK)
+                await clock.sleep(WAIT_POLL_INTERVAL)
             finally:
                 self.waiting -= 1
 
-    async def take(self, one: call.Call) -> call.Answer:
+    async def handle(self, one: call.Call) -> call.Answer:
         """Serve a call: an Answer, or a Refusal that says whether anything ran."""
-        await self.wait_for_plan(one)
-        passage = self.admit(one)
+        await self.wait_for_configuration(one)
+        state = self.admit(one)
         self.active += 1
         handed = False
         try:
-            if passage.turn():
-                await self.begin_turn(passage)
-            elif passage.route.kind == http_route.KEYED and one.key:
-                known = await self.claim_key(passage)
+            if state.turn():
+                await self.begin_turn(state)
+            elif state.route.kind == http_route.KEYED and one.key:
+                known = await self.reserve_key(state)
                 if known is not None:
                     return known
-            answer = await self.forward(passage)
+            answer = await self.forward(state)
             handed = answer.parts is not None
             return answer
         except result.RequestError as refusal:
-            self.tell(passage, "refused", str(refusal))
+            self.add_trace(state, "refused", str(refusal))
             self.counts[f"refused {refusal.result.number}"] += 1
-            self.give_up(passage)
-            if passage.attempts.possibly_run and refusal.ran is result.Ran.NOT_RUN:
+            self.abandon(state)
+            if state.attempts.possibly_run and refusal.ran is result.Ran.NOT_RUN:
                 raise result.RequestError(refusal.result, result.Ran.UNKNOWN, refusal.detail, refusal.retry) from None
             raise
         except BaseException:
-            self.give_up(passage)
+            self.abandon(state)
             raise
         finally:
             if not handed:
                 self.active -= 1
 
-    def tell(self, passage: Passage, what: str, detail: str = "") -> None:
-        """Add a line to the call's story."""
-        one = passage.call
-        self.traces.add(one.attempt, passage.route.name, clock.now() - one.arrived, what, detail)
+    def add_trace(self, state: CallState, what: str, detail: str = "") -> None:
+        """Add a line to the call's trace."""
+        one = state.call
+        self.traces.add(one.attempt, state.route.name, clock.now() - one.arrived, what, detail)
 
     # -- begin -----------------------------------------------------------------------------------
 
-    def patience(self, passage: Passage) -> datetime.timedelta:
+    def group_wait_limit(self, state: CallState) -> datetime.timedelta:
         """How long a call waits for the group that it needs: its primary may be changing, which takes a second or so.
 
         A call that waits is tried all the time and goes on the moment the group serves; it leaves the caller time to
         come again.
         """
-        left = passage.end - clock.now()
-        return max(min(max(passage.route.aim, left * PART), left), clock.ZERO)
+        left = state.end - clock.now()
+        return max(min(max(state.route.aim, left * WAITING_SHARE), left), clock.ZERO)
 
-    async def ask_group(self, passage: Passage, group_key: str, command):
-        """Have a talk group decide a command; what no group can decide now is refused, not run."""
+    async def submit_to_group(self, state: CallState, group_key: str, command):
+        """Have a session group decide a command; what no group can decide now is refused, not run."""
         try:
-            return await self.node.submit(self.group_of(group_key), command, self.patience(passage))
+            return await self.node.submit(self.group_of(group_key), command, self.group_wait_limit(state))
         except result.RequestError as refusal:
-            if refusal.result in NOT_HERE:
-                raise result.RequestError(refusal.result, result.Ran.NOT_RUN, refusal.detail, SOON) from None
+            if refusal.result in GROUP_UNAVAILABLE:
+                raise result.RequestError(refusal.result, result.Ran.NOT_RUN, refusal.detail, RETRY_SOON) from None
             raise
 
     def group_of(self, key: str) -> int:
-        """The talk group of a program or operation key."""
+        """The session group of a program or operation key."""
         return path.pair_of(key, self.node.settings.talk_pairs)
 
-    async def begin_turn(self, passage: Passage) -> None:
+    async def begin_turn(self, state: CallState) -> None:
         """Reserve the turn's output and learn its history; the call's body becomes the chain and the new input."""
-        one, route = passage.call, passage.route
+        one, route = state.call, state.route
         previous = one.previous if route.retained else ""
         have = previous if previous and self.chains.holds(previous) else ""
-        keep = max(route.keep, WINDOW, one.program_within or clock.ZERO)
+        keep = max(route.keep, LEAST_RETENTION, one.program_within or clock.ZERO)
         command = entry.BeginTurn(
-            passage.program,
+            state.program,
             one.session,
             one.attempt,
             previous,
@@ -257,39 +270,39 @@
             one.budget,
             route.retained,
             keep,
-            passage.end - clock.now(),
+            state.end - clock.now(),
             self.node.incarnation_id(),
             have,
             (),
         )
-        passage.begun = True
+        state.turn_reserved = True
         try:
-            reply = await self.ask_group(passage, passage.program, command)
+            reply = await self.submit_to_group(state, state.program, command)
         except result.RequestError as refusal:
             if refusal.result is not result.ResultCode.UNKNOWN_TURN:
                 if refusal.result is result.ResultCode.OUT_OF_BUDGET:
-                    passage.begun = False
+                    state.turn_reserved = False
                 raise
-            chain = await self.find_elsewhere(passage, previous)
-            reply = await self.ask_group(passage, passage.program, dataclasses.replace(command, base=chain, have=""))
-        passage.last_worker = reply.worker
+            chain = await self.find_chain_in_other_groups(state, previous)
+            reply = await self.submit_to_group(state, state.program, dataclasses.replace(command, base=chain, have=""))
+        state.last_worker = reply.worker
         if previous:
             self.chains.keep(reply.chain)
             whole = self.chains.bytes_of(previous)
             if whole is None:
                 raise result.RequestError(result.ResultCode.INTERNAL, detail="a chain came with a gap")
-            passage.body = whole + one.body
-        self.tell(passage, "turn begun", f"behind {previous or 'nothing'}")
+            state.body = whole + one.body
+        self.add_trace(state, "turn begun", f"behind {previous or 'nothing'}")
 
-    async def find_elsewhere(self, passage: Passage, turn: str) -> tuple[entry.Turn, ...]:
+    async def find_chain_in_other_groups(self, state: CallState, turn: str) -> tuple[entry.Turn, ...]:
         """A chain that another program's group keeps; unknown only when every group says so."""
-        mine = self.group_of(passage.program)
+        mine = self.group_of(state.program)
         found: list[entry.TurnFound] = []
         missed: list[int] = []
 
         async def ask(group: int) -> None:
             try:
-                found.append(await self.node.submit(group, entry.FindTurn(turn), self.patience(passage)))
+                found.append(await self.node.submit(group, entry.FindTurn(turn), self.group_wait_limit(state)))
             except result.RequestError:
                 missed.append(group)
 
@@ -302,31 +315,31 @@
                 self.counts["chains found elsewhere"] += 1
                 return reply.chain
         if missed:
-            raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail=f"groups {missed} cannot tell", retry=LATER)
+            raise result.RequestError(
+                result.ResultCode.NOT_PRIMARY, detail=f"groups {missed} cannot tell", retry=RETRY_LATER
+            )
         raise result.RequestError(result.ResultCode.UNKNOWN_TURN, detail=turn)
 
-    async def claim_key(self, passage: Passage) -> call.Answer | None:
+    async def reserve_key(self, state: CallState) -> call.Answer | None:
         """Claim the operation's key; the record's answer when it is another's."""
-        one = passage.call
+        one = state.call
         digest = hashlib.blake2b(
             b"\0".join([one.method.encode(), one.host.encode(), one.target.encode(), one.body]),
             digest_size=16,
         ).digest()
-        passage.claimed = True
+        state.key_reserved = True
         window = self.node.settings.key_window
         command = entry.ClaimKey(
-            self.key_of(one), one.attempt, digest, passage.end - clock.now(), window, self.node.incarnation_id()
+            self.key_of(one), one.attempt, digest, state.end - clock.now(), window, self.node.incarnation_id()
         )
-        held = await self.ask_group(passage, self.key_of(one), command)
+        held = await self.submit_to_group(state, self.key_of(one), command)
         if held.mine:
-            self.tell(passage, "key claimed")
+            self.add_trace(state, "key claimed")
             return None
-        passage.claimed = False
-        self.tell(passage, "key known", held.outcome or "at work")
+        state.key_reserved = False
+        self.add_trace(state, "key known", held.outcome or "at work")
         if held.outcome == messages.DONE and held.status:
-            return call.Answer(
-                held.status, tuple((group_id.name, group_id.value) for group_id in held.headers), held.body
-            )
+            return call.Answer(held.status, tuple((header.name, header.value) for header in held.headers), held.body)
         raise result.RequestError(result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN, held.outcome)
 
     def key_of(self, one: call.Call) -> str:
@@ -335,24 +348,24 @@
 
     # -- choose ----------------------------------------------------------------------------------
 
-    def choose(self, passage: Passage) -> tuple[instance.Instance | None, str]:
+    def choose(self, state: CallState) -> tuple[instance.Instance | None, str]:
         """A worker for the call among those that the configuration in force allows now, and why."""
-        route = self.node.relay.configuration.http_routes.get(passage.route.name)
-        if route is None or (route.host, route.prefix) != (passage.route.host, passage.route.prefix):
-            raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=passage.route.name)
-        if (route.kind, route.retained) != (passage.route.kind, passage.route.retained):
-            raise result.RequestError(result.ResultCode.PUT_BACK, detail="the route changed its kind", retry=SOON)
-        passage.route = route
+        route = self.node.relay.configuration.http_routes.get(state.route.name)
+        if route is None or (route.host, route.prefix) != (state.route.host, state.route.prefix):
+            raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=state.route.name)
+        if (route.kind, route.retained) != (state.route.kind, state.route.retained):
+            raise result.RequestError(result.ResultCode.PUT_BACK, detail="the route changed its kind", retry=RETRY_SOON)
+        state.route = route
         service = draw_service(route, self.node.environment.randomness)
-        candidates = self.instances.candidates(service, passage.tried, passage.repeatable())
+        candidates = self.instances.candidates(service, state.tried_workers, state.repeatable())
         used = self.working_sets.of(service)
-        chosen = choose.choose(
+        chosen = worker_selection.choose(
             candidates,
-            used.home_parts(passage.call.parts, passage.program),
-            passage.last_worker,
+            used.home_parts(state.call.parts, state.program),
+            state.last_worker,
             self.node.settings.area,
             self.node.environment.randomness,
-            most=FULL,
+            load_limit=LOAD_LIMIT,
             copies=used.copies(len(self.instances.services.get(service, ())), *self.memory_and_slots(service)),
         )
         return self.instances.listed.get(chosen.name), f"{service}: {chosen.reason}"
@@ -364,43 +377,45 @@
             return 0, 0
         return facts.engine.kv_tokens, facts.engine.slots
 
-    async def place(self, passage: Passage) -> instance.Instance:
+    async def wait_for_worker(self, state: CallState) -> instance.Instance:
         """A worker with a place for the call, waited for during a part of its aim."""
-        limit = clock.now() + min(passage.route.aim or passage.route.timeout, passage.end - clock.now()) / QUARTER
+        limit = (
+            clock.now() + min(state.route.aim or state.route.timeout, state.end - clock.now()) / AIM_PARTS_FOR_WAITING
+        )
         while True:
-            chosen, why = self.choose(passage)
+            chosen, why = self.choose(state)
             if chosen is not None:
-                self.tell(passage, "chosen", f"{chosen.name}: {why}")
+                self.add_trace(state, "chosen", f"{chosen.name}: {why}")
                 return chosen
             if clock.now() >= limit:
                 raise result.RequestError(
                     result.ResultCode.OVERLOADED if bool(self.instances.listed) else result.ResultCode.NO_WORKER,
                     detail=why,
-                    retry=SOON,
+                    retry=RETRY_SOON,
                 )
             self.freed.clear()
             try:
-                async with clock.limit(min(LOOK, limit - clock.now())):
+                async with clock.limit(min(WAIT_POLL_INTERVAL, limit - clock.now())):
                     await self.freed.wait()
             except TimeoutError:
                 pass
 
     # -- forward ---------------------------------------------------------------------------------
 
-    async def forward(self, passage: Passage) -> call.Answer:
+    async def forward(self, state: CallState) -> call.Answer:
         """Send the call to workers until one answers, as often as its kind and its route allow."""
-        if not passage.repeatable() or passage.route.attempts < 2 or not passage.route.aim:
-            return await self.in_turn(passage)
-        first = asyncio.ensure_future(self.in_turn(passage))
+        if not state.repeatable() or state.route.attempts < 2 or not state.route.aim:
+            return await self.try_workers_in_turn(state)
+        first = asyncio.ensure_future(self.try_workers_in_turn(state))
         try:
-            await asyncio.wait((first,), timeout=passage.route.aim.total_seconds())
-            if first.done() or passage.attempts.in_flight != 1 or passage.exhausted():
+            await asyncio.wait((first,), timeout=state.route.aim.total_seconds())
+            if first.done() or state.attempts.in_flight != 1 or state.exhausted():
                 return await first
-            return await self.hedge(passage, first)
+            return await self.hedge(state, first)
         finally:
             await ended(first)
 
-    async def hedge(self, passage: Passage, first: asyncio.Task) -> call.Answer:
+    async def hedge(self, state: CallState, first: asyncio.Task) -> call.Answer:
         """Another attempt beside one that is silent beyond its aim, as its answer may be lost.
 
         The first to answer counts.
@@ -408,10 +423,10 @@
         Only work that may be repeated comes here, and the attempts that the route allows are shared.
         """
         self.counts["hedged"] += 1
-        passage.hedged = True
-        other = dataclasses.replace(passage, tried=passage.tried | {passage.at}, hedged=False)
-        self.tell(passage, "hedged", f"{passage.at} is silent")
-        second = asyncio.ensure_future(self.in_turn(other))
+        state.hedged = True
+        other = dataclasses.replace(state, tried_workers=state.tried_workers | {state.current_worker}, hedged=False)
+        self.add_trace(state, "hedged", f"{state.current_worker} is silent")
+        second = asyncio.ensure_future(self.try_workers_in_turn(other))
         pending = {first, second}
         try:
             while pending:
@@ -423,61 +438,61 @@
         finally:
             await ended(second)
 
-    async def in_turn(self, passage: Passage) -> call.Answer:
+    async def try_workers_in_turn(self, state: CallState) -> call.Answer:
         """Attempts one after the other."""
-        for _ in range(MOST_CHOICES):
-            chosen = await self.place(passage)
-            passage.at = chosen.name
+        for _ in range(MOST_SELECTIONS):
+            chosen = await self.wait_for_worker(state)
+            state.current_worker = chosen.name
             try:
-                return await self.attempt(passage, chosen)
+                return await self.attempt(state, chosen)
             except result.RequestError as refusal:
-                self.tell(passage, "attempt failed", f"{chosen.name}: {refusal}")
-                passage.tried |= {chosen.name}
-                if refusal.ran is not result.Ran.NOT_RUN and not passage.repeatable():
+                self.add_trace(state, "attempt failed", f"{chosen.name}: {refusal}")
+                state.tried_workers |= {chosen.name}
+                if refusal.ran is not result.Ran.NOT_RUN and not state.repeatable():
                     raise
-                if passage.hedged or passage.exhausted() or clock.now() >= passage.end:
+                if state.hedged or state.exhausted() or clock.now() >= state.end:
                     raise
-        raise result.RequestError(result.ResultCode.PUT_BACK, retry=SOON)
+        raise result.RequestError(result.ResultCode.PUT_BACK, retry=RETRY_SOON)
 
-    async def attempt(self, passage: Passage, chosen: instance.Instance) -> call.Answer:
+    async def attempt(self, state: CallState, chosen: instance.Instance) -> call.Answer:
         """One attempt at one worker; whatever comes is counted for the choice of later ones."""
-        one = passage.call
+        one = state.call
         self.instances.begin(chosen.name)
-        passage.attempts.in_flight += 1
+        state.attempts.in_flight += 1
         ended = False
         try:
-            if self.instances.barred(chosen.name):
+            if self.instances.is_excluded(chosen.name):
                 raise result.RequestError(result.ResultCode.PUT_BACK, detail="the worker is leaving")
-            remaining = passage.end - clock.now()
+            remaining = state.end - clock.now()
             if remaining <= clock.ZERO:
-                raise result.RequestError(result.ResultCode.DEADLINE, retry=SOON)
+                raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
             service = self.node.relay.configuration.services.get(chosen.service)
             most = service.max_connections if service is not None and service.max_connections else MOST_CONNECTIONS
             headers = self.dialect.request_headers(one, chosen.name, remaining)
-            response = await self.send(passage, chosen, headers, most)
+            response = await self.send(state, chosen, headers, most)
             head = self.dialect.head(response.status, response.headers, one.attempt)
-            self.heed(chosen, head)
-            await self.check_head(passage, response, head)
-            if passage.route.kind == http_route.STREAM and 200 <= head.status < 300:
-                answer = await self.begin_stream(passage, chosen, response, head)
+            self.record_head(chosen, head)
+            await self.check_head(state, response, head)
+            if state.route.kind == http_route.STREAM and 200 <= head.status < 300:
+                answer = await self.begin_stream(state, chosen, response, head)
                 ended = True
                 return answer
-            return await self.whole(passage, chosen, response, head)
+            return await self.read_answer(state, chosen, response, head)
         finally:
-            passage.attempts.in_flight -= 1
+            state.attempts.in_flight -= 1
             if not ended:
                 self.release(chosen)
 
     async def send(
-        self, passage: Passage, chosen: instance.Instance, headers: call.Headers, most_connections: int
+        self, state: CallState, chosen: instance.Instance, headers: call.Headers, most_connections: int
     ) -> pool.Response:
         """Send the call to a worker once, and wait for the head of the answer.
 
         The call counts as sent and as possibly run from before its first byte until the pool or the worker says
         otherwise.
         """
-        one, attempts = passage.call, passage.attempts
-        if passage.exhausted():
+        one, attempts = state.call, state.attempts
+        if state.exhausted():
             raise result.RequestError(result.ResultCode.PUT_BACK, detail="the route allows no more attempts")
         attempts.sent += 1
         attempts.possibly_run += 1
@@ -487,8 +502,8 @@
                 one.method,
                 one.target,
                 headers,
-                passage.body,
-                passage.end,
+                state.body,
+                state.end,
                 most_connections,
                 self.dialect.accepts(one.attempt),
             )
@@ -496,24 +511,24 @@
             if refusal.ran is result.Ran.NOT_RUN:
                 attempts.sent -= 1
                 attempts.possibly_run -= 1
-            self.instances.failed(chosen.name, judgement.kind_of(refusal))
+            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(refusal))
             raise
 
-    async def check_head(self, passage: Passage, response: pool.Response, head: call.Head) -> None:
+    async def check_head(self, state: CallState, response: pool.Response, head: call.Head) -> None:
         """Raise unless the answer may go on to the caller: a worker declined the call, or it is unclear whether it
         ran.
         """
         declined = head.misdirected or head.not_run
-        if declined and (head.attempt or not response.reused or passage.repeatable()):
-            passage.attempts.possibly_run -= 1
-            await self.dismiss(response, reuse=bool(head.attempt))
-            raise result.RequestError(result.ResultCode.PUT_BACK, detail=str(head.status), retry=SOON)
+        if declined and (head.attempt or not response.reused or state.repeatable()):
+            state.attempts.possibly_run -= 1
+            await self.discard_answer(response, reuse=bool(head.attempt))
+            raise result.RequestError(result.ResultCode.PUT_BACK, detail=str(head.status), retry=RETRY_SOON)
         unclear = ""
         if declined:
             unclear = "an answer without an id on a connection that carried another request"
         elif not head.stamped and 200 <= head.status < 300:
             unclear = "an answer without its stamp"
-        elif head.status in NOT_RUN_STATUSES and not passage.repeatable():
+        elif head.status in NOT_RUN_STATUSES and not state.repeatable():
             unclear = f"status {head.status} from a worker that does not say that nothing ran"
         if unclear:
             await response.close(False)
@@ -524,7 +539,7 @@
         self.instances.end(chosen.name)
         self.freed.set()
 
-    async def dismiss(self, response: pool.Response, reuse: bool) -> None:
+    async def discard_answer(self, response: pool.Response, reuse: bool) -> None:
         """Read the rest of an answer that is not handed on, so that its connection serves again if that is wanted."""
         try:
             await response.read()
@@ -533,80 +548,82 @@
         finally:
             await response.close(reuse)
 
-    def heed(self, chosen: instance.Instance, head: call.Head) -> None:
+    def record_head(self, chosen: instance.Instance, head: call.Head) -> None:
         """Take in what a worker's head tells of it."""
         if head.load is not None:
-            self.instances.told(chosen.name, *head.load)
+            self.instances.record_load(chosen.name, *head.load)
         if head.misdirected:
-            self.instances.misdirected(chosen.name)
+            self.instances.record_misdirection(chosen.name)
         elif head.not_run:
-            self.instances.full(chosen.name)
+            self.instances.record_rejection(chosen.name)
         else:
-            self.instances.answered(chosen.name, judgement.FAILED if head.status >= 500 else judgement.GOOD)
+            self.instances.record_answer(
+                chosen.name, outlier_detection.FAILED if head.status >= 500 else outlier_detection.GOOD
+            )
         if head.leaving:
-            self.instances.leaving(chosen.name)
+            self.instances.record_connection_close(chosen.name)
 
-    async def whole(
-        self, passage: Passage, chosen: instance.Instance, response: pool.Response, head: call.Head
+    async def read_answer(
+        self, state: CallState, chosen: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
         """A plain answer, read whole before any of it goes out."""
         try:
             body = await response.read()
         except result.RequestError as refusal:
-            self.instances.failed(chosen.name, judgement.kind_of(refusal))
+            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(refusal))
             raise
         except BaseException:
             await response.close(False)
             raise
         await response.close(True)
         answer = call.Answer(response.status, self.dialect.answer_headers(response.headers), body)
-        if passage.claimed:
+        if state.key_reserved:
             pairs = tuple(entry.Header(name, value) for name, value in answer.headers)
-            key = self.key_of(passage.call)
-            self.endings.offer(
+            key = self.key_of(state.call)
+            self.completions.offer(
                 self.group_of(key),
-                entry.CloseKey(key, passage.call.attempt, messages.DONE, answer.status, pairs, body),
+                entry.CloseKey(key, state.call.attempt, messages.DONE, answer.status, pairs, body),
             )
-            passage.claimed = False
-        if passage.begun:
-            self.end_turn_later(passage, messages.UNKNOWN)
+            state.key_reserved = False
+        if state.turn_reserved:
+            self.finish_turn_later(state, messages.UNKNOWN)
         self.counts["answered"] += 1
-        self.tell(passage, "answered", f"{chosen.name}: {response.status}")
+        self.add_trace(state, "answered", f"{chosen.name}: {response.status}")
         return answer
 
     # -- stream ----------------------------------------------------------------------------------
 
     async def begin_stream(
-        self, passage: Passage, chosen: instance.Instance, response: pool.Response, head: call.Head
+        self, state: CallState, chosen: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
         """Wait for the stream's first bytes, then hand the rest on as it comes."""
         parts = response.parts()
         try:
             first = await anext(parts, b"")
         except result.RequestError as refusal:
-            self.instances.failed(chosen.name, judgement.kind_of(refusal))
+            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(refusal))
             raise
         except BaseException:
             await response.close(False)
             raise
-        self.tell(passage, "first part", chosen.name)
+        self.add_trace(state, "first part", chosen.name)
         return call.Answer(
             response.status,
             self.dialect.answer_headers(response.headers),
             b"",
-            self.stream(passage, chosen, response, parts, first),
+            self.stream(state, chosen, response, parts, first),
         )
 
     async def stream(
         self,
-        passage: Passage,
+        state: CallState,
         chosen: instance.Instance,
         response: pool.Response,
         parts: collections.abc.AsyncIterator[bytes],
         first: bytes,
     ) -> collections.abc.AsyncIterator[bytes]:
         """The parts of a stream; it ends only once the turn is kept, and raises when it was broken off."""
-        reader, whole, watch = events.Reader(), False, pace.Stopwatch()
+        reader, whole, watch = events.Reader(), False, stream_pace.Stopwatch()
         try:
             reader.feed(first)
             watch.saw(reader.count)
@@ -619,35 +636,35 @@
             whole = True
             seconds_an_event = watch.pace()
             if seconds_an_event:
-                self.instances.paced(chosen.name, seconds_an_event)
+                self.instances.record_pace(chosen.name, seconds_an_event)
             await response.close(True)
             self.release(chosen)
-            if passage.begun:
-                await self.end_turn(passage, chosen, reader)
+            if state.turn_reserved:
+                await self.end_turn(state, chosen, reader)
             self.counts["answered"] += 1
-            self.tell(passage, "answered", f"{chosen.name}: {reader.count} events")
+            self.add_trace(state, "answered", f"{chosen.name}: {reader.count} events")
         except result.RequestError as refusal:
             self.counts["streams broken"] += 1
             if not whole:
-                self.instances.failed(chosen.name, judgement.kind_of(refusal))
-            self.tell(passage, "broken off", str(refusal))
+                self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(refusal))
+            self.add_trace(state, "broken off", str(refusal))
             raise
         finally:
             self.active -= 1
             if not whole:
                 await response.close(False)
                 self.release(chosen)
-            if passage.begun:
-                self.end_turn_later(passage, messages.UNKNOWN)
+            if state.turn_reserved:
+                self.finish_turn_later(state, messages.UNKNOWN)
 
-    async def end_turn(self, passage: Passage, chosen: instance.Instance, reader: events.Reader) -> None:
+    async def end_turn(self, state: CallState, chosen: instance.Instance, reader: events.Reader) -> None:
         """Have the turn kept and charged, before its caller hears of its end."""
-        one, output = passage.call, reader.output()
+        one, output = state.call, reader.output()
         service = self.node.relay.configuration.services.get(chosen.service)
         stride = service.engine.stride if service is not None and service.engine is not None else 1
-        retained = passage.route.retained
+        retained = state.route.retained
         command = entry.EndTurn(
-            passage.program,
+            state.program,
             one.session,
             one.attempt,
             messages.DONE,
@@ -656,44 +673,44 @@
             reader.count * stride,
             chosen.name,
         )
-        within = max(passage.end - clock.now(), OVERTIME)
+        within = max(state.end - clock.now(), TURN_END_GRACE)
         try:
-            await self.node.submit(self.group_of(passage.program), command, within)
+            await self.node.submit(self.group_of(state.program), command, within)
         except result.RequestError as refusal:
             raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, str(refusal)) from None
-        passage.begun = False
+        state.turn_reserved = False
         if retained:
             self.chains.keep((entry.Turn(one.attempt, one.previous, one.body, output, chosen.name),))
 
     # -- close -----------------------------------------------------------------------------------
 
-    def end_turn_later(self, passage: Passage, outcome: str) -> None:
+    def finish_turn_later(self, state: CallState, outcome: str) -> None:
         """Have a turn that nobody waits for ended behind the answer."""
-        one = passage.call
-        passage.begun = False
-        self.endings.offer(
-            self.group_of(passage.program),
-            entry.EndTurn(passage.program, one.session, one.attempt, outcome, b"", b"", 0, ""),
+        one = state.call
+        state.turn_reserved = False
+        self.completions.offer(
+            self.group_of(state.program),
+            entry.EndTurn(state.program, one.session, one.attempt, outcome, b"", b"", 0, ""),
         )
 
-    def give_up(self, passage: Passage) -> None:
+    def abandon(self, state: CallState) -> None:
         """Free or charge what was begun for a call that failed."""
-        outcome = messages.UNKNOWN if passage.attempts.possibly_run else messages.NOT_RUN
-        if passage.begun:
-            self.end_turn_later(passage, outcome)
-        if passage.claimed:
-            passage.claimed = False
-            key = self.key_of(passage.call)
-            self.endings.offer(self.group_of(key), entry.CloseKey(key, passage.call.attempt, outcome, 0, (), b""))
+        outcome = messages.UNKNOWN if state.attempts.possibly_run else messages.NOT_RUN
+        if state.turn_reserved:
+            self.finish_turn_later(state, outcome)
+        if state.key_reserved:
+            state.key_reserved = False
+            key = self.key_of(state.call)
+            self.completions.offer(self.group_of(key), entry.CloseKey(key, state.call.attempt, outcome, 0, (), b""))
 
     async def drain(self) -> None:
         """Serve on while callers are still handed to this edge, then refuse new calls and let the others end."""
         began = clock.now()
         self.draining = True
-        while clock.now() < began + GRACE:
-            await clock.sleep(SETTLE)
-            self.closed = clock.now() > began + UNREADY
-            if self.closed and not self.active and not self.endings.open():
+        while clock.now() < began + DRAIN_LIMIT:
+            await clock.sleep(DRAIN_POLL_INTERVAL)
+            self.closed = clock.now() > began + SERVED_WHILE_UNREADY
+            if self.closed and not self.active and not self.completions.open():
                 return
 
     def samples(self) -> list[sample.Sample]:
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -46,7 +46,7 @@
 
 
 def played(story, *troubles, **route):
-    """A story with one worker for each of the troubles given."""
+    """A trace with one worker for each of the troubles given."""
     simulated = loop.SimLoop()
     ways = wire.Wire(simulated, random.Random(1), wire.Weather())
 
@@ -58,7 +58,7 @@
             life.faults = worker_server.Faults(**trouble)
             lives.append(life)
             simulated.create_task(life.serve(wire.SimNetwork(ways, f"w{number}"), f"w{number}:80"))
-        known.take(
+        known.update(
             [
                 instance.Instance(life.name, f"w{number}:80", "tool", "north", "v1", 6, False, clock.ZERO)
                 for number, life in enumerate(lives)
@@ -91,7 +91,7 @@
 
 async def refusal_of(forwarding):
     try:
-        await forwarding.take(asked())
+        await forwarding.handle(asked())
     except result.RequestError as refusal:
         return refusal
 
@@ -121,7 +121,7 @@
 def test_a_caller_that_leaves_while_an_answer_comes_leaves_no_connection_behind():
     async def story(forwarding, lives):
         for pause in (0.011, 0.02, 0.03, 0.04, 0.05):
-            task = asyncio.ensure_future(forwarding.take(asked()))
+            task = asyncio.ensure_future(forwarding.handle(asked()))
             await clock.sleep(clock.seconds(pause))
             task.cancel()
             await asyncio.wait([task])
@@ -135,7 +135,7 @@
 
 def test_work_that_may_be_repeated_is_asked_of_another_worker_when_one_is_silent_beyond_the_aim():
     async def story(forwarding, lives):
-        answer = await forwarding.take(asked())
+        answer = await forwarding.handle(asked())
         return answer.status, forwarding.counts["hedged"], clock.now() < clock.seconds(0.6), forwarding.active
 
     for silent in (0, 1):
@@ -167,7 +167,7 @@
 async def refusal_for(forwarding, one):
     """The refusal that a call ends in."""
     try:
-        answer = await forwarding.take(one)
+        answer = await forwarding.handle(one)
     except result.RequestError as refusal:
         return refusal
     raise AssertionError(answer)
@@ -175,19 +175,19 @@
 
 def test_a_hedge_and_a_retry_of_the_first_attempt_share_the_attempts_of_the_route():
     async def story(forwarding, lives):
-        forwarding.instances.full("i-1")
-        forwarding.instances.full("i-2")
-        held = forwarding.place
+        forwarding.instances.record_rejection("i-1")
+        forwarding.instances.record_rejection("i-2")
+        held = forwarding.wait_for_worker
         placed = 0
 
-        async def place(passage):
+        async def place(state):
             nonlocal placed
             placed += 1
             if placed == 2:
                 await clock.sleep(clock.seconds(0.2))
-            return await held(passage)
+            return await held(state)
 
-        forwarding.place = place
+        forwarding.wait_for_worker = place
         refusal = await refusal_of(forwarding)
         return refusal.ran, sum(len(life.runs) for life in lives), forwarding.active
 
@@ -202,9 +202,9 @@
         admit = forwarding.admit
 
         def change(one):
-            passage = admit(one)
+            state = admit(one)
             plan.http_routes["route"] = http_route.of("route", {**ROUTE, "kind": "keyed"})
-            return passage
+            return state
 
         forwarding.admit = change
         refusal = await refusal_of(forwarding)
@@ -252,7 +252,7 @@
             raise engine.Full
 
         lives[0].slots.enter = turned_away_late
-        forwarding.instances.full("i-1")
+        forwarding.instances.record_rejection("i-1")
         refusal = await refusal_of(forwarding)
         return refusal.ran, [len(life.runs) for life in lives], forwarding.counts["hedged"]
 
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -4,7 +4,7 @@
 import collections.abc
 import random
 
-from aspencroft.proxy import choose, instance, instances
+from aspencroft.proxy import instance, instances, worker_selection
 from aspencroft.runtime import clock
 from aspencroft.simulation import loop
 
@@ -27,27 +27,27 @@
 
 def test_the_list_says_who_serves_what():
     async def acts(known):
-        assert known.of("chat") == () and known.barred("a") and known.age() is None
-        known.take([worker("a"), worker("b", draining=True), worker("c", "tool")], clock.now())
+        assert known.of("chat") == () and known.is_excluded("a") and known.age() is None
+        known.update([worker("a"), worker("b", draining=True), worker("c", "tool")], clock.now())
         assert names(known.of("chat")) == ["a"] and names(known.of("tool")) == ["c"]
-        assert [known.barred(name) for name in "abcd"] == [False, True, False, True]
+        assert [known.is_excluded(name) for name in "abcd"] == [False, True, False, True]
         await asyncio.sleep(1)
         assert known.age() == clock.seconds(1)
         known.confirm(clock.now())
-        known.take([worker("x")], clock.seconds(0.5) - clock.seconds(1))
+        known.update([worker("x")], clock.seconds(0.5) - clock.seconds(1))
         assert known.age() == clock.ZERO and names(known.of("chat")) == ["a"], "an older list is left"
-        known.take([], clock.now())
-        assert known.of("chat") == () and known.barred("a")
+        known.update([], clock.now())
+        assert known.of("chat") == () and known.is_excluded("a")
 
     play(acts)
 
 
 def test_a_worker_seen_draining_stays_so_when_an_older_list_comes_late():
     async def acts(known):
-        known.take([worker("a"), worker("b", draining=True)], clock.now())
+        known.update([worker("a"), worker("b", draining=True)], clock.now())
         await asyncio.sleep(0.1)
-        known.take([worker("a"), worker("b")], clock.now())
-        assert names(known.of("chat")) == ["a"] and known.barred("b")
+        known.update([worker("a"), worker("b")], clock.now())
+        assert names(known.of("chat")) == ["a"] and known.is_excluded("b")
 
     play(acts)
 
@@ -70,21 +70,26 @@
                 listed = [worker(name, draining=name in drained) for name in sorted(alive)]
                 chance.shuffle(listed)
                 if chance.random() < 0.6:
-                    known.take(listed, clock.now())
+                    known.update(listed, clock.now())
                     shown = {one.name for one in listed if one.draining}
-                    assert all(known.barred(name) for name in shown | gone)
+                    assert all(known.is_excluded(name) for name in shown | gone)
                 for parts in ((), ((f"{step % 7}", 900),)):
                     last = chance.choice(["", *sorted(drained), *sorted(gone)])
-                    chosen = choose.choose(known.candidates("chat"), parts, last, "a", chance)
+                    chosen = worker_selection.choose(known.candidates("chat"), parts, last, "a", chance)
                     await asyncio.sleep(chance.random() * 0.3)
                     if chosen.name and chance.random() < 0.5:
-                        known.take(listed, clock.now())
-                        if known.barred(chosen.name):
+                        known.update(listed, clock.now())
+                        if known.is_excluded(chosen.name):
                             assert chosen.name in drained | gone
                             continue
                         assert chosen.name not in drained | gone
                         sent += 1
-                    for tell in (known.leaving, known.answered, known.failed, known.full):
+                    for tell in (
+                        known.record_connection_close,
+                        known.record_answer,
+                        known.record_failure,
+                        known.record_rejection,
+                    ):
                         if chosen.name and chance.random() < 0.1:
                             tell(chosen.name)
             assert sent > 20
@@ -94,10 +99,10 @@
 
 def test_own_requests_count_whole_and_those_of_others_fade():
     async def acts(known):
-        known.take([worker("a")], clock.now())
+        known.update([worker("a")], clock.now())
         for _ in range(3):
             known.begin("a")
-        known.told("a", 7, 2, 16)
+        known.record_load("a", 7, 2, 16)
         assert known.load("a") == 9.0 and known.candidates("chat")[0].slots == 16
         known.end("a")
         assert known.load("a") == 8.0
@@ -105,7 +110,7 @@
         assert 2 < known.load("a") < 5
         await asyncio.sleep(9)
         assert 2 <= known.load("a") < 2.01
-        known.told("a", 0, 0, 0)
+        known.record_load("a", 0, 0, 0)
         assert known.load("a") == 2.0, "never less than our own"
         for _ in range(5):
             known.end("a")
@@ -116,42 +121,42 @@
 
 def test_failures_make_a_worker_doubtful_for_a_while_that_grows_and_one_answer_forgives():
     async def acts(known):
-        known.take([worker("a")], clock.now())
+        known.update([worker("a")], clock.now())
         spans = []
         for _ in range(8):
-            known.failed("a")
-            known.failed("a")
+            known.record_failure("a")
+            known.record_failure("a")
             began = clock.now()
-            assert known.candidates("chat")[0].doubtful and not known.barred("a")
-            while known.candidates("chat")[0].doubtful:
+            assert known.candidates("chat")[0].suspect and not known.is_excluded("a")
+            while known.candidates("chat")[0].suspect:
                 await asyncio.sleep(0.05)
             spans.append((clock.now() - began).total_seconds())
         assert spans[0] < 0.35 and spans[1] > 1.4 * spans[0] and 7 < spans[-1] < 9, spans
-        known.failed("a")
-        known.answered("a")
-        assert not known.candidates("chat")[0].doubtful
-        known.failed("a")
+        known.record_failure("a")
+        known.record_answer("a")
+        assert not known.candidates("chat")[0].suspect
+        known.record_failure("a")
         await asyncio.sleep(0.35)
-        assert not known.candidates("chat")[0].doubtful
+        assert not known.candidates("chat")[0].suspect
 
     play(acts)
 
 
 def test_a_worker_that_turned_a_request_away_is_crowded_for_a_moment():
     async def acts(known):
-        known.take([worker("a"), worker("b")], clock.now())
-        known.full("a")
-        assert [one.crowded for one in known.candidates("chat")] == [True, False]
+        known.update([worker("a"), worker("b")], clock.now())
+        known.record_rejection("a")
+        assert [one.rejecting for one in known.candidates("chat")] == [True, False]
         await asyncio.sleep(0.06)
-        assert not known.candidates("chat")[0].crowded
+        assert not known.candidates("chat")[0].rejecting
         for _ in range(8):
-            known.full("a")
+            known.record_rejection("a")
             await asyncio.sleep(0.9)
-        known.full("a")
+        known.record_rejection("a")
         await asyncio.sleep(0.7)
-        assert known.candidates("chat")[0].crowded
+        assert known.candidates("chat")[0].rejecting
         await asyncio.sleep(0.2)
-        assert not known.candidates("chat")[0].crowded
+        assert not known.candidates("chat")[0].rejecting
         assert names(known.candidates("chat", frozenset("a"))) == ["b"]
 
     play(acts)
@@ -159,60 +164,60 @@
 
 def test_one_closed_connection_is_nothing_but_several_in_a_row_say_that_a_worker_leaves():
     async def acts(known):
-        known.take([worker("a")], clock.now())
+        known.update([worker("a")], clock.now())
         for _ in range(5):
-            known.answered("a")
-            known.leaving("a")
-            assert not known.candidates("chat")[0].doubtful
-            known.answered("a")
-            known.answered("a")
-            assert not known.candidates("chat")[0].doubtful
+            known.record_answer("a")
+            known.record_connection_close("a")
+            assert not known.candidates("chat")[0].suspect
+            known.record_answer("a")
+            known.record_answer("a")
+            assert not known.candidates("chat")[0].suspect
         for _ in range(3):
-            known.answered("a")
-            known.leaving("a")
-        assert known.candidates("chat")[0].doubtful and not known.barred("a")
+            known.record_answer("a")
+            known.record_connection_close("a")
+        assert known.candidates("chat")[0].suspect and not known.is_excluded("a")
         await asyncio.sleep(1.6)
-        assert not known.candidates("chat")[0].doubtful
+        assert not known.candidates("chat")[0].suspect
 
     play(acts)
 
 
 def test_an_address_that_another_worker_has_bars_its_life_for_longer_each_time():
     async def acts(known):
-        known.take([worker("a"), worker("b")], clock.now())
+        known.update([worker("a"), worker("b")], clock.now())
         for span in (4, 8):
-            known.misdirected("a")
-            assert known.barred("a") and names(known.of("chat")) == ["b"]
+            known.record_misdirection("a")
+            assert known.is_excluded("a") and names(known.of("chat")) == ["b"]
             await asyncio.sleep(span - 0.1)
-            assert known.barred("a")
+            assert known.is_excluded("a")
             await asyncio.sleep(0.2)
-            assert not known.barred("a")
+            assert not known.is_excluded("a")
 
     play(acts)
 
 
 def test_cold_workers_become_warm_with_time():
     async def acts(known):
-        known.take([worker("a", cold=2.0)], clock.now())
-        assert known.candidates("chat")[0].cold
+        known.update([worker("a", cold=2.0)], clock.now())
+        assert known.candidates("chat")[0].warming_up
         await asyncio.sleep(2.1)
-        assert not known.candidates("chat")[0].cold
+        assert not known.candidates("chat")[0].warming_up
 
     play(acts)
 
 
 def test_knowledge_of_workers_that_are_gone_goes_once_nothing_runs_there():
     async def acts(known):
-        known.take([worker("a"), worker("b", draining=True)], clock.now())
+        known.update([worker("a"), worker("b", draining=True)], clock.now())
         known.begin("a")
-        known.told("b", 1, 0, 8)
-        known.take([], clock.now())
+        known.record_load("b", 1, 0, 8)
+        known.update([], clock.now())
         assert set(known.known) == {"a"}
         known.end("a")
         assert not known.known
         for number in range(200):
             await asyncio.sleep(1)
-            known.take([worker(f"i-{number}", draining=True)], clock.now())
+            known.update([worker(f"i-{number}", draining=True)], clock.now())
         assert len(known.drained) < 70
 
     play(acts)
--- a/aspencroft/proxy/judgement.py
+++ b/aspencroft/proxy/outlier_detection.py
@@ -19,19 +19,19 @@
     "late",
 )
 WEIGHTS = {FAILED: 1.0, BROKE: 1.0, LOST: 1.0, STALE: 0.5, UNREACHED: 1.0, LATE: 0.5}
-WINDOW = clock.seconds(8)
-LEAST = 2.5
-WORST_SHARE = 0.08
-SUSPECT_SHARE = 0.05
-RETURN_SHARE = 0.2
-PRIOR_BAD, PRIOR = 0.2, 10.0
-MOST_EJECTED = 3
-FIRST_SPAN, MOST_SPAN = clock.seconds(2), clock.seconds(16)
-FORGIVEN = clock.seconds(30)
-FIRST_SHARE, GROWTH = 0.1, 1.5
-
-
-def kind_of(refusal: result.RequestError) -> str:
+OUTCOME_DECAY = clock.seconds(8)
+LEAST_FAILURES = 2.5
+OUTLIER_RATE = 0.08
+SUSPECT_RATE = 0.05
+RETURNING_RATE = 0.2
+PRIOR_FAILURES, PRIOR_ANSWERS = 0.2, 10.0
+EJECTABLE_PART = 3
+FIRST_EJECTION, LONGEST_EJECTION = clock.seconds(2), clock.seconds(16)
+FAILURES_FORGOTTEN_AFTER = clock.seconds(30)
+SLOW_START_SHARE, SLOW_START_GROWTH = 0.1, 1.5
+
+
+def outcome_of_error(refusal: result.RequestError) -> str:
     """How a request ended at a worker, by the pool's refusal; nothing when that tells nothing of the worker."""
     if isinstance(refusal, pools.Lost) and refusal.reused:
         return STALE
@@ -48,17 +48,17 @@
 
     Example: ``peer_rate(0.0, 0.0) == 0.02``
     """
-    return (bad + PRIOR_BAD) / (total + PRIOR)
+    return (bad + PRIOR_FAILURES) / (total + PRIOR_ANSWERS)
 
 
-def worse(bad: float, total: float, rate: float) -> bool:
+def exceeds_peer_rate(bad: float, total: float, rate: float) -> bool:
     """Whether so many bad answers of so many are surely more than chance gives at the others' rate."""
     expected = total * rate
-    return bad >= LEAST and bad / total >= WORST_SHARE and bad > expected + 3.0 * math.sqrt(expected) + 0.5
+    return bad >= LEAST_FAILURES and bad / total >= OUTLIER_RATE and bad > expected + 3.0 * math.sqrt(expected) + 0.5
 
 
 @dataclasses.dataclass
-class Record:
+class WorkerRecord:
     """One worker's answers, fading, and its standing."""
 
     service: str
@@ -76,7 +76,7 @@
     def fade(self, now: datetime.timedelta) -> None:
         """Let what was counted count for less."""
         if now > self.at:
-            factor = math.exp(-((now - self.at) / WINDOW))
+            factor = math.exp(-((now - self.at) / OUTCOME_DECAY))
             self.good *= factor
             for kind in self.bad:
                 self.bad[kind] *= factor
@@ -91,62 +91,62 @@
         return self.good + sum(self.bad.values())
 
 
-class Judgement:
-    """One edge's judgement of workers; it asks nobody and believes no worker's word on its own health.
+class OutlierDetector:
+    """One edge's outlier detection of workers; it asks nobody and believes no worker's word on its own health.
 
     A worker that is worse than the others of its service gets nothing for a while; no more than a third of a
     service at once. It comes back by small shares of what it would get, and goes for longer if it fails again.
     """
 
     def __init__(self):
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, WorkerRecord] = {}
         self.services: dict[str, frozenset[str]] = {}
         self.counts = {"ejected": 0, "not ejected": 0, "returned": 0}
 
-    def take(self, services: dict[str, frozenset[str]]) -> None:
+    def set_workers(self, services: dict[str, frozenset[str]]) -> None:
         """The workers that there are, by service; what is known of others is dropped."""
         self.services = services
         there = {name for names in services.values() for name in names}
         for name in [name for name in self.records if name not in there]:
             del self.records[name]
 
-    def heard(self, service: str, name: str, kind: str, now: datetime.timedelta) -> None:
+    def record_outcome(self, service: str, name: str, kind: str, now: datetime.timedelta) -> None:
         """A request ended at a worker, well or in one of the bad ways."""
         if name not in self.services.get(service, ()) or (kind != GOOD and kind not in WEIGHTS):
             return
         record = self.records.get(name)
         if record is None:
-            record = self.records[name] = Record(service, at=now)
+            record = self.records[name] = WorkerRecord(service, at=now)
         record.fade(now)
         if kind == GOOD:
             record.good += 1.0
             if record.share < 1.0 and now >= record.ejected_until:
-                record.share = min(1.0, record.share * GROWTH)
+                record.share = min(1.0, record.share * SLOW_START_GROWTH)
                 self.counts["returned"] += record.share == 1.0
             return
         record.bad[kind] += 1.0
         self.review(name, record, kind, now)
 
-    def review(self, name: str, record: Record, kind: str, now: datetime.timedelta) -> None:
+    def review(self, name: str, record: WorkerRecord, kind: str, now: datetime.timedelta) -> None:
         """Judge a worker after a bad answer; one that is alone is not judged."""
         if now < record.ejected_until or len(self.services[record.service]) < 2:
             return
         bad, total, rate = record.weight(), record.total(), self.rate(name, record.service, now)
-        again = record.share < 1.0 and WEIGHTS[kind] == 1.0 and bad / total > RETURN_SHARE + 2.0 * rate
-        if not again and not worse(bad, total, rate):
+        again = record.share < 1.0 and WEIGHTS[kind] == 1.0 and bad / total > RETURNING_RATE + 2.0 * rate
+        if not again and not exceeds_peer_rate(bad, total, rate):
             return
         names = self.services[record.service]
         out = sum(1 for one in names if one in self.records and self.records[one].ejected_until > now)
         kinds = ", ".join(f"{one} {count:.1f}" for one, count in sorted(record.bad.items()) if count >= 0.1)
         record.reason = f"{bad:.1f} of {total:.1f} answers bad ({kinds}), {100 * rate:.0f} % expected"
-        if out >= len(names) // MOST_EJECTED:
+        if out >= len(names) // EJECTABLE_PART:
             record.limited = True
             self.counts["not ejected"] += 1
             return
-        remembered = record.ejected_at is not None and now - record.ejected_at < FORGIVEN + record.span
-        record.span = min(MOST_SPAN, record.span * 2) if remembered else FIRST_SPAN
+        remembered = record.ejected_at is not None and now - record.ejected_at < FAILURES_FORGOTTEN_AFTER + record.span
+        record.span = min(LONGEST_EJECTION, record.span * 2) if remembered else FIRST_EJECTION
         record.ejected_at, record.ejected_until = now, now + record.span
-        record.share, record.credit, record.limited = FIRST_SHARE, 0.0, False
+        record.share, record.credit, record.limited = SLOW_START_SHARE, 0.0, False
         record.good, record.bad = 0.0, collections.Counter()
         self.counts["ejected"] += 1
 
@@ -161,8 +161,8 @@
                 total += record.total()
         return peer_rate(bad, total)
 
-    def admits(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
-        """Whether a worker may get the next request, as far as judgement goes; it counts as asked.
+    def admit(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
+        """Whether a worker may get the next request, as far as outlier detection goes; it counts as asked.
 
         One that comes back gets its share of the requests that may be repeated.
         """
@@ -177,7 +177,7 @@
         record.credit -= 1.0
         return True
 
-    def suspect(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
+    def is_suspect(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
         """Whether others should come first: it is bad but too many are, or it may be and the request is sent once
         only.
         """
@@ -187,12 +187,12 @@
         record.fade(now)
         bad, total = record.weight(), record.total()
         if record.limited:
-            record.limited = worse(bad, total, self.rate(name, record.service, now))
+            record.limited = exceeds_peer_rate(bad, total, self.rate(name, record.service, now))
         if record.limited or repeatable or bad < 0.5:
             return record.limited
-        return bad / total > SUSPECT_SHARE + 2.0 * self.rate(name, record.service, now)
+        return bad / total > SUSPECT_RATE + 2.0 * self.rate(name, record.service, now)
 
-    def why(self, name: str, now: datetime.timedelta) -> str:
+    def explain(self, name: str, now: datetime.timedelta) -> str:
         """What is held against a worker, in words; nothing when it is sound."""
         record = self.records.get(name)
         if record is None or (record.share >= 1.0 and not record.limited):
--- a/aspencroft/proxy/pace.py
+++ b/aspencroft/proxy/stream_pace.py
@@ -78,7 +78,7 @@
         """One service's pace."""
         return self.services[service]
 
-    def take(self, services: dict[str, frozenset[str]]) -> None:
+    def set_workers(self, services: dict[str, frozenset[str]]) -> None:
         """The workers that there are, by service; what is known of others is dropped."""
         for service in [one for one in self.services if one not in services]:
             del self.services[service]
--- a/aspencroft/proxy/pace_test.py
+++ b/aspencroft/proxy/stream_pace_test.py
@@ -4,14 +4,14 @@
 import collections.abc
 import random
 
-from aspencroft.proxy import pace
+from aspencroft.proxy import stream_pace
 from aspencroft.runtime import clock
 from aspencroft.simulation import loop
 
 
 def play(acts: collections.abc.Callable) -> None:
     """Play a scene in simulated time."""
-    loop.SimLoop().run_until_complete(acts(pace.ServicePace()))
+    loop.SimLoop().run_until_complete(acts(stream_pace.ServicePace()))
 
 
 def test_a_busy_worker_is_told_from_idle_ones_by_its_streams_alone():
@@ -62,18 +62,18 @@
     async def acts(known):
         known.observe("i-1", "north", 0.03, clock.now())
         known.observe("i-1", "north", 3000.0, clock.now())
-        assert known.slowness("i-1", "north", clock.now()) <= pace.MOST_SLOWNESS
+        assert known.slowness("i-1", "north", clock.now()) <= stream_pace.MOST_SLOWNESS
 
     play(acts)
 
 
 def test_what_is_known_of_workers_that_are_gone_is_dropped():
     async def acts(_):
-        paces = pace.Paces()
+        paces = stream_pace.Paces()
         for name in ("i-1", "i-2"):
             paces.of("chat").observe(name, "north", 0.03, clock.now())
         paces.of("gone").observe("i-9", "north", 0.03, clock.now())
-        paces.take({"chat": frozenset(("i-1",))})
+        paces.set_workers({"chat": frozenset(("i-1",))})
         assert list(paces.services) == ["chat"] and list(paces.of("chat").workers) == ["i-1"]
 
     play(acts)
@@ -81,7 +81,7 @@
 
 def test_a_stream_is_timed_from_the_first_events_seen_and_not_when_it_is_short():
     async def acts(_):
-        watch = pace.Stopwatch()
+        watch = stream_pace.Stopwatch()
         for count in (0, 2, 2, 3, 4):
             watch.saw(count)
             await asyncio.sleep(0.1)
--- a/aspencroft/proxy/chains.py
+++ b/aspencroft/proxy/turn_cache.py
@@ -7,7 +7,7 @@
 MOST_BYTES = 24 << 20
 
 
-class Chains:
+class TurnCache:
     """A bounded memory of turns by the id of their attempt; the longest unused go first."""
 
     def __init__(self, most: int = MOST_BYTES):
--- a/aspencroft/proxy/chains_test.py
+++ b/aspencroft/proxy/turn_cache_test.py
@@ -2,7 +2,7 @@
 
 import random
 
-from aspencroft.proxy import chains
+from aspencroft.proxy import turn_cache
 from aspencroft.sessions import entry
 
 
@@ -11,7 +11,7 @@
 
 
 def test_a_chain_is_whole_or_not_there():
-    kept = chains.Chains()
+    kept = turn_cache.TurnCache()
     kept.keep((turn("a", ""), turn("c", "b")))
     assert kept.bytes_of("a") == b"in aout a\n" and kept.bytes_of("c") is None and not kept.holds("c")
     kept.keep((turn("b", "a"),))
@@ -22,7 +22,7 @@
 def test_memory_is_bounded_and_branches_share_their_beginning():
     for seed in range(20):
         chance = random.Random(seed)
-        kept, plain = chains.Chains(2000), {}
+        kept, plain = turn_cache.TurnCache(2000), {}
         for number in range(400):
             name = f"t{number}"
             previous = chance.choice(["", *list(plain)[-5:]])
--- a/aspencroft/proxy/choose.py
+++ b/aspencroft/proxy/worker_selection.py
@@ -6,8 +6,8 @@
 import math
 import random
 
-SHARE = 0.75
-BORDER = 0.15
+PREFERRED_UTILIZATION = 0.75
+ZONE_CROSSING_COST = 0.15
 LAST, HOME, SPILL, LEAST, NONE = "last", "home", "spill", "least", "none"
 
 
@@ -15,8 +15,8 @@
 class Candidate:
     """A worker that a request may go to, as it is known at this moment.
 
-    ``load`` is requests running and waiting there; ``cold`` and ``doubtful`` workers are taken when no
-    other has room; a ``crowded`` one turned a request away a moment ago. ``slowness`` is how many times as long as an
+    ``load`` is requests running and waiting there; ``warming_up`` and ``suspect`` workers are taken when no
+    other has room; a ``rejecting`` one rejected a request a moment ago. ``slowness`` is how many times as long as an
     idle worker it takes for an event, as far as that is known.
     """
 
@@ -24,15 +24,15 @@
     zone: str
     slots: int
     load: float
-    cold: bool = False
-    doubtful: bool = False
-    crowded: bool = False
+    warming_up: bool = False
+    suspect: bool = False
+    rejecting: bool = False
     slowness: float = 1.0
 
-    def fill(self) -> float:
+    def utilization(self) -> float:
         """How full the worker is: whole requests over slots.
 
-        Example: ``Candidate("i-1", "north", 4, 2.0).fill() == 0.5``
+        Example: ``Candidate("i-1", "north", 4, 2.0).utilization() == 0.5``
         """
         return math.floor(self.load + 1e-9) / max(1, self.slots)
 
@@ -41,18 +41,18 @@
 
         Example: ``Candidate("i-1", "north", 4, 2.0, slowness=1.2).cost() == 1.7``
         """
-        return self.slowness + self.fill()
+        return self.slowness + self.utilization()
 
-    def room(self, share: float) -> bool:
+    def has_capacity(self, share: float) -> bool:
         """Whether one more request would stay within a share of the slots."""
-        return not self.crowded and self.load < share * max(1, self.slots)
+        return not self.rejecting and self.load < share * max(1, self.slots)
 
     def rank(self) -> int:
         """0 for a sound warm worker, more for those to be taken later.
 
-        Example: ``Candidate("i-1", "north", 4, 2.0, cold=True).rank() == 1``
+        Example: ``Candidate("i-1", "north", 4, 2.0, warming_up=True).rank() == 1``
         """
-        return self.cold + 2 * self.doubtful
+        return self.warming_up + 2 * self.suspect
 
 
 @dataclasses.dataclass(frozen=True)
@@ -65,17 +65,17 @@
 
 
 @functools.lru_cache(maxsize=65536)
-def weight(part: str, name: str) -> bytes:
+def rendezvous_weight(part: str, name: str) -> bytes:
     """A worker's lot for a part; the highest is the part's first home, on every edge.
 
-    Example: ``weight("5c1e", "i-1") == weight("5c1e", "i-1")``
+    Example: ``weight("5c1e", "i-1") == rendezvous_weight("5c1e", "i-1")``
     """
     return hashlib.blake2b(f"{len(part)} {part} {name}".encode(), digest_size=16).digest()
 
 
-def homes(part: str, instances: tuple[Candidate, ...]) -> list[Candidate]:
+def preferred_workers(part: str, instances: tuple[Candidate, ...]) -> list[Candidate]:
     """The workers in the order in which they are a part's homes."""
-    return sorted(instances, key=lambda one: weight(part, one.name), reverse=True)
+    return sorted(instances, key=lambda one: rendezvous_weight(part, one.name), reverse=True)
 
 
 def choose(
@@ -84,33 +84,33 @@
     last: str,
     zone: str,
     randomness: random.Random,
-    share: float = SHARE,
-    most: float = math.inf,
+    share: float = PREFERRED_UTILIZATION,
+    load_limit: float = math.inf,
     copies: int = 1,
 ) -> Choice:
     """One worker: that of the turn before, else a home of the first shared part, else the lesser of two loads.
 
     A part has ``copies`` homes, over all zones. A home takes requests up to ``share`` of its slots; no worker is
-    chosen whose load is ``most`` times its slots.
+    chosen whose load is ``load_limit`` times its slots.
     """
     if not instances:
         return Choice("", NONE, "no worker is there")
-    if most < math.inf:
-        instances = tuple(one for one in instances if one.load < most * max(1, one.slots))
+    if load_limit < math.inf:
+        instances = tuple(one for one in instances if one.load < load_limit * max(1, one.slots))
         if not instances:
             return Choice("", NONE, "all workers are full")
     if last:
         known = next((one for one in instances if one.name == last), None)
-        if known is not None and not known.doubtful and known.room(1.0):
+        if known is not None and not known.suspect and known.has_capacity(1.0):
             return Choice(last, LAST, f"{last} served the turn before, {known.load:.1f} of {known.slots} slots taken")
     if parts:
-        found = at_home(instances, parts[0][0], share, zone, randomness, copies)
+        found = choose_preferred(instances, parts[0][0], share, zone, randomness, copies)
         if found is not None:
             return found
-    return least(instances, zone, randomness)
+    return choose_least_loaded(instances, zone, randomness)
 
 
-def at_home(
+def choose_preferred(
     instances: tuple[Candidate, ...],
     part: str,
     share: float,
@@ -125,7 +125,7 @@
     Among equals the lesser cost of two drawn by lot is taken: an edge knows little of what others send. Homes elsewhere
     that are clearly quicker come before those of the own zone: they hold the part for their own zone anyway.
     """
-    order = homes(part, instances)
+    order = preferred_workers(part, instances)
     near = [one for one in order if one.zone == zone]
     far = [one for one in order if one.zone != zone]
     sides = [(order, copies, share), (order, copies, 1.0)]
@@ -142,12 +142,12 @@
     first = sides[0][0][: sides[0][1]]
     for side, width, limit in sides:
         for rank in sorted({one.rank() for one in side}):
-            one = drawn_home(side, width, limit, rank, randomness)
+            one = draw_preferred(side, width, limit, rank, randomness)
             if one is None:
                 continue
             if side is near and far:
-                other = drawn_home(far, far_copies, limit, rank, randomness)
-                if other is not None and other.slowness + BORDER < one.slowness:
+                other = draw_preferred(far, far_copies, limit, rank, randomness)
+                if other is not None and other.slowness + ZONE_CROSSING_COST < one.slowness:
                     one = other
             where = "its zone's" if one.zone == zone else "a"
             taken = f"{one.load:.1f} of {one.slots} slots taken, {one.slowness:.2f} times as slow as idle"
@@ -156,29 +156,29 @@
     return None
 
 
-def drawn_home(
+def draw_preferred(
     side: list[Candidate], width: int, limit: float, rank: int, randomness: random.Random
 ) -> Candidate | None:
     """The lesser cost of two drawn among the first homes of a rank that have room; none when no home has."""
-    open_homes = [one for one in side if one.rank() == rank and one.room(limit)][:width]
+    open_homes = [one for one in side if one.rank() == rank and one.has_capacity(limit)][:width]
     if not open_homes:
         return None
     return min(randomness.sample(open_homes, min(2, len(open_homes))), key=Candidate.cost)
 
 
-def least(instances: tuple[Candidate, ...], zone: str, randomness: random.Random) -> Choice:
+def choose_least_loaded(instances: tuple[Candidate, ...], zone: str, randomness: random.Random) -> Choice:
     """The less loaded of two workers drawn from each side of the zone's border.
 
     The first drawn, the zone's own, at equal loads.
     """
     best, near, far = 99, [], []
     for one in instances:
-        late = 8 * one.crowded + 4 * (one.load >= one.slots) + one.cold + 2 * one.doubtful
+        late = 8 * one.rejecting + 4 * (one.load >= one.slots) + one.warming_up + 2 * one.suspect
         if late < best:
             best, near, far = late, [], []
         if late == best:
             (near if one.zone == zone else far).append(one)
     drawn = [one for side in (near, far) for one in randomness.sample(side, min(2, len(side)))]
-    one = min(drawn, key=Candidate.fill)
+    one = min(drawn, key=Candidate.utilization)
     why = f"{one.name} has the least load of {len(drawn)} drawn, {one.load:.1f} of {one.slots} slots taken"
     return Choice(one.name, LEAST, why)
--- a/aspencroft/proxy/choose_test.py
+++ b/aspencroft/proxy/worker_selection_test.py
@@ -4,36 +4,36 @@
 import dataclasses
 import random
 
-from aspencroft.proxy import choose
+from aspencroft.proxy import worker_selection
 
 
-def workers(count: int, **named) -> tuple[choose.Candidate, ...]:
+def workers(count: int, **named) -> tuple[worker_selection.Candidate, ...]:
     """So many equal workers in three zones."""
     named = {"slots": 16, "load": 0.0, **named}
-    return tuple(choose.Candidate(f"i-{number:03x}", "abc"[number % 3], **named) for number in range(count))
+    return tuple(worker_selection.Candidate(f"i-{number:03x}", "abc"[number % 3], **named) for number in range(count))
 
 
-def swap(found: tuple[choose.Candidate, ...], name: str, **named) -> tuple[choose.Candidate, ...]:
+def swap(found: tuple[worker_selection.Candidate, ...], name: str, **named) -> tuple[worker_selection.Candidate, ...]:
     """The same workers, one of them changed."""
     return tuple(dataclasses.replace(one, **named) if one.name == name else one for one in found)
 
 
-def home_of(found, part: str, seed: int = 1, zone: str = "elsewhere") -> choose.Choice:
+def home_of(found, part: str, seed: int = 1, zone: str = "elsewhere") -> worker_selection.Choice:
     """The choice for a request that begins with a part, by an edge whose zone may have no worker."""
-    return choose.choose(found, ((part, 800), (f"own {seed}", 90)), "", zone, random.Random(seed))
+    return worker_selection.choose(found, ((part, 800), (f"own {seed}", 90)), "", zone, random.Random(seed))
 
 
 def test_all_edges_of_a_zone_agree_on_a_parts_home_without_talking():
     for seed in range(300):
         chance = random.Random(seed)
         found, part = workers(chance.randrange(1, 40)), f"{chance.getrandbits(64):x}"
-        for zone, most in (("a", 5), ("b", 5), ("c", 5), ("elsewhere", 11)):
+        for zone, load_limit in (("a", 5), ("b", 5), ("c", 5), ("elsewhere", 11)):
             names = set()
             for edge in range(5):
                 turned = list(found)
                 chance.shuffle(turned)
-                turned = tuple(dataclasses.replace(one, load=chance.random() * most) for one in turned)
-                names.add(choose.choose(turned, ((part, 800), (f"{edge}", 9)), "", zone, chance).name)
+                turned = tuple(dataclasses.replace(one, load=chance.random() * load_limit) for one in turned)
+                names.add(worker_selection.choose(turned, ((part, 800), (f"{edge}", 9)), "", zone, chance).name)
             assert len(names) == 1
             if zone in {one.zone for one in found}:
                 assert next(one.zone for one in found if one.name in names) == zone
@@ -55,29 +55,29 @@
     parts = [f"{number:x}" for number in range(3000)]
     for count in (2, 5, 11, 30):
         found = workers(count)
-        homes = {part: home_of(found, part).name for part in parts}
-        counted = collections.Counter(homes.values())
+        preferred_workers = {part: home_of(found, part).name for part in parts}
+        counted = collections.Counter(preferred_workers.values())
         assert max(counted.values()) < 1.5 * len(parts) / count and min(counted.values()) > 0.6 * len(parts) / count
         gone = found[count // 2].name
         left = tuple(one for one in found if one.name != gone)
-        moved = {part for part in parts if home_of(left, part).name != homes[part]}
-        assert moved == {part for part in parts if homes[part] == gone}
-        grown = found + (choose.Candidate("i-new", "a", 16, 0.0),)
-        assert all(home_of(grown, part).name in ("i-new", homes[part]) for part in parts)
+        moved = {part for part in parts if home_of(left, part).name != preferred_workers[part]}
+        assert moved == {part for part in parts if preferred_workers[part] == gone}
+        grown = found + (worker_selection.Candidate("i-new", "a", 16, 0.0),)
+        assert all(home_of(grown, part).name in ("i-new", preferred_workers[part]) for part in parts)
 
 
 def test_a_full_home_gives_to_the_next_one_in_the_same_order_everywhere():
     for seed in range(100):
         found, part = workers(9), f"part {seed}"
-        order = [one.name for one in choose.homes(part, found)]
+        order = [one.name for one in worker_selection.preferred_workers(part, found)]
         for place in range(1, 9):
             found = swap(found, order[place - 1], load=12.0)
             chosen = home_of(found, part, seed)
-            assert (chosen.name, chosen.kind) == (order[place], choose.SPILL)
+            assert (chosen.name, chosen.kind) == (order[place], worker_selection.SPILL)
         found = swap(found, order[8], load=12.0)
         assert home_of(found, part, seed).name == order[0], "homes are filled up once all have taken their share"
         found = tuple(dataclasses.replace(one, load=16.0 + (one.name != order[5])) for one in found)
-        assert home_of(found, part, seed).kind == choose.LEAST
+        assert home_of(found, part, seed).kind == worker_selection.LEAST
 
 
 def test_the_worker_of_the_turn_before_is_kept_while_it_has_room():
@@ -86,32 +86,33 @@
         for named, kept in (
             ({"load": 15.0}, True),
             ({"load": 16.0}, False),
-            ({"doubtful": True}, False),
-            ({"crowded": True}, False),
-            ({"cold": True}, True),
+            ({"suspect": True}, False),
+            ({"rejecting": True}, False),
+            ({"warming_up": True}, True),
         ):
-            chosen = choose.choose(swap(found, name, **named), (("x", 9),), name, "a", random.Random(1))
-            assert (chosen.kind == choose.LAST) == kept, named
-    assert choose.choose(found, (), "gone", "a", random.Random(1)).kind == choose.LEAST
+            chosen = worker_selection.choose(swap(found, name, **named), (("x", 9),), name, "a", random.Random(1))
+            assert (chosen.kind == worker_selection.LAST) == kept, named
+    assert worker_selection.choose(found, (), "gone", "a", random.Random(1)).kind == worker_selection.LEAST
 
 
 def test_plain_requests_stay_in_their_zone_while_loads_are_equal():
     for seed in range(200):
         chance = random.Random(seed)
         for zone in "abc":
-            chosen = choose.choose(workers(9, load=2.0), (), "", zone, chance)
+            chosen = worker_selection.choose(workers(9, load=2.0), (), "", zone, chance)
             assert next(one.zone for one in workers(9) if one.name == chosen.name) == zone
         busy = tuple(dataclasses.replace(one, load=9.0 if one.zone == "a" else 2.0) for one in workers(9))
-        chosen = choose.choose(busy, (), "", "a", chance)
+        chosen = worker_selection.choose(busy, (), "", "a", chance)
         assert next(one.zone for one in busy if one.name == chosen.name) != "a"
-        assert choose.choose(workers(9), (), "", "elsewhere", chance).name
+        assert worker_selection.choose(workers(9), (), "", "elsewhere", chance).name
 
 
 def test_edges_with_the_same_old_view_do_not_herd_to_one_worker():
     found = tuple(dataclasses.replace(one, load=float(place % 5)) for place, one in enumerate(workers(30)))
     for seed in range(20):
         chosen = collections.Counter(
-            choose.choose(found, (), "", "abc"[edge % 3], random.Random(f"{seed} {edge}")).name for edge in range(300)
+            worker_selection.choose(found, (), "", "abc"[edge % 3], random.Random(f"{seed} {edge}")).name
+            for edge in range(300)
         )
         assert max(chosen.values()) < 60, chosen
 
@@ -123,8 +124,8 @@
     """
     chance, loads = random.Random(seed), collections.Counter()
     for _ in range(requests):
-        found = tuple(choose.Candidate(name, "a", count, float(loads[name])) for name, count in slots.items())
-        loads[choose.choose(found, (), "", "a", chance).name] += 1
+        found = tuple(worker_selection.Candidate(name, "a", count, float(loads[name])) for name, count in slots.items())
+        loads[worker_selection.choose(found, (), "", "a", chance).name] += 1
     return loads
 
 
@@ -137,40 +138,43 @@
         assert 1.4 < large / small < 3.6, loads
 
 
-def test_cold_and_doubtful_workers_come_last_but_do_come():
+def test_warming_up_and_suspect_workers_come_last_but_do_come():
     found = workers(6)
-    for flag in ("cold", "doubtful"):
+    for flag in ("warming_up", "suspect"):
         held = tuple(dataclasses.replace(one, **{flag: place < 5}) for place, one in enumerate(found))
         for seed in range(50):
-            assert choose.choose(held, (), "", "a", random.Random(seed)).name == "i-005"
+            assert worker_selection.choose(held, (), "", "a", random.Random(seed)).name == "i-005"
             assert home_of(held, f"{seed}").name == "i-005"
         full = swap(held, "i-005", load=16.0)
-        assert {choose.choose(full, (), "", "a", random.Random(seed)).name for seed in range(50)} >= {
+        assert {worker_selection.choose(full, (), "", "a", random.Random(seed)).name for seed in range(50)} >= {
             "i-000",
             "i-003",
         }
         assert {home_of(full, f"{seed}").name for seed in range(100)} == {f"i-00{number}" for number in range(5)}
         every = tuple(dataclasses.replace(one, **{flag: True}) for one in found)
-        assert choose.choose(every, (), "", "a", random.Random(1)).name
+        assert worker_selection.choose(every, (), "", "a", random.Random(1)).name
 
 
 def test_a_crowded_worker_gets_nothing_while_another_is_there():
-    held = tuple(dataclasses.replace(one, crowded=place < 5) for place, one in enumerate(workers(6, load=15.0)))
+    held = tuple(dataclasses.replace(one, rejecting=place < 5) for place, one in enumerate(workers(6, load=15.0)))
     for seed in range(50):
-        assert choose.choose(held, (), "", "a", random.Random(seed)).name == "i-005"
+        assert worker_selection.choose(held, (), "", "a", random.Random(seed)).name == "i-005"
         assert home_of(held, f"{seed}").name == "i-005"
-    assert choose.choose(held[:5], (), "", "a", random.Random(1)).name
+    assert worker_selection.choose(held[:5], (), "", "a", random.Random(1)).name
 
 
 def test_none_is_chosen_when_none_is_there_or_all_hold_the_most():
-    assert choose.choose((), (), "", "a", random.Random(1)).kind == choose.NONE
-    assert choose.choose(workers(3, load=18.0), (), "", "a", random.Random(1), most=1.125).kind == choose.NONE
-    assert choose.choose(workers(3, load=17.9), (), "", "a", random.Random(1), most=1.125).name
+    assert worker_selection.choose((), (), "", "a", random.Random(1)).kind == worker_selection.NONE
+    assert (
+        worker_selection.choose(workers(3, load=18.0), (), "", "a", random.Random(1), load_limit=1.125).kind
+        == worker_selection.NONE
+    )
+    assert worker_selection.choose(workers(3, load=17.9), (), "", "a", random.Random(1), load_limit=1.125).name
 
 
 def test_the_reason_names_the_worker_and_its_load():
     for parts, last in (((), ""), ((("x", 1),), ""), ((), "i-001")):
-        chosen = choose.choose(workers(3, load=2.0), parts, last, "a", random.Random(1))
+        chosen = worker_selection.choose(workers(3, load=2.0), parts, last, "a", random.Random(1))
         assert chosen.name in chosen.reason and "2.0 of 16" in chosen.reason
 
 
@@ -180,7 +184,7 @@
     Example: ``len(spread_of(workers(9), 3, "a")) == 1``
     """
     return collections.Counter(
-        choose.choose(found, (("5c1e", 800), ("own", 9)), "", zone, random.Random(seed), copies=copies).name
+        worker_selection.choose(found, (("5c1e", 800), ("own", 9)), "", zone, random.Random(seed), copies=copies).name
         for seed in range(requests)
     )
 
@@ -193,7 +197,7 @@
             chosen = spread_of(found, copies, zone)
             assert len(chosen) == own and max(chosen.values()) < 2 * min(chosen.values())
             assert {one.zone for one in found if one.name in chosen} == {zone}
-    order = [one.name for one in choose.homes("5c1e", found)]
+    order = [one.name for one in worker_selection.preferred_workers("5c1e", found)]
     assert set(spread_of(found, 5, "elsewhere")) == set(order[:5]), "the first homes, the same on every edge"
 
 
@@ -220,5 +224,7 @@
 def test_a_session_stays_where_its_history_is_however_slow_all_have_become():
     found = tuple(dataclasses.replace(one, slowness=1.0 + place) for place, one in enumerate(workers(9)))
     for one in found:
-        chosen = choose.choose(found, (("x", 9), ("own", 2)), one.name, "a", random.Random(2), copies=9)
-        assert (chosen.name, chosen.kind) == (one.name, choose.LAST), "moving under overload reads all of it anew"
+        chosen = worker_selection.choose(found, (("x", 9), ("own", 2)), one.name, "a", random.Random(2), copies=9)
+        assert (chosen.name, chosen.kind) == (one.name, worker_selection.LAST), (
+            "moving under overload reads all of it anew"
+        )
--- a/aspencroft/replication/replica_memory_test.py
+++ b/aspencroft/replication/replica_memory_test.py
@@ -17,7 +17,7 @@
 
 
 def make_replica(folder: pathlib.Path) -> replica.Replica:
-    """A replica of a talk group on a simulated disk."""
+    """A replica of a session group on a simulated disk."""
     disk = sim_disk.SimDisk(folder, random.Random(1))
     disk.delay = 0
     node_environment = environment.Environment(None, disk, None, random.Random(2), None)
--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -50,7 +50,7 @@
 
 
 def make_replica(folder: pathlib.Path, disk: Disk) -> replica.Replica:
-    """A replica of talk group 1."""
+    """A replica of session group 1."""
     node_environment = environment.Environment(None, disk, None, disk.chance, None)
     return replica.Replica(node_environment, folder, 1, lane_sessions.SessionState)
 
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -83,7 +83,7 @@
 
 
 def turn_commands(first: int) -> tuple:
-    """Commands of a talk group: turns, keys and operations that are open, closed, and given up."""
+    """Commands of a session group: turns, keys and operations that are open, closed, and given up."""
     program, session = f"program {first}", f"session {first}"
     turns = (f"turn {first}", f"turn {first + 1}", f"turn {first + 2}")
     headers = (entry.Header(b"content-type", b"text/plain"),)
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -1,4 +1,4 @@
-"""What edges and talk groups say to each other of opaque calls, and the events kept: turns, budgets, keys."""
+"""What edges and session group say to each other of opaque calls, and the events kept: turns, budgets, keys."""
 
 import dataclasses
 import datetime
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -269,7 +269,7 @@
             incarnation_id=lambda: name,
         )
         known = instances.Instances()
-        known.take(
+        known.update(
             [
                 instance.Instance(f"i-{number}", f"w{number}:80", "tool", "north", "v1", 6, False, clock.ZERO)
                 for number in range(len(self.lives))
@@ -302,7 +302,7 @@
         """What a caller is told, whether that promises that nothing ran, and the body if it looks whole."""
         seal = ""
         try:
-            answer = await edge.take(one)
+            answer = await edge.handle(one)
             seal = dict(answer.headers).get(worker_server.SEAL, b"").decode()
             body = answer.body
             if answer.parts is not None:
@@ -415,13 +415,13 @@
 
 async def drain_endings(edge: forwarder.Forwarder, group: GroupStandIn) -> None:
     """Bring to the group what an edge tells it behind its answers."""
-    row = edge.endings.rows[1]
+    row = edge.completions.rows[1]
     while True:
         command = await row.get()
         try:
             await group.submit(1, command, SETTLED)
         except result.RequestError:
-            edge.endings.counts["left to the group"] += 1
+            edge.completions.counts["left to the group"] += 1
 
 
 def play(kind: Kind, trouble: Trouble) -> Seen:
--- a/aspencroft/simulation/campaign.py
+++ b/aspencroft/simulation/campaign.py
@@ -480,7 +480,7 @@
     :param count: faults a day
     :param processes: how many at once
     :param whole: a fleet of today's size, 8 edge, 3 storage and 5 core nodes, instead of a small one
-    :param apart: five cores with disks that are the witnesses and hold the control group, storages the talk groups
+    :param apart: five cores with disks that are the witnesses and hold the control group, storages the session group
     :param losses: machine losses to be borne, with ``apart``
     """
     size, more = simulated_cluster.Size(8, 3, 5) if whole else simulated_cluster.Size(), {}
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -176,7 +176,7 @@
     async def serve(self, forwarding: forwarder.Forwarder, one: call.Call, visit: Visit) -> None:
         """What the edge's process does with a call."""
         try:
-            answer = await forwarding.take(dataclasses.replace(one, arrived=clock.now()))
+            answer = await forwarding.handle(dataclasses.replace(one, arrived=clock.now()))
         except result.RequestError as refusal:
             self.tell(visit, "refused", refusal)
             return
@@ -1120,7 +1120,7 @@
 
 
 def play(seed: int, story: collections.abc.Callable, size: simulated_cluster.Size) -> World:
-    """Play a story in a fresh world."""
+    """Play a trace in a fresh world."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-"))
     world = World(seed, size, folder)
 
--- a/aspencroft/simulation/forwarding_test.py
+++ b/aspencroft/simulation/forwarding_test.py
@@ -70,7 +70,7 @@
 
     def request_headers(self, one, instance_name, remaining):
         return tuple(
-            group_id for group_id in held(self, one, instance_name, remaining) if group_id[0] != worker_server.EXPECT
+            header for header in held(self, one, instance_name, remaining) if header[0] != worker_server.EXPECT
         )
 
     with changed(worker_server.StandDialect, "request_headers", request_headers):
@@ -84,27 +84,27 @@
 
 
 def test_keys_that_are_not_claimed_are_seen():
-    async def nothing(self, passage):
+    async def nothing(self, state):
         return None
 
-    with changed(forwarder.Forwarder, "claim_key", nothing):
+    with changed(forwarder.Forwarder, "reserve_key", nothing):
         assert "TWICE" in told(300, ("invalid",), 2)
 
 
 def test_work_that_is_repeated_though_it_may_not_be_is_seen():
-    with changed(forwarder.Passage, "repeatable", lambda self: True):
+    with changed(forwarder.CallState, "repeatable", lambda self: True):
         assert "TWICE" in told(301, ("answers lost",), 3)
 
 
 def test_workers_that_drain_and_still_get_calls_are_seen():
-    held = instances.Instances.take
+    held = instances.Instances.update
 
     def take(self, snapshot, seen_at):
         return held(self, [dataclasses.replace(one, draining=False) for one in snapshot], seen_at)
 
     with (
-        changed(instances.Instances, "take", take),
-        changed(instances.Instances, "barred", lambda self, name: False),
+        changed(instances.Instances, "update", take),
+        changed(instances.Instances, "is_excluded", lambda self, name: False),
     ):
         assert "DRAIN" in told(302, ("release",), 3)
 
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -255,7 +255,7 @@
 
 
 def groups(*, seeds: int = 8, losses: int = 1, processes: int = 4) -> None:
-    """Time until a group is served again, by fault: of the control group and of a talk group.
+    """Time until a group is served again, by fault: of the control group and of a session group.
 
     :param seeds: how many
     :param losses: machine losses to be borne
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -468,14 +468,14 @@
     Mutation(
         "a refusal without an id is trusted on a connection used before",
         "proxy/forwarder.py",
-        "        if declined and (head.attempt or not response.reused or passage.repeatable()):\n",
+        "        if declined and (head.attempt or not response.reused or state.repeatable()):\n",
         "        if declined:\n",
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
         "a worker's 503 without its word passes as a promise",
         "proxy/forwarder.py",
-        "        elif head.status in NOT_RUN_STATUSES and not passage.repeatable():\n",
+        "        elif head.status in NOT_RUN_STATUSES and not state.repeatable():\n",
         "        elif False:\n",
         ("simulation/call_troubles_test.py",),
     ),
@@ -510,8 +510,8 @@
     Mutation(
         "a hedge counts its attempts by itself",
         "proxy/forwarder.py",
-        "        other = dataclasses.replace(passage, tried=passage.tried | {passage.at}, hedged=False)\n",
-        "        other = dataclasses.replace(\n            passage, tried=passage.tried | {passage.at}, hedged=False, attempts=Attempts(1, 1)\n        )\n",
+        "        other = dataclasses.replace(state, tried_workers=state.tried_workers | {state.current_worker}, hedged=False)\n",
+        "        other = dataclasses.replace(\n            state, tried_workers=state.tried_workers | {state.current_worker}, hedged=False, attempts=Attempts(1, 1)\n        )\n",
         ("proxy/forwarder_test.py",),
     ),
     Mutation(
@@ -524,7 +524,7 @@
     Mutation(
         "a call is sent under a route that changed its kind",
         "proxy/forwarder.py",
-        "        if (route.kind, route.retained) != (passage.route.kind, passage.route.retained):\n",
+        "        if (route.kind, route.retained) != (state.route.kind, state.route.retained):\n",
         "        if False:\n",
         ("proxy/forwarder_test.py",),
     ),
@@ -538,8 +538,8 @@
     Mutation(
         "a turn that cannot be kept is held beyond its route's time",
         "proxy/forwarder.py",
-        "        within = max(passage.end - clock.now(), OVERTIME)\n",
-        "        within = max(passage.end - clock.now(), LATER)\n",
+        "        within = max(state.end - clock.now(), TURN_END_GRACE)\n",
+        "        within = max(state.end - clock.now(), RETRY_LATER)\n",
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
--- a/aspencroft/simulation/placement_test.py
+++ b/aspencroft/simulation/placement_test.py
@@ -13,7 +13,7 @@
 
 
 def replicas(stage: groups.Stage) -> collections.Counter:
-    """How many replicas of talk groups each storage node holds, by the newest records."""
+    """How many replicas of session group each storage node holds, by the newest records."""
     found = collections.Counter(dict.fromkeys(stage.scene.storages, 0))
     for group in range(1, GROUPS + 1):
         found.update(stage.members(group))
@@ -21,7 +21,7 @@
 
 
 def served(stage: groups.Stage) -> bool:
-    """Whether every talk group is served by as many members as it is to have."""
+    """Whether every session group is served by as many members as it is to have."""
     return all(
         stage.record(group) is not None and len(stage.members(group)) == COPIES and stage.scene.leader(group)
         for group in range(1, GROUPS + 1)
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -262,7 +262,7 @@
     weather: wire.Weather = wire.Weather(),
     more: dict | None = None,
 ) -> SimulatedCluster:
-    """Play a story in a fresh simulated world; ``more`` are settings of all nodes that differ from their defaults."""
+    """Play a trace in a fresh simulated world; ``more`` are settings of all nodes that differ from their defaults."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-"))
     scene = SimulatedCluster(seed, size, shape.shape_of(name), weather, folder, more)
 
--- a/aspencroft/tracing/trace.py
+++ b/aspencroft/tracing/trace.py
@@ -41,13 +41,13 @@
 @codec.kind(153)
 @dataclasses.dataclass(frozen=True)
 class Told:
-    """What a node knows of a request: its own story, and what another edge gave it to keep."""
+    """What a node knows of a request: its own trace, and what another edge gave it to keep."""
 
     traces: tuple[Trace, ...]
 
 
 def joined(traces: list[Trace]) -> list[Trace]:
-    """One story for each node that told one: the longest."""
+    """One trace for each node that told one: the longest."""
     best: dict[str, Trace] = {}
     for one in traces:
         if one.node not in best or len(one.lines) > len(best[one.node].lines):
@@ -64,7 +64,7 @@
         self.given: collections.OrderedDict[str, Trace] = collections.OrderedDict()
 
     def keep(self, one: Trace) -> None:
-        """Keep another edge's story, for when that edge is gone."""
+        """Keep another edge's trace, for when that edge is gone."""
         self.given.pop(one.request, None)
         self.given[one.request] = one
         while len(self.given) > MOST:
@@ -75,7 +75,7 @@
         return tuple(known[request] for known in (self.held, self.given) if request in known)
 
     def add(self, request: str, lane: str, after: datetime.timedelta, what: str, detail: str = "") -> None:
-        """Add a line to a request's story; the oldest stories go."""
+        """Add a line to a request's trace; the oldest stories go."""
         known = self.held.pop(request, None) or Trace(request, self.node, lane, ())
         if len(known.lines) < 64:
             known = dataclasses.replace(known, lines=known.lines + (Line(after, what, detail[:2000]),))
@@ -85,7 +85,7 @@
 
 
 def document(story: Trace) -> dict:
-    """A story as JSON."""
+    """A trace as JSON."""
     return {
         "request": story.request,
         "node": story.node,
--- a/aspencroft/workers/list_reader.py
+++ b/aspencroft/workers/list_reader.py
@@ -256,7 +256,7 @@
         held, beat = self.node.relay.topics.get(TOPIC), self.node.relay.topics.get(READ)
         if held is not None and held is not self.taken:
             self.taken = held
-            self.instances.take(heard(held.body), now)
+            self.instances.update(heard(held.body), now)
         if beat is not None and beat is not self.counted:
             self.counted = beat
             if held is not None and json.loads(beat.body) == [held.revision.text()]:
@@ -274,7 +274,7 @@
             try:
                 found = await self.lister()
                 self.refused = 0
-                self.instances.take(found, now)
+                self.instances.update(found, now)
             except result.RequestError as refusal:
                 most = MOST_DOUBLINGS if rate_spent(refusal) else MOST_DOUBLINGS_UNREACHED
                 self.refused = min(self.refused + 1, most)
--- a/aspencroft/workers/list_reader_test.py
+++ b/aspencroft/workers/list_reader_test.py
@@ -102,7 +102,7 @@
         assert changes == 1, "nothing is told that did not change"
         platform.listed["b"] = worker("b", True)
         assert await platform.everywhere("a", 2) < 2
-        assert all(watch.instances.barred("b") for watch in platform.watches.values())
+        assert all(watch.instances.is_excluded("b") for watch in platform.watches.values())
         platform.listed["c"] = worker("c")
         await asyncio.sleep(0.1)
         platform.reads.clear()
