--- a/aspencroft/configuration/alert_rule.py
+++ b/aspencroft/configuration/alert_rule.py
@@ -14,7 +14,7 @@
 KEEP_FIRING = datetime.timedelta(seconds=15)
 
 
-def usable(text) -> str:
+def usable(text: object) -> str:
     """The expression's text, if it can be used."""
     if not isinstance(text, str):
         raise voluptuous.Invalid("expected an expression")
@@ -25,7 +25,7 @@
     return text
 
 
-def span(text) -> str:
+def span(text: str) -> str:
     """The text of a duration such as 30s or 5m, at most a day."""
     try:
         found = promql_parser.parse_duration(text)
--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -4,6 +4,7 @@
 import dataclasses
 import datetime
 import json
+import typing
 
 import msgspec
 
@@ -154,10 +155,14 @@
     orders: tuple[operator_configuration.Order, ...]
 
 
+Event = RoleAcquired | ConfigurationTaken | ResourcesChanged
+"""What the control group's log holds."""
+
+
 class ControlState:
     """Plan, operator's configuration and duties, folded from events."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.revision = NEVER
         self.document: dict = {}
         self.revisions: dict[str, str] = {}
@@ -167,7 +172,7 @@
         self.duties: dict[str, RoleAcquired] = {}
         self.claims: dict[str, datetime.timedelta] = {}
 
-    def decide(self, command, now: datetime.timedelta, epoch: int) -> tuple[tuple, object]:
+    def decide(self, command: object, now: datetime.timedelta, epoch: int) -> tuple[tuple, object]:
         """Events and reply for a command, or a Refusal; nothing changes here but duty claims."""
         if isinstance(command, ReadResources):
             return (), self.read_plan(command.after)
@@ -255,7 +260,7 @@
 
     def after(self, command: WriteResources) -> dict:
         """The whole plan as it would be after a write."""
-        body = json.loads(command.body) if command.body else None
+        body: typing.Any = json.loads(command.body) if command.body else None
         if command.way == "whole":
             return body
         if command.way == "merge":
@@ -285,7 +290,7 @@
         self.claims[command.duty] = now + ROLE_LEASE
         return (taken,), taken
 
-    def apply(self, event) -> None:
+    def apply(self, event: Event) -> None:
         """Take an event in."""
         if isinstance(event, RoleAcquired):
             self.duties[event.duty] = event
--- a/aspencroft/configuration/http_route.py
+++ b/aspencroft/configuration/http_route.py
@@ -8,7 +8,10 @@
 
 import msgspec
 
-SAFE, NON_IDEMPOTENT, KEYED, STREAM = "safe", "non_idempotent", "keyed", "stream"
+SAFE: typing.Final = "safe"
+NON_IDEMPOTENT: typing.Final = "non_idempotent"
+KEYED: typing.Final = "keyed"
+STREAM: typing.Final = "stream"
 LONGEST = 10_000 * 86400
 NAME = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=96)]
 SECONDS = typing.Annotated[float, msgspec.Meta(ge=0, le=LONGEST)]
@@ -130,7 +133,7 @@
 class Index:
     """Where routes lie and which services they use: what must agree between routes, kept up change by change."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.places: dict[tuple[str, str], str] = {}
         self.routes: dict[str, tuple[tuple[str, str], tuple[str, ...]]] = {}
         self.uses: collections.Counter = collections.Counter()
@@ -165,7 +168,9 @@
 
         ``known`` tells whether a service is there after the change, ``lost`` names those that go with it.
         """
-        found, taken, fewer = [], {}, collections.Counter()
+        found: list[tuple[str, str]] = []
+        taken: dict[tuple[str, str], str] = {}
+        fewer: collections.Counter = collections.Counter()
         for name in {*put, *dropped}:
             fewer.update(self.routes.get(name, (None, ()))[1])
         for name, spec in put.items():
--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -116,7 +116,7 @@
     Example: ``Configuration().version == 0``
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.version = 0
         self.groups: dict[str, dict[str, Kept]] = {}
         self.taken = taken_orders.TakenOrders()
@@ -222,9 +222,9 @@
                 group.pop(one.label, None)
                 if not group:
                     del self.groups[one.group]
-        for one in orders:
-            held = self.groups[one.group]
-            self.groups[one.group] = {label: held[label] for label in one.labels}
+        for order in orders:
+            held = self.groups[order.group]
+            self.groups[order.group] = {label: held[label] for label in order.labels}
 
     def read(self) -> ConfigurationRead:
         """The newest configuration."""
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -4,6 +4,7 @@
 import dataclasses
 import functools
 import json
+import typing
 
 import voluptuous
 
@@ -99,7 +100,7 @@
         Fault("/".join([kind, name, path]).rstrip("/"), meaning)
         for path, meaning in (http_route.faults(text) if kind == HTTP_ROUTES else ())
     ]
-    checks = (
+    checks: list[tuple[typing.Any, typing.Any]] = (
         [(RESOURCE_NAME, name)] if kind == HTTP_ROUTES else [(RESOURCE_NAME, name), (SCHEMAS[kind], json.loads(text))]
     )
     for schema, value in checks:
@@ -206,7 +207,7 @@
 EMPTY = Configuration({}, {}, {}, frozenset(), frozenset(), (), {}, {}, route_table.EMPTY, limits.of({}))
 
 
-def patch_between(old, new) -> dict:
+def patch_between(old: dict, new: dict) -> dict:
     """The merge patch that makes one object of names into another.
 
     Example: ``patch_between({"a": 1}, {"b": 2}) == {"a": None, "b": 2}``
@@ -221,7 +222,7 @@
     return patch
 
 
-def merge(target, patch):
+def merge(target: typing.Any, patch: typing.Any) -> typing.Any:
     """A JSON merge patch applied.
 
     Example: ``merge({"a": 1, "b": 2}, {"a": None}) == {"b": 2}``
--- a/aspencroft/configuration/route_table.py
+++ b/aspencroft/configuration/route_table.py
@@ -31,7 +31,8 @@
         held = self.hosts.get(http_route.bare(host))
         if held is None or not path.startswith("/"):
             return None
-        ends, place = [], 0
+        ends: list[int] = []
+        place = 0
         while place >= 0 and len(ends) < held.deepest:
             ends.append(place + 1)
             place = path.find("/", place + 1)
--- a/aspencroft/configuration/taken_orders.py
+++ b/aspencroft/configuration/taken_orders.py
@@ -33,7 +33,7 @@
     Example: ``TakenOrders().find(7) is None``
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.records = bytearray()
         self.horizon = 0
 
--- a/aspencroft/node/drain_order_test.py
+++ b/aspencroft/node/drain_order_test.py
@@ -42,7 +42,7 @@
         assert (group_id, command) == (0, control_state.ReadResources(OLD))
         return control_state.ResourcesRead(NEW, "", ())
 
-    async def changed(self, topic: str) -> None:
+    async def wait_for_change(self, topic: str) -> None:
         await clock.sleep(clock.seconds(0.1))
         if self.learns:
             self.revision, self.configuration.drained = NEW, frozenset({MACHINE})
--- a/aspencroft/proxy/worker_selection.py
+++ b/aspencroft/proxy/worker_selection.py
@@ -68,7 +68,7 @@
 def rendezvous_weight(part: str, name: str) -> bytes:
     """A worker's lot for a part; the highest is the part's first home, on every edge.
 
-    Example: ``weight("5c1e", "i-1") == rendezvous_weight("5c1e", "i-1")``
+    Example: ``rendezvous_weight("5c1e", "i-1") == rendezvous_weight("5c1e", "i-1")``
     """
     return hashlib.blake2b(f"{len(part)} {part} {name}".encode(), digest_size=16).digest()
 
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -1,6 +1,7 @@
 """A node's part in one group: primary, backup or bystander, as the newest record says; answers to the other members."""
 
 import datetime
+import typing
 
 import logbook
 
@@ -165,9 +166,10 @@
                 raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="this copy is being repaired")
             if self.known is None or message.record.epoch != self.known.epoch or self.me() not in self.known.members():
                 raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not a member of that record")
-            return messages.FetchedLog(
-                *self.replica.log.read_after(message.last, log_shipping.REPAIR_BATCH_BYTES), False
-            )
+            tail = self.replica.log.read_after(message.last, log_shipping.REPAIR_BATCH_BYTES)
+            # An encoded snapshot has the fields that the message's codec reads; its chunks are joined there.
+            snapshot = typing.cast(log_records.Snapshot | None, tail.snapshot)
+            return messages.FetchedLog(snapshot, tail.entries, False)
 
     async def append(self, message: messages.Append) -> messages.Appended:
         """As backup: take entries that follow the last one; refuse lower epochs."""
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -1,5 +1,7 @@
 """Making a group's copies the same: what members send each other, and what one that started asks the others."""
 
+import typing
+
 import logbook
 
 from aspencroft.consensus import replica_set
@@ -119,7 +121,9 @@
                     break
                 entries.append(entry)
                 size += len(entry.body)
-            message = messages.Repair(self.state.record, peer.identity, through, snapshot, tuple(entries))
+            # An encoded snapshot has the fields that the message's codec reads; its chunks are joined there.
+            body = typing.cast(log_records.Snapshot | None, snapshot)
+            message = messages.Repair(self.state.record, peer.identity, through, body, tuple(entries))
             reply = await self.state.link.request(peer.address, message, REPAIR_TIMEOUT)
             through, snapshot = through + len(entries), None
             if through >= goal.sequence or not self.state.has_lease():
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -10,7 +10,14 @@
 
 from aspencroft.consensus import proposer, replica_set, witness
 from aspencroft.errors import result
-from aspencroft.replication import group_state, log_records, log_shipping, record_changes, replica_changes
+from aspencroft.replication import (
+    group_state,
+    log_records,
+    log_shipping,
+    record_changes,
+    replica_changes,
+    state_machine,
+)
 from aspencroft.runtime import clock, supervision
 from aspencroft.transport import codec
 
@@ -27,9 +34,9 @@
 """How long a lost disk counts as a loss that was to be borne, from when it is noticed: less than any catch-up time."""
 
 
-Command: typing.TypeAlias = object
+Command: typing.TypeAlias = state_machine.Command
 """What a group's state machine is asked to decide; each state machine names its own types."""
-Reply: typing.TypeAlias = object
+Reply: typing.TypeAlias = state_machine.Reply
 """What a state machine answers to a command."""
 
 
