--- a/aspencroft/cli/settings_reload_test.py
+++ b/aspencroft/cli/settings_reload_test.py
@@ -27,12 +27,12 @@
 
 
 def test_a_node_that_knows_nobody_joins_by_the_newest_seeds_and_keeps_them_when_newer_ones_are_bad():
-    async def story(scene: simulated_cluster.SimulatedCluster) -> None:
-        await scene.until(scene.formed, 20, "formed")
-        scene.seeds = GONE
-        scene.start("edge-7")
+    async def scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 20, "formed")
+        cluster.seeds = GONE
+        cluster.start("edge-7")
         await clock.sleep(clock.seconds(5))
-        own = scene.nodes["edge-7"]
+        own = cluster.nodes["edge-7"]
         assert own.failure_detector.live() == (own.address,)
         source = Source(dataclasses.replace(own.settings, seeds=("core-1:1", *GONE[1:])))
         reload = settings_reload.SettingsReload(own, settings_reload.SettingsSource("", source.read))
@@ -40,21 +40,21 @@
         source.given = None
         reload.reload()
         assert reload.counts == {"reloads": 1, "refused reloads": 1}
-        await scene.until(lambda: own.failure_detector.state("core-1:1") == cluster_member.LIVE, 3, "joined")
+        await cluster.until(lambda: own.failure_detector.state("core-1:1") == cluster_member.LIVE, 3, "joined")
 
-    simulated_cluster.play(5, story)
+    simulated_cluster.play(5, scenario)
 
 
 def test_a_changed_file_is_read_again_without_a_signal(tmp_path):
     path = tmp_path / "node.toml"
     path.write_text("one")
 
-    async def story(scene: simulated_cluster.SimulatedCluster) -> None:
-        await scene.until(lambda: "edge-0" in scene.nodes, 5, "started")
-        own = scene.nodes["edge-0"]
+    async def scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(lambda: "edge-0" in cluster.nodes, 5, "started")
+        own = cluster.nodes["edge-0"]
         source = Source(own.settings)
         reload = settings_reload.SettingsReload(own, settings_reload.SettingsSource(str(path), source.read))
-        scene.loop.create_task(reload.watch(), context=scene.loop.context_of("edge-0"))
+        cluster.loop.create_task(reload.watch(), context=cluster.loop.context_of("edge-0"))
         await clock.sleep(clock.seconds(10))
         assert source.reads == 0
         fresh = tmp_path / "fresh"
@@ -66,4 +66,4 @@
         await clock.sleep(2 * settings_reload.LOOK)
         assert source.reads == 1
 
-    simulated_cluster.play(5, story)
+    simulated_cluster.play(5, scenario)
--- a/aspencroft/consensus/witness_bootstrap_test.py
+++ b/aspencroft/consensus/witness_bootstrap_test.py
@@ -52,8 +52,8 @@
 
 
 def test_all_cores_become_witnesses_a_replaced_one_is_replaced_and_a_restarted_one_is_kept():
-    async def scenario(group: groups.Stage) -> None:
-        cluster = group.scene
+    async def scenario(group: groups.ClusterHarness) -> None:
+        cluster = group.cluster
 
         def voter_set() -> set[str]:
             newest = max(
@@ -83,8 +83,8 @@
 
 
 def test_a_witness_that_lost_its_disk_votes_again_once_taught():
-    async def scenario(group: groups.Stage) -> None:
-        cluster = group.scene
+    async def scenario(group: groups.ClusterHarness) -> None:
+        cluster = group.cluster
         await cluster.until(lambda: len(cluster.nodes["core-0"].proposer.voter_set.present) == 5, 8, "five witnesses")
         for victim in ("core-0", "core-4"):
             cluster.power_off(victim)
--- a/aspencroft/distribution/relay_test.py
+++ b/aspencroft/distribution/relay_test.py
@@ -47,9 +47,9 @@
     return parent, relay_of("b:1", link), link
 
 
-def run(scene):
+def run(scenario):
     with asyncio.Runner() as runner:
-        return runner.run(scene())
+        return runner.run(scenario())
 
 
 def set_below(child: relay.Relay, nodes: dict[str, control_state.Revision]) -> None:
@@ -58,7 +58,7 @@
 
 
 def test_differences_lead_the_parent_to_the_same_subtree_and_the_child_to_the_same_counted_nodes():
-    async def scene():
+    async def scenario():
         for seed in range(30):
             chance = random.Random(seed)
             parent, child, link = family()
@@ -90,11 +90,11 @@
                     one for one in wanted if link.is_root or one in parent.lease.counted
                 )
 
-    run(scene)
+    run(scenario)
 
 
 def test_a_pull_without_changes_names_nothing_and_is_answered_with_nothing():
-    async def scene():
+    async def scenario():
         parent, child, link = family()
         set_below(child, {f"n:{number}": control_state.Revision(1, 1) for number in range(200)})
         await child.pull("a:1")
@@ -105,11 +105,11 @@
         assert link.answered[1].counted == () and link.answered[1].counted_unchanged and len(child.lease.counted) == 201
         assert len(parent.grants.grants) == 201
 
-    run(scene)
+    run(scenario)
 
 
 def test_differences_upon_an_unknown_subtree_take_and_grant_nothing():
-    async def scene():
+    async def scenario():
         parent, child, link = family()
         await child.pull("a:1")
         parent.subtree.subtrees.clear(), parent.subtree.expiry.clear(), parent.grants.grants.clear()
@@ -126,11 +126,11 @@
         await child.pull("a:1")
         assert link.asked[-1].base == b"" and set(parent.grants.grants) == {"b:1", "n:1"}
 
-    run(scene)
+    run(scenario)
 
 
 def test_another_parent_is_told_the_whole():
-    async def scene():
+    async def scenario():
         _parent, child, link = family()
         await child.pull("a:1")
         link.parent = relay_of("d:1", Link())
@@ -141,7 +141,7 @@
             and "b:1" in link.parent.subtree.subtrees
         )
 
-    run(scene)
+    run(scenario)
 
 
 def test_tree_has_one_root_and_no_crowded_parent():
--- a/aspencroft/distribution/stale_parent_test.py
+++ b/aspencroft/distribution/stale_parent_test.py
@@ -13,23 +13,23 @@
     """The cores that are cut off from the others are reached by edges as before, and give them what they know."""
     for seed, one_way in ((1, False), (2, True)):
 
-        async def acts(stage: groups.Stage) -> None:
-            one = stage.scene
-            leader = one.leader(0)
-            others = [name for name in one.cores if name != leader]
-            one.wire.cut([leader], others, one_way)
-            await one.until(lambda: one.leader(0) not in ("", leader), 8, "led again")
+        async def scenario(harness: groups.ClusterHarness) -> None:
+            cluster = harness.cluster
+            leader = cluster.leader(0)
+            others = [name for name in cluster.cores if name != leader]
+            cluster.wire.cut([leader], others, one_way)
+            await cluster.until(lambda: cluster.leader(0) not in ("", leader), 8, "led again")
             writing = asyncio.ensure_future(
-                stage.client.put("http://edge-1/plan/services/extra", json={"kind": "plain"}, timeout=40)
+                harness.client.put("http://edge-1/plan/services/extra", json={"kind": "plain"}, timeout=40)
             )
 
             def everywhere() -> bool:
-                return all("extra" in one.nodes[name].relay.configuration.services for name in one.edges)
+                return all("extra" in cluster.nodes[name].relay.configuration.services for name in cluster.edges)
 
-            await one.until(everywhere, 2.5, "in force on all edges")
+            await cluster.until(everywhere, 2.5, "in force on all edges")
             assert (await writing).status_code == 200
 
-        groups.play(seed, acts, SIZE, {"currency": clock.seconds(8)})
+        groups.play(seed, scenario, SIZE, {"currency": clock.seconds(8)})
 
 
 def test_a_parent_may_be_as_far_behind_as_its_depth_explains():
--- a/aspencroft/emulator/agent_test.py
+++ b/aspencroft/emulator/agent_test.py
@@ -37,20 +37,20 @@
             raise agent.Gone(True)
 
 
-def played(script, story):
+def played(script, scenario):
     simulated, door = loop.SimLoop(), Told(script)
     agents = agent.Agents(lambda: [door], random.Random(1))
     try:
-        return simulated.run_until_complete(story(agents)), agents, door
+        return simulated.run_until_complete(scenario(agents)), agents, door
     finally:
         simulated.bury()
 
 
 def tries(script, use):
-    async def story(agents):
+    async def scenario(agents):
         return await agents.ask(use, agents.make(use, b"x", key="k" if use is KEYED else ""))
 
-    found, _agents, door = played(script, story)
+    found, _agents, door = played(script, scenario)
     assert len({one.attempt for one in door.seen}) == len(door.seen)
     return len(door.seen), found.good(), found.ended
 
--- a/aspencroft/emulator/backend_test.py
+++ b/aspencroft/emulator/backend_test.py
@@ -7,7 +7,7 @@
 
 
 def test_a_model_worker_drops_idle_things_but_never_overfills():
-    async def scene():
+    async def scenario():
         stand = backend.ModelWorker("m1", ("a", "b"), {"a": 40, "b": 70}, random.Random(1), memory=100)
         await stand.load("model:a")
         await stand.load("model:b")
@@ -17,4 +17,4 @@
         ] == 200
         assert (await stand.order({"epoch": 1, "release": [], "offload": [], "load": [], "restore": []}))[0] == 409
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/aspencroft/emulator/engine_test.py
+++ b/aspencroft/emulator/engine_test.py
@@ -20,10 +20,10 @@
 )
 
 
-def played(story):
+def played(scenario):
     simulated = loop.SimLoop()
     try:
-        return simulated.run_until_complete(story())
+        return simulated.run_until_complete(scenario())
     finally:
         simulated.bury()
 
@@ -55,7 +55,7 @@
 
 
 def test_a_part_kept_is_not_read_again_but_only_if_all_before_it_are_kept():
-    async def story():
+    async def scenario():
         own = engine.Engine(SHAPE)
         await until_over(own, job((("a", 2000), ("b", 1000))))
         first = own.counts["tokens read"]
@@ -64,11 +64,11 @@
         await until_over(own, job((("x", 10), ("b", 1000))))
         return first, second, own.counts["tokens read"] - first - second
 
-    assert played(story) == (3000, 500, 1010)
+    assert played(scenario) == (3000, 500, 1010)
 
 
 def test_prompts_are_read_in_pieces_between_the_tokens_of_others():
-    async def story():
+    async def scenario():
         own = engine.Engine(SHAPE)
         short, long = job((("a", 10),), 40), job((("b", 8000),), 10)
         times = []
@@ -82,11 +82,11 @@
         running.cancel()
         return times
 
-    assert (1, engine.RUNNING) in played(story) or (1, engine.READING) in played(story)
+    assert (1, engine.RUNNING) in played(scenario) or (1, engine.READING) in played(scenario)
 
 
 def test_parts_longest_unused_give_way_and_the_newest_request_is_put_back_when_memory_runs_out():
-    async def story():
+    async def scenario():
         own = engine.Engine(SHAPE)
         for name in "abc":
             await until_over(own, job(((name, 3000),)))
@@ -96,12 +96,12 @@
         await until_over(own, older, newer)
         return gone, older.put_back, newer.put_back, older.whole(), newer.whole()
 
-    gone, older, newer, whole, also = played(story)
+    gone, older, newer, whole, also = played(scenario)
     assert gone == ["a"] and older == 0 and newer >= 1 and whole and also
 
 
 def test_memory_is_never_taken_twice_and_nothing_stays_pinned():
-    async def story():
+    async def scenario():
         own = engine.Engine(dataclasses.replace(SHAPE, queue=100))
         jobs = [job(((f"s{number % 3}", 1500), (f"own{number}", 200)), 300) for number in range(30)]
         running = asyncio.ensure_future(own.run())
@@ -118,12 +118,12 @@
         running.cancel()
         return most, dict(own.pins), own.active, all(one.whole() for one in jobs[5:])
 
-    most, pins, active, whole = played(story)
+    most, pins, active, whole = played(scenario)
     assert most <= SHAPE.memory and not pins and not active and whole
 
 
 def test_what_is_larger_than_the_memory_or_finds_the_queue_full_is_turned_away_and_lateness_tells_whether_it_ran():
-    async def story():
+    async def scenario():
         own = engine.Engine(SHAPE)
         turned = 0
         for one in [job((("a", 11_000),)), *(job((), 100, 0.05) for _ in range(8))]:
@@ -140,11 +140,11 @@
         running.cancel()
         return turned, first.late, first.ran_at, second.late, second.ran_at is not None
 
-    assert played(story) == (2, True, None, True, True)
+    assert played(scenario) == (2, True, None, True, True)
 
 
 def test_a_plain_service_serves_in_order_and_loses_no_slot():
-    async def story():
+    async def scenario():
         own, order, told = engine.Slots(2, 3), [], []
 
         async def ask(number, within):
@@ -165,4 +165,4 @@
         await asyncio.wait(tasks)
         return order, sorted(told), own.running, len(own.waiting)
 
-    assert played(story) == ([0, 1, 4], ["Full", "Late"], 0, 0)
+    assert played(scenario) == ([0, 1, 4], ["Full", "Late"], 0, 0)
--- a/aspencroft/emulator/worker_server_test.py
+++ b/aspencroft/emulator/worker_server_test.py
@@ -16,7 +16,7 @@
 ADDRESS = "w1:80"
 
 
-def played(story, work=worker_server.Work(shape=SHAPE), faults=worker_server.Faults(), name="i-1"):
+def played(scenario, work=worker_server.Work(shape=SHAPE), faults=worker_server.Faults(), name="i-1"):
     simulated = loop.SimLoop()
     weather = wire.Wire(simulated, random.Random(1), wire.Weather())
     life = worker_server.Worker(name, "chat", "north", work, random.Random(2))
@@ -28,7 +28,7 @@
         serving = asyncio.ensure_future(life.serve(wire.SimNetwork(weather, "w1"), ADDRESS))
         await clock.sleep(clock.seconds(0.001))
         try:
-            return await story(connections, life)
+            return await scenario(connections, life)
         finally:
             serving.cancel()
 
@@ -69,27 +69,27 @@
 
 
 def test_a_stream_and_a_plain_answer_come_whole_with_seal_and_load():
-    async def story(connections, life):
+    async def scenario(connections, life):
         head, body = await ask(connections, headers=TURN)
         plain, text = await ask(connections, "a2", ((b"x-work-ms", b"5"),))
         return head, body, plain, text, life.runs, connections.counts["worker connections"]
 
-    head, body, plain, text, runs, opened = played(story)
+    head, body, plain, text, runs, opened = played(scenario)
     assert head.status == 200 and head.stamped and head.load == (1, 0, 2) and head.attempt == "a1" and not head.leaving
     assert body.count(b"data:") == 4 and runs[0].output == body and runs[0].whole and runs[0].body == b"in"
     assert plain.status == 200 and text == runs[1].output and opened == 1
 
 
 def test_resumed_streams_go_on_after_the_event_named():
-    async def story(connections, life):
+    async def scenario(connections, life):
         return await ask(connections, headers=(*TURN, (b"x-resume-after", b"3")))
 
-    _, body = played(story)
+    _, body = played(scenario)
     assert body.startswith(b"id: 4\n") and body.count(b"data:") == 1
 
 
 def test_what_did_not_run_says_so():
-    async def story(connections, life):
+    async def scenario(connections, life):
         other, _ = await ask(connections, "a1", TURN, meant="i-9")
         nameless, _ = await ask(connections, "", TURN)
         large, _ = await ask(connections, "a2", ((b"x-tokens", b"9000,10"), (b"x-parts", b"s:9000")))
@@ -100,14 +100,14 @@
         leaving, _ = await ask(connections, "a3", TURN)
         return other, nameless, large, full, leaving, len(life.runs)
 
-    other, nameless, large, full, leaving, runs = played(story)
+    other, nameless, large, full, leaving, runs = played(scenario)
     assert other.status == 421 and other.misdirected and other.not_run
     assert nameless.status == 400 and nameless.not_run and large.status == 503 and large.not_run
     assert [one.status for one in full].count(503) == 2 and leaving.leaving and runs == 5
 
 
 def test_the_end_of_the_time_is_not_run_in_the_queue_and_run_afterwards():
-    async def story(connections, life):
+    async def scenario(connections, life):
         slow = ((b"x-work-ms", b"300"),)
         async with asyncio.TaskGroup() as group:
             tasks = [group.create_task(ask(connections, f"b{number}", slow, within=0.4)) for number in range(2)]
@@ -116,30 +116,30 @@
                 tasks.append(group.create_task(ask(connections, f"c{number}", slow, within=0.2)))
         return [one.result()[0] for one in tasks], [one.attempt for one in life.runs]
 
-    heads, runs = played(story, worker_server.Work(slots=2, queue=2))
+    heads, runs = played(scenario, worker_server.Work(slots=2, queue=2))
     assert [one.status for one in heads] == [200, 200, 503, 503] and heads[2].not_run and sorted(runs) == ["b0", "b1"]
 
 
 def test_a_request_whose_connection_closes_is_dropped():
-    async def story(connections, life):
+    async def scenario(connections, life):
         one = asyncio.ensure_future(ask(connections, headers=((b"x-tokens", b"0,2000"),)))
         await clock.sleep(clock.seconds(0.1))
         one.cancel()
         await clock.sleep(clock.seconds(0.1))
         return life.engine.active, life.open, life.runs[0].whole
 
-    assert played(story) == ([], 0, False)
+    assert played(scenario) == ([], 0, False)
 
 
 def outcome(faults, headers):
-    async def story(connections, life):
+    async def scenario(connections, life):
         try:
             found = await ask(connections, headers=headers, within=0.5)
         except result.RequestError as refusal:
             found = refusal
         return found, life.runs
 
-    return played(story, faults=faults)
+    return played(scenario, faults=faults)
 
 
 def test_each_trouble_comes_after_the_work_was_done():
@@ -155,19 +155,19 @@
 def test_an_answer_in_excess_never_becomes_the_next_one():
     for kind in ("surplus", "late"):
 
-        async def story(connections, life):
+        async def scenario(connections, life):
             first, _ = await ask(connections, "a1", ((b"x-work-ms", b"5"),))
             life.faults = worker_server.Faults()
             await clock.sleep(clock.seconds(0.05))
             second, _ = await ask(connections, "a2", ((b"x-work-ms", b"5"),))
             return first.attempt, second.attempt
 
-        first, second = played(story, faults=worker_server.Faults(**{kind: 1.0}))
+        first, second = played(scenario, faults=worker_server.Faults(**{kind: 1.0}))
         assert first == "a1" and second == ("a2" if kind == "surplus" else "a1")
 
 
 def test_a_report_lags_and_costs_no_slot():
-    async def story(connections, life):
+    async def scenario(connections, life):
         asked = asyncio.ensure_future(ask(connections, "a1", ((b"x-tokens", b"0,2000"),), within=20))
         await clock.sleep(clock.seconds(0.05))
         response = await connections.request(ADDRESS, "GET", "/report", ((b"host", b"h"),), b"", clock.seconds(5), 100)
@@ -180,12 +180,12 @@
         asked.cancel()
         return early, late
 
-    early, late = played(story)
+    early, late = played(scenario)
     assert b'"active": 0' in early and b'"active": 1' in late
 
 
 def test_it_serves_over_real_sockets_too():
-    async def story():
+    async def scenario():
         life = worker_server.Worker("i-1", "chat", "north", worker_server.Work(shape=SHAPE), random.Random(2))
         network = environment.SocketNetwork()
         serving = asyncio.ensure_future(life.serve(network, "127.0.0.1:0"))
@@ -220,4 +220,4 @@
         network.servers[0].close()
         return response.status, body.count(b"data:")
 
-    assert asyncio.run(story()) == (200, 4)
+    assert asyncio.run(scenario()) == (200, 4)
--- a/aspencroft/node/node_test.py
+++ b/aspencroft/node/node_test.py
@@ -13,29 +13,33 @@
 
 
 def test_emptying_a_machine_completes_and_nothing_is_lost():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         victim = cluster.leader(1)
         asked = next(name for name in cluster.cores if name != cluster.leader(0))
         node = cluster.nodes[asked]
         programs = [f"p{number}" for number in range(5)]
         for program in programs:
-            assert (await stage.ask("edge-0", "supervisor", f"{program} first", program=program)).ran == "done"
-        assert await stage.ask_node(asked, node.drain_orders.state(victim, WITHIN)) == drain_order.DrainState.IN_SERVICE
+            assert (await harness.ask("edge-0", "supervisor", f"{program} first", program=program)).ran == "done"
+        assert (
+            await harness.ask_node(asked, node.drain_orders.state(victim, WITHIN)) == drain_order.DrainState.IN_SERVICE
+        )
         for _ in range(2):
-            assert await stage.ask_node(asked, node.drain_orders.order(victim, WITHIN)) is None
+            assert await harness.ask_node(asked, node.drain_orders.order(victim, WITHIN)) is None
         end = cluster.loop.time() + 5
-        while await stage.ask_node(asked, node.drain_orders.state(victim, WITHIN)) != drain_order.DrainState.DRAINED:
+        while await harness.ask_node(asked, node.drain_orders.state(victim, WITHIN)) != drain_order.DrainState.DRAINED:
             assert cluster.loop.time() < end
             await asyncio.sleep(0.1)
-        assert all(victim not in stage.members(group_id) and len(stage.members(group_id)) == 2 for group_id in (1, 2))
+        assert all(
+            victim not in harness.members(group_id) and len(harness.members(group_id)) == 2 for group_id in (1, 2)
+        )
         cluster.storages.remove(victim)
         cluster.power_off(victim)
         cluster.disks[victim].wipe()
-        assert await stage.ask_node(asked, node.drain_orders.state(victim, WITHIN)) == drain_order.DrainState.DRAINED
+        assert await harness.ask_node(asked, node.drain_orders.state(victim, WITHIN)) == drain_order.DrainState.DRAINED
         for program in programs:
-            assert (await stage.ask("edge-1", "supervisor", "second", program=program, after=1)).ran == "done"
-        left = await stage.ask_node(asked, node.drain_orders.order(cluster.storages[0], WITHIN))
+            assert (await harness.ask("edge-1", "supervisor", "second", program=program, after=1)).ran == "done"
+        left = await harness.ask_node(asked, node.drain_orders.order(cluster.storages[0], WITHIN))
         assert isinstance(left, result.RequestError) and left.result is result.ResultCode.TOO_FEW_LEFT
 
     for seed in (1, 2):
@@ -43,44 +47,44 @@
 
 
 def test_an_unknown_machine_is_told_as_such():
-    async def scenario(stage: groups.Stage) -> None:
-        node = stage.scene.nodes["core-2"]
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        node = harness.cluster.nodes["core-2"]
         for work in (node.drain_orders.order("nobody", WITHIN), node.drain_orders.state("nobody", WITHIN)):
-            refused = await stage.ask_node("core-2", work)
+            refused = await harness.ask_node("core-2", work)
             assert isinstance(refused, result.RequestError) and refused.result is result.ResultCode.UNKNOWN_RESOURCE
 
     groups.play(3, scenario)
 
 
 def test_an_operators_write_waits_for_confirmation_no_longer_than_settings_say():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         cluster.wire.cut(["edge-1"], [name for name in cluster.names() if name != "edge-1"])
         started_at = cluster.loop.time()
-        assert await stage.write("extra")
+        assert await harness.write("extra")
         assert 0.9 < cluster.loop.time() - started_at < 1.5
 
     groups.play(4, scenario, more={"confirm": clock.seconds(1)})
 
 
 def test_a_node_acts_on_a_plan_no_longer_than_its_currency():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         cluster.wire.cut(["edge-1"], [name for name in cluster.names() if name != "edge-1"])
         took = await cluster.until(lambda: not cluster.nodes["edge-1"].relay.current(), 3, "out of currency")
         assert 0.9 < took < 1.6
         started_at = cluster.loop.time()
-        assert await stage.write("extra")
+        assert await harness.write("extra")
         assert cluster.loop.time() - started_at < 1.6
 
     groups.play(5, scenario, more={"currency": clock.seconds(1.5)})
 
 
 def test_status_says_that_a_majority_of_voters_is_lost_and_nothing_is_acknowledged_meanwhile():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         await cluster.until(lambda: len(cluster.nodes["core-0"].proposer.voter_set.present) == 5, 8, "five voters")
-        assert await stage.write("before")
+        assert await harness.write("before")
         shown = cluster.nodes["edge-0"].status()["quorum"]
         assert (shown["losses_left"], shown["missing"], shown["means"]) == (2, [], "")
         lost = cluster.cores[-3:]
@@ -93,20 +97,20 @@
         assert not any(cluster.leader(group_id) for group_id in range(3))
         cluster.start(lost[0])
         await cluster.until(cluster.formed, 8, "formed")
-        assert await stage.write("after")
-        assert {"before", "after"} <= await stage.written()
+        assert await harness.write("after")
+        assert {"before", "after"} <= await harness.written()
 
     groups.play(21, scenario)
 
 
 def test_a_drain_order_sent_again_after_the_machine_is_gone_and_forgotten_is_done():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         victim = cluster.storages[0]
         asked = next(name for name in cluster.cores if name != cluster.leader(0))
         node = cluster.nodes[asked]
-        assert await stage.ask_node(asked, node.drain_orders.order(victim, WITHIN)) is None
-        await until_drained(stage, asked, victim)
+        assert await harness.ask_node(asked, node.drain_orders.order(victim, WITHIN)) is None
+        await until_drained(harness, asked, victim)
         cluster.storages.remove(victim)
         cluster.power_off(victim)
         await asyncio.sleep(5)
@@ -115,35 +119,35 @@
         for name in cluster.cores:
             orders = cluster.nodes[name].drain_orders
             assert orders.find(victim) is None
-            assert await stage.ask_node(name, orders.order(victim, WITHIN)) is None
-            assert await stage.ask_node(name, orders.state(victim, WITHIN)) is drain_order.DrainState.DRAINED
+            assert await harness.ask_node(name, orders.order(victim, WITHIN)) is None
+            assert await harness.ask_node(name, orders.state(victim, WITHIN)) is drain_order.DrainState.DRAINED
 
     groups.play(11, scenario)
 
 
-async def until_drained(stage: groups.Stage, asked: str, victim: str) -> None:
-    orders, end = stage.scene.nodes[asked].drain_orders, stage.scene.loop.time() + 10
-    while await stage.ask_node(asked, orders.state(victim, WITHIN)) is not drain_order.DrainState.DRAINED:
-        assert stage.scene.loop.time() < end
+async def until_drained(harness: groups.ClusterHarness, asked: str, victim: str) -> None:
+    orders, end = harness.cluster.nodes[asked].drain_orders, harness.cluster.loop.time() + 10
+    while await harness.ask_node(asked, orders.state(victim, WITHIN)) is not drain_order.DrainState.DRAINED:
+        assert harness.cluster.loop.time() < end
         await asyncio.sleep(0.1)
 
 
 def test_of_two_drain_orders_at_once_that_leave_too_few_together_one_is_taken_wherever_they_are_sent():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         first, second = cluster.storages[:2]
         left, right = [name for name in cluster.cores if name != cluster.leader(0)][:2]
         answers = await asyncio.gather(
-            stage.ask_node(left, cluster.nodes[left].drain_orders.order(first, WITHIN)),
-            stage.ask_node(right, cluster.nodes[right].drain_orders.order(second, WITHIN)),
+            harness.ask_node(left, cluster.nodes[left].drain_orders.order(first, WITHIN)),
+            harness.ask_node(right, cluster.nodes[right].drain_orders.order(second, WITHIN)),
         )
         refused = [answer for answer in answers if answer is not None]
         assert len(refused) == 1 and refused[0].result is result.ResultCode.TOO_FEW_LEFT, answers
         for name in cluster.cores:
             taken, other = (first, second) if answers[0] is None else (second, first)
             orders = cluster.nodes[name].drain_orders
-            assert await stage.ask_node(name, orders.order(taken, WITHIN)) is None
-            again = await stage.ask_node(name, orders.order(other, WITHIN))
+            assert await harness.ask_node(name, orders.order(taken, WITHIN)) is None
+            again = await harness.ask_node(name, orders.order(other, WITHIN))
             assert again.result is result.ResultCode.TOO_FEW_LEFT
 
     for seed in (12, 13, 17):
@@ -151,11 +155,11 @@
 
 
 def test_a_node_that_just_started_or_lags_refuses_no_drain_order():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         victim, away = cluster.storages[:2]
         asked = next(name for name in cluster.cores if name != cluster.leader(0))
-        assert await stage.ask_node(asked, cluster.nodes[asked].drain_orders.order(victim, WITHIN)) is None
+        assert await harness.ask_node(asked, cluster.nodes[asked].drain_orders.order(victim, WITHIN)) is None
         cluster.kill(asked)
         cluster.kill(away)
         await asyncio.sleep(0.2)
@@ -164,7 +168,7 @@
         while cluster.loop.time() < end:
             await asyncio.sleep(0.01)
             if asked in cluster.nodes:
-                answers.append(await stage.ask_node(asked, cluster.nodes[asked].drain_orders.order(victim, CALL)))
+                answers.append(await harness.ask_node(asked, cluster.nodes[asked].drain_orders.order(victim, CALL)))
         assert all(answer is None or answer.result.status >= 500 for answer in answers)
         assert answers[-1] is None
 
@@ -172,27 +176,27 @@
 
 
 def test_while_a_disk_is_away_for_a_moment_it_is_not_said_that_too_few_are_left():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         victim, away = cluster.storages[:2]
         orders = cluster.nodes[cluster.cores[0]].drain_orders
         cluster.kill(away)
         await cluster.until(lambda: orders.find(away).state == cluster_member.DOWN, 10, "seen down")
-        answer = await stage.ask_node(cluster.cores[0], orders.order(victim, WITHIN))
+        answer = await harness.ask_node(cluster.cores[0], orders.order(victim, WITHIN))
         assert answer.result is result.ResultCode.UNREACHABLE
         await asyncio.sleep(drain_order.RETURN_EXPECTED_WITHIN.total_seconds())
-        answer = await stage.ask_node(cluster.cores[0], orders.order(victim, WITHIN))
+        answer = await harness.ask_node(cluster.cores[0], orders.order(victim, WITHIN))
         assert answer.result is result.ResultCode.TOO_FEW_LEFT
         cluster.start(away)
         await cluster.until(lambda: orders.find(away).state == cluster_member.LIVE, 10, "back")
-        assert await stage.ask_node(cluster.cores[0], orders.order(victim, WITHIN)) is None
+        assert await harness.ask_node(cluster.cores[0], orders.order(victim, WITHIN)) is None
 
     groups.play(15, scenario)
 
 
 def test_a_node_calls_a_machine_unknown_only_once_it_had_time_to_hear_of_all():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         asked = next(name for name in cluster.cores if name != cluster.leader(0))
         cluster.kill(asked)
         await asyncio.sleep(0.2)
@@ -202,7 +206,7 @@
         orders = cluster.nodes[asked].drain_orders
         while cluster.loop.time() < started_at + 5:
             for work in (orders.order("nobody", CALL), orders.state("nobody", CALL)):
-                answer = await stage.ask_node(asked, work)
+                answer = await harness.ask_node(asked, work)
                 unknown = answer.result is result.ResultCode.UNKNOWN_RESOURCE
                 assert unknown or answer.result.status >= 500
                 assert (
@@ -217,16 +221,16 @@
 
 def test_others_that_lose_their_disks_right_after_a_drain_take_nothing_with_them():
     def scenario_with_losses(losses: int):
-        async def scenario(stage: groups.Stage) -> None:
-            cluster = stage.scene
+        async def scenario(harness: groups.ClusterHarness) -> None:
+            cluster = harness.cluster
             victim = cluster.leader(1)
             asked = next(name for name in cluster.cores if name != cluster.leader(0))
             programs = [f"p{number}" for number in range(6)]
             for program in programs:
-                assert (await stage.ask("edge-0", "supervisor", f"{program} first", program=program)).ran == "done"
-            assert await stage.ask_node(asked, cluster.nodes[asked].drain_orders.order(victim, WITHIN)) is None
-            await until_drained(stage, asked, victim)
-            lost = [name for name in stage.members(1) if name != victim][:losses]
+                assert (await harness.ask("edge-0", "supervisor", f"{program} first", program=program)).ran == "done"
+            assert await harness.ask_node(asked, cluster.nodes[asked].drain_orders.order(victim, WITHIN)) is None
+            await until_drained(harness, asked, victim)
+            lost = [name for name in harness.members(1) if name != victim][:losses]
             cluster.storages.remove(victim)
             for name in (victim, *lost):
                 cluster.power_off(name)
@@ -235,9 +239,9 @@
             await asyncio.sleep(1)
             for name in lost:
                 cluster.start(name)
-            await cluster.until(stage.whole, 12, "whole")
+            await cluster.until(harness.whole, 12, "whole")
             for program in programs:
-                assert (await stage.ask("edge-1", "supervisor", "second", program=program, after=1)).ran == "done"
+                assert (await harness.ask("edge-1", "supervisor", "second", program=program, after=1)).ran == "done"
             turns = [body for body in cluster.world.seen() if body.get("turn") == 2]
             assert sorted(body["history"][0][0] for body in turns) == [f"{program} first" for program in programs]
 
--- a/aspencroft/node/root_test.py
+++ b/aspencroft/node/root_test.py
@@ -62,8 +62,8 @@
 
 
 def test_a_core_that_is_cut_off_neither_refuses_nor_answers_orders_to_drain():
-    async def scenario(stage: groups.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
         victim = cluster.leader(0)
         cluster.wire.cut([victim], [name for name in cluster.names() if name != victim])
         await asyncio.sleep(8)
@@ -75,7 +75,7 @@
             orders.state("storage-2", configuration_service.APPLY_TIMEOUT),
         ):
             started_at = cluster.loop.time()
-            refused = await stage.ask_node(victim, work)
+            refused = await harness.ask_node(victim, work)
             assert isinstance(refused, result.RequestError) and refused.result.status >= 500, refused
             assert refused.retry > clock.ZERO and cluster.loop.time() - started_at < 0.95
 
--- a/aspencroft/platform_check/operator_api_test.py
+++ b/aspencroft/platform_check/operator_api_test.py
@@ -22,31 +22,33 @@
 
 
 def play(
-    seed: int, acts, size: simulated_cluster.Size = SIZE, more: dict | None = None
+    seed: int, scenario, size: simulated_cluster.Size = SIZE, more: dict | None = None
 ) -> simulated_cluster.SimulatedCluster:
     """A formed fleet with its control points served; under ``SURE`` an answer says that all nodes confirmed the
     order.
     """
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(one.formed, 30, "formed")
-        points = operators.ControlPoints(one, one.cores)
+    async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
+        points = operators.ControlPoints(cluster, cluster.cores)
         points.serve()
         await asyncio.sleep(5)
-        await acts(one, operators.Operators(one, random.Random(seed), points))
+        await scenario(cluster, operators.Operators(cluster, random.Random(seed), points))
 
-    played = simulated_cluster.play(seed, story, size=size, weather=wire.Weather(jitter=0.002), more=more or MORE)
+    played = simulated_cluster.play(
+        seed, whole_scenario, size=size, weather=wire.Weather(jitter=0.002), more=more or MORE
+    )
     assert played.ended == []
     return played
 
 
 def test_each_answer_has_its_status():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         async def status(
             method: str, body: bytes = b"", condition: str | None = None, way: str = operator_api.WAY
         ) -> int:
             seen = set()
-            for name in one.cores:
+            for name in cluster.cores:
                 response = await asking.call(
                     method, way, body, {} if condition is None else {"If-Match": condition}, name
                 )
@@ -90,74 +92,74 @@
         assert await status("GET", way="/api/retire/nobody") == 404
         assert await status("POST", b'{"deadline-s": 10}', way="/api/retire/nobody") == 404
         assert await status("POST", b'{"deadline-s": "x"}', way="/api/retire/storage-1") == 400
-        for own in one.nodes.values():
+        for own in cluster.nodes.values():
             assert own.relay.configuration.version == 9 and list(own.relay.configuration.http_routes) == ["r-1"]
 
-    play(301, acts, more=SURE)
+    play(301, scenario, more=SURE)
 
 
 def test_a_body_as_large_as_the_limits_allow_is_taken_and_read_back():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         routes = [{**documents.TURNS, "name": f"r-{number}", "path-prefix": f"/{number}/"} for number in range(2500)]
         document = documents.sample(5, **{"route-list": routes})
         body = documents.raw(document)
         response = await asking.call("PUT", operator_api.WAY, body, {"If-Match": "0"})
         assert response.status_code == 200, response.text
         assert (await asking.call("GET", operator_api.WAY)).json() == document
-        before = {name: own.relay.counts["whole plans"] for name, own in one.nodes.items()}
+        before = {name: own.relay.counts["whole plans"] for name, own in cluster.nodes.items()}
         change = {"config-revision": 6, "upsert-items": {"route-list": [{**routes[7], "timeout-ms": 5}]}}
         response = await asking.call("PATCH", operator_api.WAY, documents.raw(change), {"If-Match": "5"})
         assert response.status_code == 200, response.text
-        for name, own in one.nodes.items():
+        for name, own in cluster.nodes.items():
             assert (
                 own.relay.configuration.http_routes["r-7"].timeout == clock.seconds(0.005)
                 and len(own.relay.configuration.http_routes) == 2500
             )
             assert own.relay.counts["whole plans"] == before[name]
 
-    play(302, acts, more=SURE)
+    play(302, scenario, more=SURE)
 
 
 def test_on_an_idle_fleet_orders_are_answered_quickly_once_all_nodes_have_them():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         version = 0
         for number in range(20):
             order = operators.Order(
-                True, version, version + 2, documents.sample(version + 2, mark=number), one.loop.time()
+                True, version, version + 2, documents.sample(version + 2, mark=number), cluster.loop.time()
             )
             await asking.send(order)
             assert order.status == 200 and order.answered - order.sent < 0.2, order
             version = order.version
-            for own in one.nodes.values():
+            for own in cluster.nodes.values():
                 assert own.relay.configuration.version == version
 
-    play(303, acts, simulated_cluster.Size(edges=24, storages=3, cores=5, apart=True), SURE)
+    play(303, scenario, simulated_cluster.Size(edges=24, storages=3, cores=5, apart=True), SURE)
 
 
 def test_without_a_primary_the_answer_is_503_within_a_second_and_says_when_to_come_back():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
-        assert (await asking.send(operators.Order(True, 0, 3, documents.sample(3), one.loop.time()))).status == 200
-        others = [name for name in one.names() if name != "core-2"]
-        one.wire.cut(["core-2"], others)
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+        assert (await asking.send(operators.Order(True, 0, 3, documents.sample(3), cluster.loop.time()))).status == 200
+        others = [name for name in cluster.names() if name != "core-2"]
+        cluster.wire.cut(["core-2"], others)
         await asyncio.sleep(3)
         for method, body in (
             ("GET", b""),
             ("PUT", documents.raw(documents.sample(5))),
             ("PATCH", documents.raw({"config-revision": 5})),
         ):
-            began = one.loop.time()
+            began = cluster.loop.time()
             response = await asking.call(method, operator_api.WAY, body, {"If-Match": "3"}, "core-2")
             assert response is not None and response.status_code == 503, response
-            assert one.loop.time() - began < 0.95 and 0 < float(response.headers["Retry-After"]) <= 5
-        one.wire.heal()
-        order = await asking.send(operators.Order(True, 3, 5, documents.sample(5), one.loop.time()))
+            assert cluster.loop.time() - began < 0.95 and 0 < float(response.headers["Retry-After"]) <= 5
+        cluster.wire.heal()
+        order = await asking.send(operators.Order(True, 3, 5, documents.sample(5), cluster.loop.time()))
         assert order.status == 200
 
-    play(304, acts)
+    play(304, scenario)
 
 
 def test_a_store_machine_is_emptied_and_too_few_are_never_left():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         async def call(method: str, name: str) -> tuple[int, dict]:
             response = await asking.call(
                 method, f"/api/retire/{name}", b'{"deadline-s": 10}' if method == "POST" else b""
@@ -175,14 +177,14 @@
         status, _ = await call("POST", "storage-2")
         assert status == 409
 
-    play(305, acts)
+    play(305, scenario)
 
 
 def raced(seed: int) -> collections.Counter:
     """Three operators, and the control group's primary hurt again and again; what came of it."""
     total = collections.Counter()
 
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         chance = random.Random(seed)
         async with asyncio.TaskGroup() as group:
             for _ in range(3):
@@ -190,27 +192,27 @@
             group.create_task(asking.watch())
             for _ in range(6):
                 await asyncio.sleep(2 + chance.random() * 2)
-                victim = one.leader(0) or one.cores[0]
+                victim = cluster.leader(0) or cluster.cores[0]
                 how = chance.choice(("kill", "power_off", "freeze", "cut"))
                 total[how] += 1
                 asking.hurt.add(victim)
                 if how == "freeze":
-                    one.loop.freeze(victim)
+                    cluster.loop.freeze(victim)
                     await asyncio.sleep(chance.random() * 4)
-                    one.loop.thaw(victim)
+                    cluster.loop.thaw(victim)
                 elif how == "cut":
-                    one.wire.cut([victim], [name for name in one.names() if name != victim])
+                    cluster.wire.cut([victim], [name for name in cluster.names() if name != victim])
                     await asyncio.sleep(chance.random() * 5)
-                    one.wire.heal()
+                    cluster.wire.heal()
                 else:
-                    getattr(one, how)(victim)
+                    getattr(cluster, how)(victim)
                     await asyncio.sleep(chance.random() * 2)
-                    one.start(victim)
+                    cluster.start(victim)
                 await asyncio.sleep(1)
                 asking.hurt.clear()
             await asyncio.sleep(3)
             asking.over = True
-        await one.until(one.formed, 30, "formed")
+        await cluster.until(cluster.formed, 30, "formed")
         shown = await asking.read()
         assert operators.faults(asking) == [], seed
         taken = [order for order in asking.orders if order.status == 200]
@@ -218,7 +220,7 @@
         assert max(asking.spans) < 0.95, seed
         total.update(f"{order.status} {order.valid}" for order in asking.orders)
 
-    play(seed, acts)
+    play(seed, scenario)
     return total
 
 
@@ -229,20 +231,20 @@
 
 
 def test_an_order_survives_the_primary_that_dies_at_any_step_of_it_also_with_its_disk():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         version = 0
         for number in range(14):
-            await one.until(one.formed, 30, "formed")
+            await cluster.until(cluster.formed, 30, "formed")
             await asyncio.sleep(2)
             order = operators.Order(
-                True, version, version + 3, documents.sample(version + 3, mark=number), one.loop.time()
+                True, version, version + 3, documents.sample(version + 3, mark=number), cluster.loop.time()
             )
             sending = asyncio.ensure_future(asking.send(order))
             await asyncio.sleep(0.003 * number)
-            victim = one.leader(0)
-            one.power_off(victim) if number % 2 else one.kill(victim)
+            victim = cluster.leader(0)
+            cluster.power_off(victim) if number % 2 else cluster.kill(victim)
             await asyncio.sleep(1)
-            one.start(victim)
+            cluster.start(victim)
             await sending
             assert order.status == 200, order
             version = order.version
@@ -250,35 +252,35 @@
             assert documents.canonical(shown) == documents.canonical(order.document)
         assert operators.faults(asking) == []
 
-    play(320, acts)
+    play(320, scenario)
 
 
 def test_what_was_acknowledged_outlives_a_disk_or_all_power_lost_in_the_same_moment():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         version = 0
         for number in range(4):
-            await one.until(one.formed, 30, "formed")
+            await cluster.until(cluster.formed, 30, "formed")
             await asyncio.sleep(2)
-            leader = one.leader(0)
+            leader = cluster.leader(0)
             order = operators.Order(
-                True, version, version + 3, documents.sample(version + 3, mark=number), one.loop.time()
+                True, version, version + 3, documents.sample(version + 3, mark=number), cluster.loop.time()
             )
             assert (await asking.send(order)).status == 200
             version = order.version
-            victims = one.names() if number % 2 else [leader, *(one.cores if number % 4 == 2 else [])]
+            victims = cluster.names() if number % 2 else [leader, *(cluster.cores if number % 4 == 2 else [])]
             for name in dict.fromkeys(victims):
-                one.power_off(name)
+                cluster.power_off(name)
             if number % 2 == 0:
-                one.disks[leader].wipe()
-                one.lost.add(leader)
+                cluster.disks[leader].wipe()
+                cluster.lost.add(leader)
             await asyncio.sleep(0.5)
             for name in dict.fromkeys(victims):
-                one.start(name)
+                cluster.start(name)
             shown = await asking.read()
             assert shown is not None and documents.canonical(shown) == documents.canonical(order.document), number
         assert operators.faults(asking) == []
 
-    play(330, acts)
+    play(330, scenario)
 
 
 def test_the_judge_of_orders_sees_each_fault():
@@ -301,57 +303,57 @@
 
 
 def test_orders_to_empty_a_machine_are_not_refused_by_a_core_that_is_cut_off():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
-        assert (await asking.send(operators.Order(True, 0, 3, documents.sample(3), one.loop.time()))).status == 200
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+        assert (await asking.send(operators.Order(True, 0, 3, documents.sample(3), cluster.loop.time()))).status == 200
 
         async def cut_off(name: str) -> None:
             for method, machine in (("POST", "storage-2"), ("GET", "storage-2"), ("POST", "unheard-of")):
-                began = one.loop.time()
+                began = cluster.loop.time()
                 body = b'{"deadline-s": 10}' if method == "POST" else b""
                 response = await asking.call(method, f"/api/retire/{machine}", body, {}, name)
                 assert response is not None and response.status_code == 503, (method, machine, response)
-                assert one.loop.time() - began < 0.95 and 0 < float(response.headers["Retry-After"]) <= 5
+                assert cluster.loop.time() - began < 0.95 and 0 < float(response.headers["Retry-After"]) <= 5
 
-        victim = one.leader(0)
-        one.wire.cut([victim], [name for name in one.names() if name != victim])
+        victim = cluster.leader(0)
+        cluster.wire.cut([victim], [name for name in cluster.names() if name != victim])
         await asyncio.sleep(1.5)
         await cut_off(victim)
         await asyncio.sleep(8)
         await cut_off(victim)
-        one.kill(victim)
-        one.start(victim)
+        cluster.kill(victim)
+        cluster.start(victim)
         await asyncio.sleep(1.5)
         await cut_off(victim)
-        one.wire.heal()
-        await one.until(one.formed, 15, "formed")
+        cluster.wire.heal()
+        await cluster.until(cluster.formed, 15, "formed")
         await asyncio.sleep(4)
         for method, machine, status in (("POST", "unheard-of", 404), ("POST", "storage-2", 200)):
             response = await asking.call(method, f"/api/retire/{machine}", b'{"deadline-s": 10}', {}, victim)
             assert response is not None and response.status_code == status, (machine, response)
 
-    play(306, acts)
+    play(306, scenario)
 
 
 def test_a_version_that_no_record_can_hold_is_invalid_on_every_node_also_the_primary():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         for number in (b"1e300", b"1e19", b"9223372036854775808"):
-            for name in one.cores:
+            for name in cluster.cores:
                 body = b'{"config-revision": ' + number + b', "route-list": []}'
                 response = await asking.call("PUT", operator_api.WAY, body, {"If-Match": "0"}, name)
                 assert response is not None and response.status_code == 400, (name, number, response)
-        assert (await asking.send(operators.Order(True, 0, 3, documents.sample(3), one.loop.time()))).status == 200
+        assert (await asking.send(operators.Order(True, 0, 3, documents.sample(3), cluster.loop.time()))).status == 200
 
-    play(340, acts)
+    play(340, scenario)
 
 
 def test_an_order_that_was_taken_is_known_again_when_newer_limits_are_below_its_size_and_however_it_is_spaced():
-    async def acts(one: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         wide = {"config-revision": 5, "note": "x" * (5 << 20), "limits": {"max-body-bytes": 6 << 20}}
         narrow = {"config-revision": 7, "limits": {"max-body-bytes": 1 << 10}}
         for body, condition in ((wide, "0"), (narrow, "5")):
             response = await asking.call("PUT", operator_api.WAY, documents.raw(body), {"If-Match": condition})
             assert response.status_code == 200, response.text
-        for name in one.cores:
+        for name in cluster.cores:
             for sort_keys, indent in ((False, None), (True, 1)):
                 body = json.dumps(wide, sort_keys=sort_keys, indent=indent).encode()
                 response = await asking.call("PUT", operator_api.WAY, body, {"If-Match": "0"}, name)
@@ -359,7 +361,7 @@
                 response = await asking.call("PATCH", operator_api.WAY, body, {"If-Match": "0"}, name)
                 assert response.status_code == 412, "another method makes another order"
 
-    play(341, acts)
+    play(341, scenario)
 
 
 def test_only_what_surely_was_not_taken_is_called_refused():
--- a/aspencroft/platform_check/operators.py
+++ b/aspencroft/platform_check/operators.py
@@ -51,23 +51,23 @@
 
 
 class ControlPoints:
-    """The control points of a scene's nodes, those of nodes that start later included."""
+    """The control points of a cluster's nodes, those of nodes that start later included."""
 
-    def __init__(self, one: simulated_cluster.SimulatedCluster, names: list[str]):
-        self.scene = one
+    def __init__(self, cluster: simulated_cluster.SimulatedCluster, names: list[str]):
+        self.cluster = cluster
         self.names = names
         self.applications: dict[int, object] = {}
 
     def serve(self) -> None:
         """Put the points at their addresses."""
         for name in self.names:
-            self.scene.wire.pages[f"{name}:{PORT}"] = (name, self.page(name))
+            self.cluster.wire.pages[f"{name}:{PORT}"] = (name, self.page(name))
 
     def page(self, name: str):
         """The application of whichever run of a node lives."""
 
         async def answer(scope, receive, send) -> None:
-            own = self.scene.nodes.get(name)
+            own = self.cluster.nodes.get(name)
             if own is None:
                 raise ConnectionRefusedError(name)
             if id(own) not in self.applications:
@@ -86,16 +86,16 @@
 
     def __init__(
         self,
-        one: simulated_cluster.SimulatedCluster,
+        cluster: simulated_cluster.SimulatedCluster,
         chance: random.Random,
         points: ControlPoints,
         loss: float = 0.0,
     ):
-        self.scene = one
+        self.cluster = cluster
         self.chance = chance
         self.points = points
         self.loss = loss
-        self.client = httpx.AsyncClient(transport=wire.SimTransport(one.wire, simulated_cluster.OUTSIDE))
+        self.client = httpx.AsyncClient(transport=wire.SimTransport(cluster.wire, simulated_cluster.OUTSIDE))
         self.orders: list[Order] = []
         self.reads: list[Read] = []
         self.over = False
@@ -109,7 +109,7 @@
     ) -> httpx.Response | None:
         """One call to one control point, none if there was only silence."""
         name = name or self.chance.choice(self.points.names)
-        began, hurt = self.scene.loop.time(), name in self.hurt
+        began, hurt = self.cluster.loop.time(), name in self.hurt
         try:
             async with asyncio.timeout(SILENCE):
                 response = await self.client.request(
@@ -118,15 +118,15 @@
         except (TimeoutError, httpx.HTTPError):
             response = None
         if response is not None and not hurt and name not in self.hurt:
-            self.spans.append(self.scene.loop.time() - began)
+            self.spans.append(self.cluster.loop.time() - began)
         return response
 
     async def send(self, order: Order) -> Order:
         """Send an order until it gets a clear answer or patience is over."""
         self.orders.append(order)
         body = json.dumps(order.document).encode()
-        pause, end = 0.1, self.scene.loop.time() + PATIENCE
-        while self.scene.loop.time() < end:
+        pause, end = 0.1, self.cluster.loop.time() + PATIENCE
+        while self.cluster.loop.time() < end:
             response = await self.call(
                 "PUT" if order.whole else "PATCH", operator_api.WAY, body, {"If-Match": str(order.condition)}
             )
@@ -135,7 +135,7 @@
                 if self.chance.random() < self.loss:
                     response = None
             if response is not None and response.status_code in CLEAR:
-                order.status, order.answered = response.status_code, self.scene.loop.time()
+                order.status, order.answered = response.status_code, self.cluster.loop.time()
                 return order
             assert response is None or response.status_code == 503, (response.status_code, response.text)
             assert response is None or float(response.headers["Retry-After"]) > 0
@@ -145,14 +145,14 @@
 
     async def read(self) -> dict | None:
         """Read until there is a clear answer or patience is over; none while there is no configuration."""
-        end = self.scene.loop.time() + PATIENCE
-        while self.scene.loop.time() < end:
-            asked = self.scene.loop.time()
+        end = self.cluster.loop.time() + PATIENCE
+        while self.cluster.loop.time() < end:
+            asked = self.cluster.loop.time()
             response = await self.call("GET", operator_api.WAY)
             if response is not None and response.status_code == 404:
                 return None
             if response is not None and response.status_code == 200:
-                self.reads.append(Read(asked, self.scene.loop.time(), response.json()))
+                self.reads.append(Read(asked, self.cluster.loop.time(), response.json()))
                 return response.json()
             assert response is None or response.status_code == 503, response.text
             await asyncio.sleep(0.1)
@@ -160,7 +160,7 @@
 
     def drawn(self, shown: dict | None) -> Order:
         """An order upon what was read, now and then a faulty one."""
-        chance, now = self.chance, self.scene.loop.time()
+        chance, now = self.chance, self.cluster.loop.time()
         condition = shown["config-revision"] if shown else 0
         version = condition + chance.randint(1, 5)
         mark = next(self.numbers)
@@ -209,7 +209,7 @@
         """See that no node's version steps back within one life."""
         held: dict[int, int] = {}
         while not self.over:
-            for name, own in self.scene.nodes.items():
+            for name, own in self.cluster.nodes.items():
                 version = own.relay.configuration.version
                 if version < held.get(id(own), 0):
                     self.steps_back.append(f"{name} went back to {version}")
--- a/aspencroft/platform_check/order_races.py
+++ b/aspencroft/platform_check/order_races.py
@@ -21,22 +21,22 @@
 ROUNDS = 6
 
 
-async def hurt(one: simulated_cluster.SimulatedCluster, asking: operators.Operators, chance: random.Random) -> str:
+async def hurt(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators, chance: random.Random) -> str:
     """Hurt the control group's primary once; what was done."""
-    victim, how = one.leader(0) or one.cores[0], chance.choice(TROUBLES)
+    victim, how = cluster.leader(0) or cluster.cores[0], chance.choice(TROUBLES)
     asking.hurt.add(victim)
     if how == "freeze":
-        one.loop.freeze(victim)
+        cluster.loop.freeze(victim)
         await asyncio.sleep(chance.random() * 4)
-        one.loop.thaw(victim)
+        cluster.loop.thaw(victim)
     elif how == "cut":
-        one.wire.cut([victim], [name for name in one.names() if name != victim])
+        cluster.wire.cut([victim], [name for name in cluster.names() if name != victim])
         await asyncio.sleep(chance.random() * 5)
-        one.wire.heal()
+        cluster.wire.heal()
     else:
-        getattr(one, how)(victim)
+        getattr(cluster, how)(victim)
         await asyncio.sleep(chance.random() * 2)
-        one.start(victim)
+        cluster.start(victim)
     await asyncio.sleep(1)
     asking.hurt.clear()
     return how
@@ -51,23 +51,23 @@
     total: collections.Counter = collections.Counter()
     found: list[str] = []
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
+    async def story(cluster: simulated_cluster.SimulatedCluster) -> None:
         chance = random.Random(seed)
-        await one.until(one.formed, 30, "formed")
-        points = operators.ControlPoints(one, one.cores)
+        await cluster.until(cluster.formed, 30, "formed")
+        points = operators.ControlPoints(cluster, cluster.cores)
         points.serve()
         await asyncio.sleep(5)
-        asking = operators.Operators(one, random.Random(seed), points, LOSS)
+        asking = operators.Operators(cluster, random.Random(seed), points, LOSS)
         async with asyncio.TaskGroup() as group:
             for _ in range(OPERATORS // 2):
                 group.create_task(asking.operate_in_pairs())
             group.create_task(asking.watch())
             for _ in range(ROUNDS):
                 await asyncio.sleep(1 + chance.random() * 2)
-                total[await hurt(one, asking, chance)] += 1
+                total[await hurt(cluster, asking, chance)] += 1
             await asyncio.sleep(2)
             asking.over = True
-        await one.until(one.formed, 30, "formed")
+        await cluster.until(cluster.formed, 30, "formed")
         found.extend(operators.faults(asking))
         asking.loss, orders, asking.orders = 0.0, asking.orders, []
         for order in orders:
@@ -99,7 +99,7 @@
 
     async def order(self, within: float) -> int:
         """Send the order until a clear answer is heard; 0 when none was."""
-        loop = self.asking.scene.loop
+        loop = self.asking.cluster.loop
         end = loop.time() + within
         while loop.time() < end:
             response = await self.asking.call("POST", f"/api/retire/{self.machine}", b'{"deadline-s": 10}')
@@ -112,7 +112,7 @@
 
     async def completed(self, within: float) -> bool:
         """Ask how far the machine is until it may be taken away."""
-        loop = self.asking.scene.loop
+        loop = self.asking.cluster.loop
         end = loop.time() + within
         while loop.time() < end:
             response = await self.asking.call("GET", f"/api/retire/{self.machine}")
@@ -128,21 +128,21 @@
     found: list[str] = []
     size = dataclasses.replace(SIZE, storages=5)
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(one.formed, 30, "formed")
-        points = operators.ControlPoints(one, one.cores)
+    async def story(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
+        points = operators.ControlPoints(cluster, cluster.cores)
         points.serve()
         await asyncio.sleep(5)
-        copies = one.nodes[one.cores[0]].settings.copies
-        asking = operators.Operators(one, random.Random(seed), points)
-        draining = [DrainOperator(asking, name, LOSS) for name in one.storages]
+        copies = cluster.nodes[cluster.cores[0]].settings.copies
+        asking = operators.Operators(cluster, random.Random(seed), points)
+        draining = [DrainOperator(asking, name, LOSS) for name in cluster.storages]
         chance = random.Random(seed)
         async with asyncio.TaskGroup() as group:
             for each in draining:
                 group.create_task(each.order(operators.PATIENCE))
             await asyncio.sleep(chance.random() * 0.2)
-            await hurt(one, asking, chance)
-        await one.until(one.formed, 30, "formed")
+            await hurt(cluster, asking, chance)
+        await cluster.until(cluster.formed, 30, "formed")
         await asyncio.sleep(5)
         for each in draining:
             each.loss = 0.0
@@ -156,10 +156,10 @@
             found.append(f"{len(taken)} of {size.storages} machines are drained where {copies} must stay")
         for each in taken:
             if not await each.completed(20.0):
-                found.append(f"{each.machine} is not drained: {one.show()}")
+                found.append(f"{each.machine} is not drained: {cluster.show()}")
                 continue
-            one.power_off(each.machine)
-            one.storages.remove(each.machine)
+            cluster.power_off(each.machine)
+            cluster.storages.remove(each.machine)
             if await each.order(operators.PATIENCE) != 200 or not await each.completed(1.0):
                 found.append(f"{each.machine} was removed and is not known any more: {each.answers}")
 
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -45,7 +45,7 @@
     )
 
 
-def played(story, *troubles, **route):
+def played(scenario, *troubles, **route):
     """A trace with one worker for each of the troubles given."""
     simulated = loop.SimLoop()
     ways = wire.Wire(simulated, random.Random(1), wire.Weather())
@@ -68,7 +68,7 @@
         connections = pool.Pool(own.environment, collections.Counter())
         forwarding = forwarder.Forwarder(own, worker_server.StandDialect(), known, connections)
         await clock.sleep(clock.seconds(0.01))
-        return await story(forwarding, lives)
+        return await scenario(forwarding, lives)
 
     try:
         return simulated.run_until_complete(whole())
@@ -97,29 +97,29 @@
 
 
 def test_what_may_have_run_at_one_worker_is_not_promised_away_by_another():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         for life in lives[1:]:
             life.work = worker_server.Work(slots=0, queue=0)
             life.slots.slots = life.slots.queue = 0
         refusal = await refusal_of(forwarding)
         return refusal.ran, sum(len(life.runs) for life in lives)
 
-    seen = {played(story, {"lost": 1.0}, {}), played(story, {"lost": 1.0}, {}, {})}
+    seen = {played(scenario, {"lost": 1.0}, {}), played(scenario, {"lost": 1.0}, {}, {})}
     assert seen <= {(result.Ran.UNKNOWN, 1)}
 
 
 def test_what_no_worker_ran_is_promised_not_to_have_run():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         for life in lives:
             life.slots.slots = life.slots.queue = 0
         refusal = await refusal_of(forwarding)
         return refusal.ran, sum(len(life.runs) for life in lives)
 
-    assert played(story, {}, {}) == (result.Ran.NOT_RUN, 0)
+    assert played(scenario, {}, {}) == (result.Ran.NOT_RUN, 0)
 
 
 def test_a_caller_that_leaves_while_an_answer_comes_leaves_no_connection_behind():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         for pause in (0.011, 0.02, 0.03, 0.04, 0.05):
             task = asyncio.ensure_future(forwarding.handle(asked()))
             await clock.sleep(clock.seconds(pause))
@@ -130,34 +130,34 @@
         running = forwarding.instances.known["i-0"].running
         return forwarding.pool.total - resting, lives[0].open - resting, forwarding.active, running
 
-    assert played(story, {"pieces": 1.0}) == (0, 0, 0, 0)
+    assert played(scenario, {"pieces": 1.0}) == (0, 0, 0, 0)
 
 
 def test_work_that_may_be_repeated_is_asked_of_another_worker_when_one_is_silent_beyond_the_aim():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         answer = await forwarding.handle(asked())
         return answer.status, forwarding.counts["hedged"], clock.now() < clock.seconds(0.6), forwarding.active
 
     for silent in (0, 1):
         troubles = [{}, {}]
         troubles[silent] = {"silent": 1.0}
-        answers = played(story, *troubles)
+        answers = played(scenario, *troubles)
         assert answers[0] == 200 and answers[2] and answers[3] == 0
         assert answers[1] <= 1
 
 
 def test_a_hedge_keeps_to_the_attempts_that_the_route_allows():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         refusal = await refusal_of(forwarding)
         return refusal.ran, sum(len(life.runs) for life in lives), forwarding.active
 
-    assert played(story, {"silent": 1.0}, {"silent": 1.0}, {"silent": 1.0}, attempts=2) == (
+    assert played(scenario, {"silent": 1.0}, {"silent": 1.0}, {"silent": 1.0}, attempts=2) == (
         result.Ran.UNKNOWN,
         2,
         0,
     )
-    assert played(story, {"silent": 1.0}, {"silent": 1.0}, attempts=1) == (result.Ran.UNKNOWN, 1, 0)
-    assert played(story, {"silent": 1.0}, {"silent": 1.0}, kind="non_idempotent") == (
+    assert played(scenario, {"silent": 1.0}, {"silent": 1.0}, attempts=1) == (result.Ran.UNKNOWN, 1, 0)
+    assert played(scenario, {"silent": 1.0}, {"silent": 1.0}, kind="non_idempotent") == (
         result.Ran.UNKNOWN,
         1,
         0,
@@ -174,7 +174,7 @@
 
 
 def test_a_hedge_and_a_retry_of_the_first_attempt_share_the_attempts_of_the_route():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         forwarding.instances.record_rejection("i-1")
         forwarding.instances.record_rejection("i-2")
         held = forwarding.wait_for_worker
@@ -192,12 +192,12 @@
         return refusal.ran, sum(len(life.runs) for life in lives), forwarding.active
 
     silent = {"silent": 1.0}
-    seen = played(story, {"lost": 1.0}, silent, silent, attempts=2, aim=0.1)
+    seen = played(scenario, {"lost": 1.0}, silent, silent, attempts=2, aim=0.1)
     assert seen == (result.Ran.UNKNOWN, 2, 0)
 
 
 def test_a_call_whose_route_changes_its_kind_on_the_way_is_not_sent_under_the_new_one():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         plan = forwarding.node.relay.configuration
         admit = forwarding.admit
 
@@ -210,20 +210,20 @@
         refusal = await refusal_of(forwarding)
         return refusal.result, refusal.ran, len(lives[0].runs)
 
-    assert played(story, {}, kind="non_idempotent") == (result.ResultCode.PUT_BACK, result.Ran.NOT_RUN, 0)
+    assert played(scenario, {}, kind="non_idempotent") == (result.ResultCode.PUT_BACK, result.Ran.NOT_RUN, 0)
 
 
 def test_an_edge_without_any_configuration_does_not_say_that_there_is_no_route():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         plan = forwarding.node.relay.configuration
         plan.route_table, plan.http_routes, plan.version = route_table.EMPTY, {}, 0
         return (await refusal_of(forwarding)).result
 
-    assert played(story, {}) is result.ResultCode.NO_PLAN
+    assert played(scenario, {}) is result.ResultCode.NO_PLAN
 
 
 def test_an_edge_that_heard_nothing_of_the_control_plane_lately_does_not_say_that_there_is_no_route():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         plan, relay = forwarding.node.relay.configuration, forwarding.node.relay
         plan.route_table, plan.http_routes = route_table.EMPTY, {}
         first = (await refusal_of(forwarding)).result
@@ -233,20 +233,20 @@
         return first, second.result, second.ran, (await refusal_of(forwarding)).result
 
     unknown = result.ResultCode.UNKNOWN_ROUTE
-    assert played(story, {}) == (unknown, result.ResultCode.NO_PLAN, result.Ran.NOT_RUN, unknown)
+    assert played(scenario, {}) == (unknown, result.ResultCode.NO_PLAN, result.Ran.NOT_RUN, unknown)
 
 
 def test_waiting_for_the_configuration_ends_with_the_time_of_the_route_that_is_known():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         forwarding.node.relay.current = lambda: False
         refusal = await refusal_for(forwarding, asked(within=30.0))
         return refusal.result, clock.now() <= clock.seconds(2.2)
 
-    assert played(story, {}) == (result.ResultCode.NO_PLAN, True)
+    assert played(scenario, {}) == (result.ResultCode.NO_PLAN, True)
 
 
 def test_what_may_have_run_at_a_hedge_is_not_promised_away_by_the_first_attempt():
-    async def story(forwarding, lives):
+    async def scenario(forwarding, lives):
         async def turned_away_late(end):
             await clock.sleep(clock.seconds(0.3))
             raise engine.Full
@@ -256,4 +256,4 @@
         refusal = await refusal_of(forwarding)
         return refusal.ran, [len(life.runs) for life in lives], forwarding.counts["hedged"]
 
-    assert played(story, {}, {"lost": 1.0}, attempts=2, aim=0.1) == (result.Ran.UNKNOWN, [0, 1], 1)
+    assert played(scenario, {}, {"lost": 1.0}, attempts=2, aim=0.1) == (result.Ran.UNKNOWN, [0, 1], 1)
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -14,10 +14,10 @@
     return instance.Instance(name, f"{name}:80", service, "a", "v1", 8, draining, clock.seconds(cold))
 
 
-def play(acts: collections.abc.Callable) -> None:
-    """Play a scene of one edge's knowledge in simulated time."""
+def play(scenario: collections.abc.Callable) -> None:
+    """Run a scenario of one edge's knowledge in simulated time."""
     simulated = loop.SimLoop()
-    simulated.run_until_complete(acts(instances.Instances()))
+    simulated.run_until_complete(scenario(instances.Instances()))
 
 
 def names(found) -> list[str]:
@@ -26,7 +26,7 @@
 
 
 def test_the_list_says_who_serves_what():
-    async def acts(known):
+    async def scenario(known):
         assert known.of("chat") == () and known.is_excluded("a") and known.age() is None
         known.update([worker("a"), worker("b", draining=True), worker("c", "tool")], clock.now())
         assert names(known.of("chat")) == ["a"] and names(known.of("tool")) == ["c"]
@@ -39,24 +39,24 @@
         known.update([], clock.now())
         assert known.of("chat") == () and known.is_excluded("a")
 
-    play(acts)
+    play(scenario)
 
 
 def test_a_worker_seen_draining_stays_so_when_an_older_list_comes_late():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a"), worker("b", draining=True)], clock.now())
         await asyncio.sleep(0.1)
         known.update([worker("a"), worker("b")], clock.now())
         assert names(known.of("chat")) == ["a"] and known.is_excluded("b")
 
-    play(acts)
+    play(scenario)
 
 
 def test_a_draining_worker_is_never_chosen_and_is_barred_in_the_moment_of_sending():
     for seed in range(150):
         chance = random.Random(seed)
 
-        async def acts(known):
+        async def scenario(known):
             drained, gone, alive, sent = set(), set(), {f"i-{number}" for number in range(6)}, 0
             for step in range(120):
                 lot = chance.random()
@@ -94,11 +94,11 @@
                             tell(chosen.name)
             assert sent > 20
 
-        play(acts)
+        play(scenario)
 
 
 def test_own_requests_count_whole_and_those_of_others_fade():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a")], clock.now())
         for _ in range(3):
             known.begin("a")
@@ -116,11 +116,11 @@
             known.end("a")
         assert known.load("a") == 0.0
 
-    play(acts)
+    play(scenario)
 
 
 def test_failures_make_a_worker_doubtful_for_a_while_that_grows_and_one_answer_forgives():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a")], clock.now())
         spans = []
         for _ in range(8):
@@ -139,11 +139,11 @@
         await asyncio.sleep(0.35)
         assert not known.candidates("chat")[0].suspect
 
-    play(acts)
+    play(scenario)
 
 
 def test_a_worker_that_turned_a_request_away_is_crowded_for_a_moment():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a"), worker("b")], clock.now())
         known.record_rejection("a")
         assert [one.rejecting for one in known.candidates("chat")] == [True, False]
@@ -159,11 +159,11 @@
         assert not known.candidates("chat")[0].rejecting
         assert names(known.candidates("chat", frozenset("a"))) == ["b"]
 
-    play(acts)
+    play(scenario)
 
 
 def test_one_closed_connection_is_nothing_but_several_in_a_row_say_that_a_worker_leaves():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a")], clock.now())
         for _ in range(5):
             known.record_answer("a")
@@ -179,11 +179,11 @@
         await asyncio.sleep(1.6)
         assert not known.candidates("chat")[0].suspect
 
-    play(acts)
+    play(scenario)
 
 
 def test_an_address_that_another_worker_has_bars_its_life_for_longer_each_time():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a"), worker("b")], clock.now())
         for span in (4, 8):
             known.record_misdirection("a")
@@ -193,21 +193,21 @@
             await asyncio.sleep(0.2)
             assert not known.is_excluded("a")
 
-    play(acts)
+    play(scenario)
 
 
 def test_cold_workers_become_warm_with_time():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a", cold=2.0)], clock.now())
         assert known.candidates("chat")[0].warming_up
         await asyncio.sleep(2.1)
         assert not known.candidates("chat")[0].warming_up
 
-    play(acts)
+    play(scenario)
 
 
 def test_knowledge_of_workers_that_are_gone_goes_once_nothing_runs_there():
-    async def acts(known):
+    async def scenario(known):
         known.update([worker("a"), worker("b", draining=True)], clock.now())
         known.begin("a")
         known.record_load("b", 1, 0, 8)
@@ -220,4 +220,4 @@
             known.update([worker(f"i-{number}", draining=True)], clock.now())
         assert len(known.drained) < 70
 
-    play(acts)
+    play(scenario)
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -67,11 +67,11 @@
         return 1 - sum(found) / max(1, len(found))
 
 
-def play(seed: int, count: int, fails: collections.abc.Callable, acts: collections.abc.Callable) -> Service:
-    """Play acts of a service in simulated time."""
+def play(seed: int, count: int, fails: collections.abc.Callable, scenario: collections.abc.Callable) -> Service:
+    """Run a scenario of a service in simulated time."""
     simulated = loop.SimLoop()
     service = Service(seed, count, fails)
-    simulated.run_until_complete(acts(service))
+    simulated.run_until_complete(scenario(service))
     return service
 
 
@@ -84,10 +84,10 @@
     ):
         for seed in range(10):
 
-            async def acts(service):
+            async def scenario(service):
                 await service.run(40)
 
-            service = play(seed, 6, lambda name, now: (0.35 if name == "i-3" else 0.01, kind), acts)
+            service = play(seed, 6, lambda name, now: (0.35 if name == "i-3" else 0.01, kind), scenario)
             assert service.share("i-3", 8) < 0.06 and service.bad(8) < 0.035, (
                 kind,
                 seed,
@@ -101,12 +101,12 @@
         ejected = 0
         for seed in range(10):
 
-            async def acts(service):
+            async def scenario(service):
                 await service.run(30)
 
-            ejected += play(seed, 6, lambda name, now: (likely, outlier_detection.FAILED), acts).known.outliers.counts[
-                "ejected"
-            ]
+            ejected += play(
+                seed, 6, lambda name, now: (likely, outlier_detection.FAILED), scenario
+            ).known.outliers.counts["ejected"]
         assert ejected <= 5, (likely, ejected)
 
 
@@ -114,57 +114,59 @@
     for count, most in ((1, 0), (2, 0), (3, 1), (5, 1), (6, 2), (9, 3)):
         for seed in range(5):
 
-            async def acts(service):
+            async def scenario(service):
                 await service.run(25)
 
             service = play(
                 seed,
                 count,
                 lambda name, now: (0.9 if int(name[2:]) % 2 == 0 else 0.0, outlier_detection.FAILED),
-                acts,
+                scenario,
             )
             assert service.most_out <= most, (count, seed)
             assert most == 0 or service.most_out > 0
 
 
 def test_a_bad_worker_that_must_not_go_out_comes_after_the_others():
-    async def acts(service):
+    async def scenario(service):
         await service.run(30)
 
-    service = play(3, 2, lambda name, now: (0.5 if name == "i-0" else 0.0, outlier_detection.FAILED), acts)
+    service = play(3, 2, lambda name, now: (0.5 if name == "i-0" else 0.0, outlier_detection.FAILED), scenario)
     assert service.most_out == 0 and service.share("i-0", 10) < 0.1
     assert service.known.outliers.counts["not ejected"]
 
 
 def test_a_worker_that_got_well_comes_back_by_small_shares():
-    async def acts(service):
+    async def scenario(service):
         await service.run(10)
         assert service.known.outliers.explain("i-3", clock.now())
         await service.run(50)
         assert not service.known.outliers.explain("i-3", clock.now())
 
-    service = play(1, 6, lambda name, now: (0.8 if name == "i-3" and now < 10 else 0.0, outlier_detection.BROKE), acts)
+    service = play(
+        1, 6, lambda name, now: (0.8 if name == "i-3" and now < 10 else 0.0, outlier_detection.BROKE), scenario
+    )
     until = max(record.ejected_until for record in service.known.outliers.records.values()).total_seconds()
     assert service.share("i-3", until, until + 1.5) < 0.1, "small shares first"
     assert service.share("i-3", 40) > 0.1, "its whole share in the end"
 
 
 def test_a_worker_that_flaps_goes_out_for_longer_each_time():
-    async def acts(service):
+    async def scenario(service):
         await service.run(60)
 
     service = play(
-        2, 6, lambda name, now: (0.9 if name == "i-3" and now % 6 < 3 else 0.0, outlier_detection.LOST), acts
+        2, 6, lambda name, now: (0.9 if name == "i-3" and now % 6 < 3 else 0.0, outlier_detection.LOST), scenario
     )
     assert service.known.outliers.records["i-3"].span >= clock.seconds(8)
     assert service.share("i-3", 20) < 0.08
 
 
 def test_requests_sent_once_only_go_to_sound_workers_first():
-    async def acts(service):
+    async def scenario(service):
         await service.run(20, repeatable=False)
 
-    every = play(1, 6, lambda name, now: (0.12 if name == "i-3" else 0.0, outlier_detection.BROKE), acts)
+    every = play(1, 6, lambda name, now: (0.12 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
     assert every.share("i-3", 5) < 0.1
 
     async def back(service):
@@ -183,22 +185,22 @@
 
 
 def test_one_that_is_alone_is_chosen_whatever_is_held_against_it():
-    async def acts(service):
+    async def scenario(service):
         await service.run(20)
         without = frozenset(service.names) - {"i-3"}
         assert service.known.outliers.explain("i-3", clock.now())
         for repeatable in (True, False):
             assert [one.name for one in service.known.candidates("chat", without, repeatable)] == ["i-3"]
 
-    play(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), acts)
+    play(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
 
 
 def test_a_suspicion_that_was_limited_ends_once_the_worker_is_well():
-    async def acts(service):
+    async def scenario(service):
         await service.run(50)
         assert not service.known.outliers.is_suspect("i-0", True, clock.now())
 
-    play(3, 2, lambda name, now: (0.5 if name == "i-0" and now < 15 else 0.0, outlier_detection.FAILED), acts)
+    play(3, 2, lambda name, now: (0.5 if name == "i-0" and now < 15 else 0.0, outlier_detection.FAILED), scenario)
 
 
 def test_the_bounds_of_being_worse():
@@ -227,7 +229,7 @@
 
 
 def test_what_is_known_of_workers_that_are_gone_goes():
-    async def acts(service):
+    async def scenario(service):
         await service.run(10)
         assert service.known.outliers.records
         service.known.update([], clock.now())
@@ -235,18 +237,18 @@
         service.known.record_failure("i-0", outlier_detection.LOST)
         assert not service.known.outliers.records
 
-    play(1, 6, lambda name, now: (0.3, outlier_detection.BROKE), acts)
+    play(1, 6, lambda name, now: (0.3, outlier_detection.BROKE), scenario)
 
 
 def test_the_words_say_what_was_counted():
-    async def acts(service):
+    async def scenario(service):
         while not service.most_out:
             await service.run(0.5)
         said = service.known.outliers.explain("i-3", clock.now())
         assert said.startswith("i-3 gets nothing for") and "broke" in said and "% expected" in said
         assert collections.Counter(service.known.outliers.explain(name, clock.now()) for name in service.names)[""] == 5
 
-    play(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), acts)
+    play(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
 
 
 def ejected(at: float) -> outlier_detection.OutlierDetector:
--- a/aspencroft/proxy/working_set_test.py
+++ b/aspencroft/proxy/working_set_test.py
@@ -9,9 +9,9 @@
 from aspencroft.simulation import loop
 
 
-def play(acts: collections.abc.Callable) -> None:
-    """Play a scene in simulated time."""
-    loop.SimLoop().run_until_complete(acts(working_set.WorkingSet()))
+def play(scenario: collections.abc.Callable) -> None:
+    """Run a scenario in simulated time."""
+    loop.SimLoop().run_until_complete(scenario(working_set.WorkingSet()))
 
 
 def prompt(subject: int, size: int = 12_600) -> tuple[tuple[str, int], ...]:
@@ -25,7 +25,7 @@
 
 
 def test_what_one_program_uses_is_its_own_and_what_several_use_counts_once():
-    async def acts(used):
+    async def scenario(used):
         for _ in range(5):
             assert used.home_parts(prompt(1), "one") == prompt(1)
         assert used.all_tokens() == math.inf, "nobody else shares it, as far as is known"
@@ -37,11 +37,11 @@
         use(used, prompt(2, 500))
         assert used.tokens == 13_100, "a part whose size changed counts with its newest"
 
-    play(acts)
+    play(scenario)
 
 
 def test_homes_go_by_the_last_part_that_is_shared():
-    async def acts(used):
+    async def scenario(used):
         def of_subject(subject: int, program: str):
             return (("system", 300), (f"subject {subject}", 9_000), (f"own {program}", 20))
 
@@ -51,11 +51,11 @@
         helper = (*of_subject(1, "c"), ("helper's own", 5))
         assert used.home_parts(helper, "c") == helper[1:], "with its parent, not with the parent's own part alone"
 
-    play(acts)
+    play(scenario)
 
 
 def test_copies_follow_memory_and_never_leave_the_bounds():
-    async def acts(used):
+    async def scenario(used):
         assert used.copies(28, 452_141, 12) == 1, "nothing is known yet"
         for subject in range(16):
             use(used, prompt(subject))
@@ -66,11 +66,11 @@
         assert used.copies(28, 144_000, 1000) == 1
         assert used.copies(3, 20_000, 1) == 1 and used.copies(28, 0, 0) == 1, "no room, or memory that isn't known"
 
-    play(acts)
+    play(scenario)
 
 
 def test_parts_that_were_not_met_yet_are_allowed_for():
-    async def acts(used):
+    async def scenario(used):
         chance = random.Random(5)
         seen = []
         for number in range(200):
@@ -81,11 +81,11 @@
         assert all(one > 0.35 * everything for one in seen[10:]), "one that met few parts does not think them all"
         assert 0.8 * everything < seen[-1] < 1.3 * everything
 
-    play(acts)
+    play(scenario)
 
 
 def test_what_is_not_asked_for_any_more_is_forgotten_and_the_number_is_bounded():
-    async def acts(used):
+    async def scenario(used):
         for subject in range(working_set.MOST_PARTS + 100):
             use(used, prompt(subject, 1))
         assert used.tokens == len(used.parts) == working_set.MOST_PARTS
@@ -93,7 +93,7 @@
         use(used, prompt(1, 700))
         assert used.tokens == 700 and len(used.parts) == 1
 
-    play(acts)
+    play(scenario)
 
 
 def test_services_that_are_not_used_any_more_are_forgotten():
--- a/aspencroft/replication/append_patience_test.py
+++ b/aspencroft/replication/append_patience_test.py
@@ -19,7 +19,7 @@
 
 
 def play(scenario: collections.abc.Callable) -> None:
-    """Play a scene in simulated time."""
+    """Run a scenario in simulated time."""
     StallingLoop().run_until_complete(scenario(append_patience.AppendPatience()))
 
 
--- a/aspencroft/replication/group_replica_test.py
+++ b/aspencroft/replication/group_replica_test.py
@@ -9,28 +9,28 @@
 FIVE = simulated_cluster.Size(2, 5, 5, apart=True)
 
 
-def cut_off(fleet: groups.Stage, one_way: bool, back: bool) -> list[str]:
+def cut_off(fleet: groups.ClusterHarness, one_way: bool, back: bool) -> list[str]:
     """Cut the control group's primary and one other core off from all others; the cores of the majority."""
-    one = fleet.scene
-    left = [one.leader(0), next(name for name in fleet.members(0) if name != one.leader(0))]
-    right = [name for name in one.names() if name not in left]
-    one.wire.cut(*((right, left) if back else (left, right)), one_way)
-    return [name for name in one.cores if name not in left]
+    cluster = fleet.cluster
+    left = [cluster.leader(0), next(name for name in fleet.members(0) if name != cluster.leader(0))]
+    right = [name for name in cluster.names() if name not in left]
+    cluster.wire.cut(*((right, left) if back else (left, right)), one_way)
+    return [name for name in cluster.cores if name not in left]
 
 
 def test_the_majority_side_of_a_core_cut_serves_and_keeps_what_was_acknowledged():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         assert await fleet.write("before")
         for one_way, back, most in ((False, False, 4.0), (True, False, 4.0), (True, True, 5.0)):
-            await one.until(fleet.whole, 12, "whole")
+            await cluster.until(fleet.whole, 12, "whole")
             majority = cut_off(fleet, one_way, back)
-            took = await one.until(lambda: one.leader(0) in majority, 8, "led by the majority side")
+            took = await cluster.until(lambda: cluster.leader(0) in majority, 8, "led by the majority side")
             assert took < most, (one_way, back, took)
             name = f"in-{one_way}-{back}".lower()
             assert await fleet.write(name)
-            one.wire.heal()
-            await one.until(one.ready, 12, "ready")
+            cluster.wire.heal()
+            await cluster.until(cluster.ready, 12, "ready")
             assert {"before", name} <= await fleet.written()
 
     for seed in (1, 2, 3):
@@ -38,17 +38,17 @@
 
 
 def test_two_cuts_at_once_leave_a_majority_that_serves():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         assert await fleet.write("before")
-        alone = [one.leader(0), next(name for name in one.cores if name not in fleet.members(0))]
+        alone = [cluster.leader(0), next(name for name in cluster.cores if name not in fleet.members(0))]
         for name in alone:
-            one.wire.cut([name], [other for other in one.names() if other != name])
-        majority = [name for name in one.cores if name not in alone]
-        await one.until(lambda: one.leader(0) in majority, 4.5, "led by the majority side")
+            cluster.wire.cut([name], [other for other in cluster.names() if other != name])
+        majority = [name for name in cluster.cores if name not in alone]
+        await cluster.until(lambda: cluster.leader(0) in majority, 4.5, "led by the majority side")
         assert await fleet.write("between")
-        one.wire.heal()
-        await one.until(one.ready, 12, "ready")
+        cluster.wire.heal()
+        await cluster.until(cluster.ready, 12, "ready")
         assert {"before", "between"} <= await fleet.written()
 
     for seed in (4, 5):
@@ -56,27 +56,27 @@
 
 
 def test_a_members_lost_disk_and_power_lost_by_all_others_lose_nothing():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         for number, group_id in enumerate((0, 1, 2, 0)):
-            await one.until(fleet.whole, 15, "whole")
+            await cluster.until(fleet.whole, 15, "whole")
             assert (await fleet.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
             assert await fleet.write(f"extra-{number}")
             lost = fleet.members(group_id)[number % 2]
-            for name in one.names():
-                one.power_off(name)
-            one.disks[lost].wipe()
-            one.lost.add(lost)
+            for name in cluster.names():
+                cluster.power_off(name)
+            cluster.disks[lost].wipe()
+            cluster.lost.add(lost)
             await asyncio.sleep(1)
-            for name in one.names():
-                one.start(name)
-            assert await one.until(one.formed, 20, "formed") < 6
-            await one.until(one.ready, 12, "ready")
+            for name in cluster.names():
+                cluster.start(name)
+            assert await cluster.until(cluster.formed, 20, "formed") < 6
+            await cluster.until(cluster.ready, 12, "ready")
             assert {f"extra-{each}" for each in range(number + 1)} <= await fleet.written()
         for number in range(4):
             noted = await fleet.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)
             assert noted.ran == "done", noted
-        turns = [body for body in one.world.seen() if body.get("turn") == 2]
+        turns = [body for body in cluster.world.seen() if body.get("turn") == 2]
         assert sorted(body["history"][0][0] for body in turns) == [f"p{number} first" for number in range(4)]
 
     for seed in (6, 7):
@@ -84,19 +84,19 @@
 
 
 def test_an_empty_machine_at_a_new_address_takes_the_place_of_a_lost_one():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
-        for number, lost in enumerate(list(one.storages)):
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
+        for number, lost in enumerate(list(cluster.storages)):
             assert await fleet.write(f"extra-{number}")
             assert (await fleet.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
-            one.power_off(lost)
-            one.disks[lost].wipe()
+            cluster.power_off(lost)
+            cluster.disks[lost].wipe()
             fresh = f"storage-{3 + number}"
-            one.storages[one.storages.index(lost)] = fresh
-            one.lost.add(fresh)
-            await one.until(one.formed, 4, "served with two members")
-            one.start(fresh)
-            await one.until(
+            cluster.storages[cluster.storages.index(lost)] = fresh
+            cluster.lost.add(fresh)
+            await cluster.until(cluster.formed, 4, "served with two members")
+            cluster.start(fresh)
+            await cluster.until(
                 lambda: (
                     fleet.whole()
                     and all(
@@ -113,24 +113,24 @@
 
 
 def test_with_two_losses_to_be_borne_two_disks_may_go_at_once_with_the_power_of_all():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         for number, group_id in enumerate((0, 1, 2)):
-            await one.until(fleet.whole, 15, "whole")
+            await cluster.until(fleet.whole, 15, "whole")
             assert len(fleet.members(group_id)) == 3
             assert (await fleet.ask("edge-0", "supervisor", f"p{number} first", program=f"p{number}")).ran == "done"
             assert await fleet.write(f"extra-{number}")
-            lost = one.chance.sample(fleet.members(group_id), 2)
-            for name in one.names():
-                one.power_off(name)
+            lost = cluster.chance.sample(fleet.members(group_id), 2)
+            for name in cluster.names():
+                cluster.power_off(name)
             for name in lost:
-                one.disks[name].wipe()
-                one.lost.add(name)
+                cluster.disks[name].wipe()
+                cluster.lost.add(name)
             await asyncio.sleep(1)
-            for name in one.names():
-                one.start(name)
-            assert await one.until(one.formed, 20, "formed") < 6
-            await one.until(one.ready, 12, "ready")
+            for name in cluster.names():
+                cluster.start(name)
+            assert await cluster.until(cluster.formed, 20, "formed") < 6
+            await cluster.until(cluster.ready, 12, "ready")
             assert f"extra-{number}" in await fleet.written()
             assert (await fleet.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)).ran == "done"
 
@@ -139,73 +139,75 @@
 
 
 def test_a_group_serves_with_two_of_three_members_but_never_with_one():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         first, second, third = fleet.members(1)
-        one.power_off(second)
-        await one.until(lambda: fleet.members(1) == [first, third] and one.leader(1) == first, 4, "served by two")
+        cluster.power_off(second)
+        await cluster.until(
+            lambda: fleet.members(1) == [first, third] and cluster.leader(1) == first, 4, "served by two"
+        )
         assert fleet.record(1).epoch > 1
-        one.power_off(third)
-        await one.until(lambda: fleet.members(1) == [first], 4, "one is left")
-        held = one.nodes[first].group_replicas[1]
+        cluster.power_off(third)
+        await cluster.until(lambda: fleet.members(1) == [first], 4, "one is left")
+        held = cluster.nodes[first].group_replicas[1]
         await asyncio.sleep(5)
         assert held.has_lease() and held.status_reason == "no backup"
-        one.start(second)
-        await one.until(lambda: one.leader(1) == first, 4, "served again")
+        cluster.start(second)
+        await cluster.until(lambda: cluster.leader(1) == first, 4, "served again")
         assert len(fleet.members(1)) == 2
-        one.start(third)
-        await one.until(fleet.whole, 6, "whole")
+        cluster.start(third)
+        await cluster.until(fleet.whole, 6, "whole")
 
     groups.play(11, scenario, THREE, {"losses": 2})
 
 
 def test_any_caught_up_backup_takes_over_with_the_others_as_its_backups():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         for number in range(3):
-            await one.until(fleet.whole, 12, "whole")
+            await cluster.until(fleet.whole, 12, "whole")
             assert await fleet.write(f"extra-{number}")
             old = fleet.members(0)
             gone = old[0]
             if number == 1:
-                one.loop.freeze(gone)
+                cluster.loop.freeze(gone)
             else:
-                one.power_off(gone)
-            took = await one.until(lambda: one.leader(0) in old[1:], 6, "led by a backup")
+                cluster.power_off(gone)
+            took = await cluster.until(lambda: cluster.leader(0) in old[1:], 6, "led by a backup")
             assert took < 3, took
             assert f"extra-{number}" in await fleet.written()
             if number == 1:
-                one.loop.thaw(gone)
-                assert not one.nodes[gone].group_replicas[0].has_lease()
+                cluster.loop.thaw(gone)
+                assert not cluster.nodes[gone].group_replicas[0].has_lease()
             else:
-                one.start(gone)
+                cluster.start(gone)
 
     for seed in (12, 13):
         groups.play(seed, scenario)
 
 
 def test_a_backup_that_fell_silent_is_recorded_out_within_its_time_and_taken_in_again_at_once():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         for group_id in (0, 1):
             silent = fleet.members(group_id)[-1]
-            one.power_off(silent)
-            took = await one.until(lambda: silent not in fleet.members(group_id), 4, "recorded out")
+            cluster.power_off(silent)
+            took = await cluster.until(lambda: silent not in fleet.members(group_id), 4, "recorded out")
             assert took < 1.7, took
-            one.start(silent)
-            await one.until(fleet.whole, 3, "whole")
+            cluster.start(silent)
+            await cluster.until(fleet.whole, 3, "whole")
 
     groups.play(14, scenario, THREE, {"losses": 2})
 
 
 def test_a_new_member_leads_though_the_primary_lost_its_disk_before_it_told_of_the_record():
-    async def scenario(fleet: groups.Stage) -> None:
-        one = fleet.scene
+    async def scenario(fleet: groups.ClusterHarness) -> None:
+        cluster = fleet.cluster
         assert (await fleet.ask("edge-0", "supervisor", "p first", program="p")).ran == "done"
         for group_id in (1, 2):
             primary, backup = fleet.members(group_id)
-            third = next(name for name in one.storages if name not in (primary, backup))
-            link = one.nodes[primary].group_replicas[group_id].link
+            third = next(name for name in cluster.storages if name not in (primary, backup))
+            link = cluster.nodes[primary].group_replicas[group_id].link
             request = link.request
 
             async def cut_before_telling(
@@ -213,21 +215,21 @@
             ):
                 told = message.record if isinstance(message, replica_set.ReplicaSetNotice) else None
                 if told is not None and told.group_id == group_id and third in str(told.backups):
-                    one.power_off(primary)
-                    one.disks[primary].wipe()
-                    one.lost.add(primary)
+                    cluster.power_off(primary)
+                    cluster.disks[primary].wipe()
+                    cluster.lost.add(primary)
                 return await request(address, message, *rest)
 
             link.request = cut_before_telling
-            one.power_off(backup)
-            await one.until(lambda primary=primary: not one.alive(primary), 6, "lost before telling")
+            cluster.power_off(backup)
+            await cluster.until(lambda primary=primary: not cluster.alive(primary), 6, "lost before telling")
             await asyncio.sleep(0.5)
-            one.start(primary)
-            await one.until(
-                lambda group_id=group_id, third=third: one.leader(group_id) == third, 6, "led by the new member"
+            cluster.start(primary)
+            await cluster.until(
+                lambda group_id=group_id, third=third: cluster.leader(group_id) == third, 6, "led by the new member"
             )
-            one.start(backup)
-            await one.until(fleet.whole, 10, "whole")
+            cluster.start(backup)
+            await cluster.until(fleet.whole, 10, "whole")
         assert (await fleet.ask("edge-1", "supervisor", "second", program="p", after=1)).ran == "done"
 
     groups.play(15, scenario)
--- a/aspencroft/replication/stored_group_test.py
+++ b/aspencroft/replication/stored_group_test.py
@@ -230,7 +230,7 @@
 def test_a_former_replica_is_written_anew_with_the_same_values(tmp_path):
     """Records of a generation that is written whole: what is written differs from what was appended in no value."""
 
-    async def scene(name, group):
+    async def scenario(name, group):
         folder = lay_out(name, tmp_path / name)
         one = group_replica(folder, group)
         await one.open()
@@ -240,16 +240,16 @@
         assert sorted(after) == sorted(before)
 
     for name, group in (("control", CONTROL_GROUP), ("talk", TALK_GROUP)):
-        asyncio.run(scene(name, group))
+        asyncio.run(scenario(name, group))
 
 
 def test_a_former_witness_starts_as_it_was(tmp_path):
-    async def scene():
+    async def scenario():
         one = new_witness(lay_out("witness", tmp_path))
         await one.start()
         return one
 
-    one = asyncio.run(scene())
+    one = asyncio.run(scenario())
     value = bytes.fromhex(
         "0015"
         "0000000000000001"
--- a/aspencroft/runtime/supervision_test.py
+++ b/aspencroft/runtime/supervision_test.py
@@ -31,7 +31,7 @@
     async def fails():
         raise ValueError("at once")
 
-    async def scene():
+    async def scenario():
         counts = []
         for _ in range(3):
             try:
@@ -41,7 +41,7 @@
                 counts.append(asyncio.current_task().cancelling())
         return counts
 
-    assert asyncio.run(scene()) == [0, 0, 0]
+    assert asyncio.run(scenario()) == [0, 0, 0]
 
 
 def test_a_cancellation_in_the_moment_of_a_failure_is_heeded():
@@ -57,7 +57,7 @@
         async with supervision.Group() as group:
             group.create_task(fails())
 
-    async def scene():
+    async def scenario():
         task = asyncio.ensure_future(supervision.stand("work", work, collections.Counter()))
         held.append(task)
         await asyncio.wait([task], timeout=0)
@@ -65,4 +65,4 @@
         await asyncio.wait([task], timeout=5)
         return task.done() and task.cancelled()
 
-    assert asyncio.run(scene())
+    assert asyncio.run(scenario())
--- a/aspencroft/runtime/uninterrupted_test.py
+++ b/aspencroft/runtime/uninterrupted_test.py
@@ -10,7 +10,7 @@
 
 
 def test_a_cancelled_caller_ends_only_when_the_work_is_done():
-    async def scene() -> None:
+    async def scenario() -> None:
         steps = []
 
         async def work() -> None:
@@ -28,11 +28,11 @@
         assert steps == ["written"]
 
     with asyncio.Runner(loop_factory=loop.SimLoop) as runner:
-        runner.run(scene())
+        runner.run(scenario())
 
 
 def test_result_and_failure_are_handed_on():
-    async def scene() -> None:
+    async def scenario() -> None:
         async def answer(value: int) -> int:
             if not value:
                 raise OSError("no space")
@@ -43,11 +43,11 @@
             await uninterrupted.finish(answer(0))
 
     with asyncio.Runner(loop_factory=loop.SimLoop) as runner:
-        runner.run(scene())
+        runner.run(scenario())
 
 
 def test_a_disk_keeps_its_caller_until_the_thread_is_done():
-    async def scene() -> None:
+    async def scenario() -> None:
         machine, begun, release = environment.FileDisk(), threading.Event(), threading.Event()
         lock = asyncio.Lock()
 
@@ -70,4 +70,4 @@
             await one
         assert not lock.locked()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/aspencroft/simulation/alerting_test.py
+++ b/aspencroft/simulation/alerting_test.py
@@ -13,8 +13,8 @@
 
 
 def test_rules_fire_shed_and_clear_and_missing_samples_fire_nothing():
-    async def acts(stage: guarantees.Stage) -> None:
-        one, client = stage.scene, stage.client
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster, client = harness.cluster, harness.client
         bad = await client.put("http://core-0/plan/rules/bad", json=rule("rate(a[5m]) > 1"))
         assert bad.status_code == 422 and bad.json()["error"]["faults"][0]["path"] == "rules/bad/expr"
         for name, spec in (
@@ -30,27 +30,27 @@
         await asyncio.sleep(10)
         assert await states() == {"missing": "inactive", "plain": "firing", "shed": "inactive"}, await states()
         for number in range(50):
-            assert (await stage.ask("edge-0", "supervisor", "x", program=f"p{number}")).ran == "done"
+            assert (await harness.ask("edge-0", "supervisor", "x", program=f"p{number}")).ran == "done"
         await asyncio.sleep(8)
         assert (await states())["shed"] == "firing"
-        shed = await stage.ask("edge-1", "shopper", "x", program="q")
+        shed = await harness.ask("edge-1", "shopper", "x", program="q")
         assert (shed.result, shed.ran) == (1108, "not run")
-        assert (await stage.ask("edge-1", "till-lock", {"name": "k"}, operation="k")).ran == "done"
+        assert (await harness.ask("edge-1", "till-lock", {"name": "k"}, operation="k")).ran == "done"
         holder = next(
             name
-            for name, own in one.nodes.items()
+            for name, own in cluster.nodes.items()
             if own.singleton_roles.get("alerts") and own.singleton_roles["alerts"].has_lease()
         )
-        one.kill(holder)
+        cluster.kill(holder)
         for _ in range(40):
             await asyncio.sleep(0.25)
             assert (await states())["shed"] == "firing"
-        one.start(holder)
+        cluster.start(holder)
         await client.delete("http://core-1/plan/rules/shed") if holder != "core-1" else await client.delete(
             "http://core-0/plan/rules/shed"
         )
         await asyncio.sleep(6)
-        assert (await stage.ask("edge-1", "shopper", "x", program="q")).ran == "done"
+        assert (await harness.ask("edge-1", "shopper", "x", program="q")).ran == "done"
         text = (await client.get("http://edge-0/metrics")).text
         for line in (
             "# TYPE aspencroft_asked_total counter",
@@ -59,13 +59,13 @@
         ):
             assert line in text, text[:600]
 
-    guarantees.play(81, acts)
+    guarantees.play(81, scenario)
 
 
 def test_firing_rules_wake_and_keep_awake_and_hold_moves():
-    async def acts(stage: guarantees.Stage) -> None:
-        one, client = stage.scene, stage.client
-        await resting.calm(stage, 3)
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster, client = harness.cluster, harness.client
+        await resting.calm(harness, 3)
         await client.put("http://core-1/plan/rules/hold", json=rule("sum(aspencroft_asked_total) > 0", "hold_moves"))
         await asyncio.sleep(10)
         held = (await client.get("http://edge-0/observed/quiet")).json()["quiet"]["workers"]
@@ -73,14 +73,14 @@
         assert (await client.get("http://edge-0/observed/quiet")).json()["quiet"]["workers"] == held
         await client.put("http://core-1/plan/rules/awake", json=rule("sum(aspencroft_asked_total) > 0", "keep_awake"))
         await asyncio.sleep(16)
-        assert resting.asleep(stage) == []
+        assert resting.asleep(harness) == []
         await asyncio.sleep(20)
-        assert resting.asleep(stage) == []
+        assert resting.asleep(harness) == []
         shown = (await client.get("http://edge-0/observed/alerts")).json()["alerts"]
         assert shown["keep_awake"] is True and shown["hold_moves"] is True and shown["shed"] == 10
         await client.delete("http://core-1/plan/rules/awake")
         await client.delete("http://core-1/plan/rules/hold")
-        await resting.calm(stage, 2)
-        assert one.ended == []
+        await resting.calm(harness, 2)
+        assert cluster.ended == []
 
-    guarantees.play(82, acts, name=shape.ARCHIVE)
+    guarantees.play(82, scenario, name=shape.ARCHIVE)
--- a/aspencroft/simulation/behaviour_digests.py
+++ b/aspencroft/simulation/behaviour_digests.py
@@ -162,7 +162,7 @@
             kinds = campaign.FAULTS[(seed - 1) % FAULT_GROUPS :: FAULT_GROUPS]
             shown = campaign.run_day(seed, kinds, CAMPAIGN_FAULTS)
     day, word = days[0], Words()
-    cluster = day.scene
+    cluster = day.cluster
     noted = [
         dataclasses.astuple(
             dataclasses.replace(one, ran=word(one.ran), text=one.text if one.result == 0 else "", operation="")
@@ -242,7 +242,7 @@
         await cutoff.random_trouble(cluster, trial, CUTOFF_ROUNDS)
 
     trial = cutoff.play(seed, trouble, CUTOFF)
-    cluster = trial.scene
+    cluster = trial.cluster
     observed = digest(
         trial.acknowledged,
         list(trial.counts.values()),
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -228,7 +228,7 @@
                 self.sessions.apply(event)
 
 
-class Scene:
+class CallScenario:
     """One edge and another, two workers and a group; the first worker meets the trouble."""
 
     def __init__(self, kind: Kind, trouble: Trouble):
@@ -426,11 +426,11 @@
 
 def play(kind: Kind, trouble: Trouble) -> Seen:
     """Play one scene."""
-    scene = Scene(kind, trouble)
+    call_scenario = CallScenario(kind, trouble)
     try:
-        return scene.loop.run_until_complete(scene.play())
+        return call_scenario.loop.run_until_complete(call_scenario.play())
     finally:
-        scene.loop.bury()
+        call_scenario.loop.bury()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -452,7 +452,7 @@
 
 def sizes_of(kind: Kind) -> Sizes:
     """The bytes of a call without trouble, counted at the worker."""
-    scene = Scene(kind, Trouble())
+    call_scenario = CallScenario(kind, Trouble())
     read, written = bytearray(), bytearray()
 
     class Counting(TroubledChannel):
@@ -460,7 +460,7 @@
 
         async def read_some(self, limit: int) -> bytes:
             data = await super().read_some(limit)
-            if scene.runs_of("a2") == [] and not done:
+            if call_scenario.runs_of("a2") == [] and not done:
                 read.extend(data)
             return data
 
@@ -470,23 +470,23 @@
             await super().write(data)
 
     done: list[bool] = []
-    held = scene.lives[0].converse
+    held = call_scenario.lives[0].converse
 
     async def converse(channel: environment.Channel) -> None:
-        await worker_server.Worker.converse(scene.lives[0], Counting(channel, Trouble()))
+        await worker_server.Worker.converse(call_scenario.lives[0], Counting(channel, Trouble()))
 
-    async def story() -> None:
-        await scene.start()
-        edge = scene.edge("edge-1")
-        await scene.ask(edge, scene.call_of("a1"))
+    async def scenario() -> None:
+        await call_scenario.start()
+        edge = call_scenario.edge("edge-1")
+        await call_scenario.ask(edge, call_scenario.call_of("a1"))
         done.append(True)
 
-    scene.lives[0].converse = converse
+    call_scenario.lives[0].converse = converse
     try:
-        scene.loop.run_until_complete(story())
+        call_scenario.loop.run_until_complete(scenario())
     finally:
-        scene.lives[0].converse = held
-        scene.loop.bury()
+        call_scenario.lives[0].converse = held
+        call_scenario.loop.bury()
     return Sizes(len(read), written.index(b"\r\n\r\n") + 4, len(written))
 
 
--- a/aspencroft/simulation/call_troubles_test.py
+++ b/aspencroft/simulation/call_troubles_test.py
@@ -42,40 +42,40 @@
 
 def test_a_key_is_held_for_the_window_of_the_settings():
     keyed = next(one for one in call_troubles.KINDS if one.key)
-    scene = call_troubles.Scene(keyed, call_troubles.Trouble())
+    call_scenario = call_troubles.CallScenario(keyed, call_troubles.Trouble())
 
-    async def story():
-        await scene.start()
-        edge = scene.edge("edge-1")
-        scene.loop.create_task(call_troubles.drain_endings(edge, scene.group))
-        first = await scene.ask(edge, scene.call_of("a1", "k"))
+    async def scenario():
+        await call_scenario.start()
+        edge = call_scenario.edge("edge-1")
+        call_scenario.loop.create_task(call_troubles.drain_endings(edge, call_scenario.group))
+        first = await call_scenario.ask(edge, call_scenario.call_of("a1", "k"))
         for _ in range(int(call_troubles.KEY_WINDOW.total_seconds()) - 1):
-            scene.group.tick()
+            call_scenario.group.tick()
             await clock.sleep(clock.seconds(1))
-        repeat = await scene.ask(edge, scene.call_of("a3", "k"))
-        return first == repeat, len(scene.runs_of("a1")), len(scene.runs_of("a3"))
+        repeat = await call_scenario.ask(edge, call_scenario.call_of("a3", "k"))
+        return first == repeat, len(call_scenario.runs_of("a1")), len(call_scenario.runs_of("a3"))
 
     try:
-        assert scene.loop.run_until_complete(story()) == (True, 1, 0)
+        assert call_scenario.loop.run_until_complete(scenario()) == (True, 1, 0)
     finally:
-        scene.loop.bury()
+        call_scenario.loop.bury()
 
 
 def test_a_turn_that_cannot_be_kept_is_not_held_beyond_the_time_of_its_route():
     turn = next(one for one in call_troubles.KINDS if one.budget)
-    scene = call_troubles.Scene(turn, call_troubles.Trouble(group_commands=1))
+    call_scenario = call_troubles.CallScenario(turn, call_troubles.Trouble(group_commands=1))
 
-    async def story():
-        for life in scene.lives:
+    async def scenario():
+        for life in call_scenario.lives:
             life.engine.slowness = 45.0
-        await scene.start()
-        told, _, _ = await scene.ask(scene.edge("edge-1"), scene.call_of("a1"))
+        await call_scenario.start()
+        told, _, _ = await call_scenario.ask(call_scenario.edge("edge-1"), call_scenario.call_of("a1"))
         return told, clock.now().total_seconds()
 
     try:
-        told, held = scene.loop.run_until_complete(story())
+        told, held = call_scenario.loop.run_until_complete(scenario())
     finally:
-        scene.loop.bury()
+        call_scenario.loop.bury()
     assert told == "stream broken off, OUTCOME_UNKNOWN, may have run"
     assert call_troubles.TIMEOUT < held <= call_troubles.TIMEOUT + HELD_BEYOND
 
@@ -83,27 +83,29 @@
 def test_repeats_of_a_key_at_work_never_run_whatever_takeovers_come_between():
     keyed = next(one for one in call_troubles.KINDS if one.key)
     for takeover in range(0, 30):
-        scene = call_troubles.Scene(keyed, call_troubles.Trouble())
+        call_scenario = call_troubles.CallScenario(keyed, call_troubles.Trouble())
 
-        async def story(scene=scene, takeover=takeover):
-            await scene.start()
-            edges = [scene.edge("edge-1"), scene.edge("edge-2")]
+        async def scenario(call_scenario=call_scenario, takeover=takeover):
+            await call_scenario.start()
+            edges = [call_scenario.edge("edge-1"), call_scenario.edge("edge-2")]
             for edge in edges:
-                scene.loop.create_task(call_troubles.drain_endings(edge, scene.group))
-            first = asyncio.ensure_future(scene.ask(edges[0], scene.call_of("a1", "k")))
+                call_scenario.loop.create_task(call_troubles.drain_endings(edge, call_scenario.group))
+            first = asyncio.ensure_future(call_scenario.ask(edges[0], call_scenario.call_of("a1", "k")))
             repeats = []
             for at in range(30):
                 await clock.sleep(clock.seconds(0.001))
-                repeats.append(asyncio.ensure_future(scene.ask(edges[at % 2], scene.call_of(f"r{at}", "k"))))
+                repeats.append(
+                    asyncio.ensure_future(call_scenario.ask(edges[at % 2], call_scenario.call_of(f"r{at}", "k")))
+                )
                 if at == takeover:
-                    scene.group.take_over()
+                    call_scenario.group.take_over()
             told = {(await one)[0] for one in repeats}
             bodies = {(await one)[2] for one in (first, *repeats)} - {""}
-            return (await first)[0], told, bodies, sum(len(life.runs) for life in scene.lives)
+            return (await first)[0], told, bodies, sum(len(life.runs) for life in call_scenario.lives)
 
         try:
-            first, told, bodies, runs = scene.loop.run_until_complete(story())
+            first, told, bodies, runs = call_scenario.loop.run_until_complete(scenario())
         finally:
-            scene.loop.bury()
+            call_scenario.loop.bury()
         assert (first, runs, len(bodies)) == ("answer 200", 1, 1)
         assert told == {"answer 200", "OPERATION_IN_PROGRESS, may have run"}
--- a/aspencroft/simulation/campaign.py
+++ b/aspencroft/simulation/campaign.py
@@ -54,7 +54,7 @@
 class Day:
     """One campaign's course: what operators got acknowledged, and how long service took to return."""
 
-    scene: simulated_cluster.SimulatedCluster
+    cluster: simulated_cluster.SimulatedCluster
     chance: random.Random
     kinds: tuple[str, ...] = FAULTS
     count: int = 3
@@ -68,12 +68,12 @@
 
     async def run(self) -> None:
         """Form, write the plan, let traffic and operators run beside faults, end, ask once more."""
-        await self.scene.until(self.scene.formed, 30, "formed")
-        self.client = httpx.AsyncClient(transport=wire.SimTransport(self.scene.wire, simulated_cluster.OUTSIDE))
+        await self.cluster.until(self.cluster.formed, 30, "formed")
+        self.client = httpx.AsyncClient(transport=wire.SimTransport(self.cluster.wire, simulated_cluster.OUTSIDE))
         await self.put_first_plan()
-        await self.scene.until(self.scene.ready, 20, "ready")
-        self.asking = self.scene.caller(1)
-        self.operators = register.Operators(self.scene, self.client, self.chance)
+        await self.cluster.until(self.cluster.ready, 20, "ready")
+        self.asking = self.cluster.caller(1)
+        self.operators = register.Operators(self.cluster, self.client, self.chance)
         async with asyncio.TaskGroup() as group:
             traffic = [
                 group.create_task(self.traffic()),
@@ -87,14 +87,14 @@
                 if number == self.count - 1 and ends_in_a_fault:
                     self.stop_traffic()
                 await self.faults_at_once()
-                self.returned.append(await self.scene.until(self.serves, RETURN, "back in service"))
+                self.returned.append(await self.cluster.until(self.serves, RETURN, "back in service"))
             self.stop_traffic()
             for task in traffic:
                 await task
             watching.cancel()
         self.told.extend(await self.asking.still_kept())
-        await self.scene.until(lambda: bool(self.scene.leader(0)), RETURN, "led")
-        self.document = self.scene.nodes[self.scene.leader(0)].group_replicas[0].replica.state_machine.document
+        await self.cluster.until(lambda: bool(self.cluster.leader(0)), RETURN, "led")
+        self.document = self.cluster.nodes[self.cluster.leader(0)].group_replicas[0].replica.state_machine.document
         for _ in range(4):
             await self.operators.read()
 
@@ -124,7 +124,7 @@
         """An operator writes the deployment's plan; said again until it is acknowledged."""
         for _ in range(10):
             try:
-                response = await self.client.put("http://core-1/plan", json=self.scene.mix.document)
+                response = await self.client.put("http://core-1/plan", json=self.cluster.mix.document)
                 if response.status_code == 200:
                     return
             except httpx.HTTPError:
@@ -134,8 +134,8 @@
 
     def serves(self) -> bool:
         """Whether every pair is served with two copies, and every edge holds a current plan."""
-        return self.scene.ready() and all(
-            self.scene.nodes[self.scene.leader(group_id)].group_replicas[group_id].known.backups
+        return self.cluster.ready() and all(
+            self.cluster.nodes[self.cluster.leader(group_id)].group_replicas[group_id].known.backups
             for group_id in range(3)
         )
 
@@ -152,8 +152,8 @@
         """No node steps back."""
         newest: dict[str, int] = collections.defaultdict(int)
         while True:
-            for name, own in self.scene.nodes.items():
-                if self.scene.alive(name) and own.relay.current():
+            for name, own in self.cluster.nodes.items():
+                if self.cluster.alive(name) and own.relay.current():
                     if own.relay.revision.number < newest[name]:
                         self.told.append(f"{name} stepped back to {own.relay.revision.text()}")
                     newest[name] = own.relay.revision.number
@@ -161,23 +161,23 @@
 
     async def fault(self, kind: str) -> None:
         """Cause one kind of failure, and end it."""
-        one, chance = self.scene, self.chance
-        self.done.append(f"{one.loop.time():.1f} {kind}")
-        disks = [*one.storages, *(one.cores if one.holds.get("core") else ())]
+        cluster, chance = self.cluster, self.chance
+        self.done.append(f"{cluster.loop.time():.1f} {kind}")
+        disks = [*cluster.storages, *(cluster.cores if cluster.holds.get("core") else ())]
         able = [name for name in disks if name not in self.hurt] or disks
         victim = chance.choice(able)
         long = 0.5 + 5 * chance.random()
         if kind in ("leader", "long freeze"):
-            leader = one.leader(chance.randrange(3))
+            leader = cluster.leader(chance.randrange(3))
             victim = leader if leader and leader not in self.hurt else victim
             long = 6 + 6 * chance.random() if kind == "long freeze" else long
             kind = "freeze" if kind == "long freeze" else chance.choice(["kill", "power", "freeze"])
-        if kind == "empty" and victim in one.cores:
-            victim = chance.choice(one.storages)
+        if kind == "empty" and victim in cluster.cores:
+            victim = chance.choice(cluster.storages)
         if kind == "edge":
-            victim, kind = chance.choice(one.edges), chance.choice(["kill", "freeze", "restart"])
+            victim, kind = chance.choice(cluster.edges), chance.choice(["kill", "freeze", "restart"])
         if kind in ("kill", "power", "freeze", "restart") and chance.random() < 0.3:
-            victim = chance.choice(one.cores)
+            victim = chance.choice(cluster.cores)
         if victim in self.hurt and kind in ("kill", "power", "freeze", "restart", "slow", "jump"):
             return
         self.hurt.add(victim)
@@ -188,135 +188,137 @@
 
     def cut_of(self, kind: str) -> set[tuple[str, str]]:
         """Cut the network in the way of a kind of fault; the ways that were cut."""
-        one, chance = self.scene, self.chance
-        names = one.names()
+        cluster, chance = self.cluster, self.chance
+        names = cluster.names()
         if kind == "area":
             area = chance.randrange(3)
             left = [name for name in names if int(name.split("-")[1]) % 3 == area]
         elif kind == "halves":
             able = [name for name in names if not name.startswith("edge")]
-            left = chance.sample(able, len(able) // 2) + [name for name in one.edges if chance.random() < 0.5]
+            left = chance.sample(able, len(able) // 2) + [name for name in cluster.edges if chance.random() < 0.5]
         elif kind == "core cut":
-            left = chance.sample(one.cores, (len(one.cores) - 1) // 2)
-            if one.leader(0) in one.cores and one.leader(0) not in left and chance.random() < 0.5:
-                left = [one.leader(0), *left[1:]]
-            names = chance.choice((one.cores, names))
+            left = chance.sample(cluster.cores, (len(cluster.cores) - 1) // 2)
+            if cluster.leader(0) in cluster.cores and cluster.leader(0) not in left and chance.random() < 0.5:
+                left = [cluster.leader(0), *left[1:]]
+            names = chance.choice((cluster.cores, names))
             ways = (left, [name for name in names if name not in left])
-            return one.wire.cut(*(ways if chance.random() < 0.5 else reversed(ways)), chance.random() < 0.5)
+            return cluster.wire.cut(*(ways if chance.random() < 0.5 else reversed(ways)), chance.random() < 0.5)
         elif kind == "apart":
-            return one.wire.cut(chance.sample(one.edges, 1 + chance.randrange(len(one.edges))), one.storages)
+            return cluster.wire.cut(
+                chance.sample(cluster.edges, 1 + chance.randrange(len(cluster.edges))), cluster.storages
+            )
         else:
             left = [name for name in names if chance.random() < (0.5 if kind == "cut" else 0.3)]
-        return one.wire.cut(left, [name for name in names if name not in left], kind == "one way")
+        return cluster.wire.cut(left, [name for name in names if name not in left], kind == "one way")
 
     async def fault_of(self, kind: str, victim: str, long: float) -> None:
         """Cause a kind of failure at a machine for so long, and end it."""
-        one, chance = self.scene, self.chance
+        cluster, chance = self.cluster, self.chance
         if kind == "kill":
-            one.kill(victim)
+            cluster.kill(victim)
             await asyncio.sleep(long)
-            one.start(victim)
+            cluster.start(victim)
         elif kind == "power":
-            one.power_off(victim)
+            cluster.power_off(victim)
             await asyncio.sleep(long)
-            one.start(victim)
+            cluster.start(victim)
         elif kind == "freeze":
-            one.loop.freeze(victim)
+            cluster.loop.freeze(victim)
             await asyncio.sleep(long)
-            one.loop.thaw(victim)
+            cluster.loop.thaw(victim)
         elif kind == "restart":
-            await one.stop(victim)
+            await cluster.stop(victim)
             await asyncio.sleep(0.5)
-            one.start(victim)
+            cluster.start(victim)
         elif kind in ("cut", "area", "halves", "one way", "apart", "core cut"):
             ways = self.cut_of(kind)
             await asyncio.sleep(long)
-            one.wire.heal(ways)
+            cluster.wire.heal(ways)
         elif kind == "lossy":
-            calm = one.wire.weather
-            one.wire.weather = wire.Weather(0.05 + 0.2 * chance.random(), 0.01, 0.01 * chance.random())
+            calm = cluster.wire.weather
+            cluster.wire.weather = wire.Weather(0.05 + 0.2 * chance.random(), 0.01, 0.01 * chance.random())
             await asyncio.sleep(long)
-            one.wire.weather = calm
+            cluster.wire.weather = calm
         elif kind in ("crowd", "bursts"):
             async with asyncio.TaskGroup() as group:
                 for number in range(120):
                     if kind == "crowd":
-                        group.create_task(self.asking.one(f"{kind}{one.loop.time():.3f}-{number}"))
+                        group.create_task(self.asking.one(f"{kind}{cluster.loop.time():.3f}-{number}"))
                     else:
-                        lane = next(each for each in one.mix.kinds if not each.turns)
-                        group.create_task(self.asking.signal(f"{kind}{one.loop.time():.3f}-{number}", lane))
+                        lane = next(each for each in cluster.mix.kinds if not each.turns)
+                        group.create_task(self.asking.signal(f"{kind}{cluster.loop.time():.3f}-{number}", lane))
                     await asyncio.sleep(0.3 if kind == "bursts" and number % 30 == 29 else 0.005)
         elif kind == "tail":
-            await one.until(self.serves, RETURN, "whole before a disk loses its last value")
-            one.power_off(victim)
-            one.disks[victim].lose_last()
+            await cluster.until(self.serves, RETURN, "whole before a disk loses its last value")
+            cluster.power_off(victim)
+            cluster.disks[victim].lose_last()
             if chance.random() < 0.5:
                 await asyncio.sleep(long / 2)
-            one.start(victim)
+            cluster.start(victim)
         elif kind == "platform":
-            owner, sound = one.wire.pages["platform:80"]
-            one.wire.pages["platform:80"] = (owner, faulty_list_server.Liar(sound, chance, 0.7))
+            owner, sound = cluster.wire.pages["platform:80"]
+            cluster.wire.pages["platform:80"] = (owner, faulty_list_server.Liar(sound, chance, 0.7))
             await asyncio.sleep(long)
-            one.wire.pages["platform:80"] = (owner, sound)
+            cluster.wire.pages["platform:80"] = (owner, sound)
         elif kind == "slow":
-            one.disks[victim].delay = 0.2 + 0.4 * chance.random()
+            cluster.disks[victim].delay = 0.2 + 0.4 * chance.random()
             await asyncio.sleep(long)
-            one.disks[victim].delay = 0.002
+            cluster.disks[victim].delay = 0.002
         elif kind == "workers":
             await self.hurt_workers(long)
         elif kind == "jump":
-            one.clock_jump += chance.choice([-1, 1]) * (simulated_cluster.EPOCH.resolution * 3_600_000_000)
-            one.kill(victim)
-            one.start(victim)
+            cluster.clock_jump += chance.choice([-1, 1]) * (simulated_cluster.EPOCH.resolution * 3_600_000_000)
+            cluster.kill(victim)
+            cluster.start(victim)
         elif kind == "blackout":
-            for name in one.names():
-                one.power_off(name)
+            for name in cluster.names():
+                cluster.power_off(name)
             await asyncio.sleep(long / 3)
-            for name in sorted(one.names(), key=lambda name: chance.random()):
-                one.start(name)
+            for name in sorted(cluster.names(), key=lambda name: chance.random()):
+                cluster.start(name)
                 await asyncio.sleep(0.3 * chance.random())
         elif kind in ("swap", "damage"):
-            await one.until(self.serves, RETURN, "whole before a disk is lost")
-            one.power_off(victim)
+            await cluster.until(self.serves, RETURN, "whole before a disk is lost")
+            cluster.power_off(victim)
             if kind == "damage":
-                one.disks[victim].damage()
-                one.start(victim)
+                cluster.disks[victim].damage()
+                cluster.start(victim)
             else:
-                one.disks[victim].wipe()
+                cluster.disks[victim].wipe()
                 self.swaps += 1
-                role = one.cores if victim in one.cores else one.storages
-                fresh = f"{victim.split('-', maxsplit=1)[0]}-{one.made(role) + self.swaps - 1}"
+                role = cluster.cores if victim in cluster.cores else cluster.storages
+                fresh = f"{victim.split('-', maxsplit=1)[0]}-{cluster.made(role) + self.swaps - 1}"
                 role[role.index(victim)] = fresh
                 await asyncio.sleep(long)
-                one.start(fresh)
+                cluster.start(fresh)
         elif kind in ("lost disk", "closing"):
-            await one.until(self.serves, RETURN, "whole before disks are lost")
-            able = [*one.storages, *(one.cores if one.holds.get("core") else ())]
-            lost = [victim] if kind == "lost disk" else chance.sample(able, one.place(victim).losses)
-            for name in one.names() if kind == "closing" else lost:
-                one.power_off(name)
+            await cluster.until(self.serves, RETURN, "whole before disks are lost")
+            able = [*cluster.storages, *(cluster.cores if cluster.holds.get("core") else ())]
+            lost = [victim] if kind == "lost disk" else chance.sample(able, cluster.place(victim).losses)
+            for name in cluster.names() if kind == "closing" else lost:
+                cluster.power_off(name)
             for name in lost:
-                one.disks[name].wipe()
-                one.lost.add(name)
+                cluster.disks[name].wipe()
+                cluster.lost.add(name)
             await asyncio.sleep(1)
-            for name in sorted(one.names(), key=lambda name: chance.random()) if kind == "closing" else lost:
-                one.start(name)
+            for name in sorted(cluster.names(), key=lambda name: chance.random()) if kind == "closing" else lost:
+                cluster.start(name)
                 await asyncio.sleep(0.05 * chance.random())
         elif kind == "seeds":
             await self.change_seeds()
         elif kind == "empty":
             await self.empty_machine(victim)
         elif kind == "replace":
-            worker = chance.choice(one.world.models)
-            one.world.leaving.add(worker.name)
-            one.marked[worker.name] = one.loop.time()
+            worker = chance.choice(cluster.world.models)
+            cluster.world.leaving.add(worker.name)
+            cluster.marked[worker.name] = cluster.loop.time()
             await asyncio.sleep(long)
 
     async def change_seeds(self) -> None:
         """An operator names other witnesses; one of the former ones is lost for good afterwards."""
-        one = self.scene
-        voter_set = one.nodes[one.leader(0)].proposer.voter_set
-        able = [f"{name}:1" for name in (*one.cores, *one.edges)]
+        cluster = self.cluster
+        voter_set = cluster.nodes[cluster.leader(0)].proposer.voter_set
+        able = [f"{name}:1" for name in (*cluster.cores, *cluster.edges)]
         wished = sorted(self.chance.sample(able, 3))
         for _ in range(8):
             try:
@@ -328,25 +330,25 @@
             await asyncio.sleep(0.5)
 
         def changed() -> bool:
-            rosters = [one.nodes[name].proposer.voter_set for name in one.storages if name in one.nodes]
+            rosters = [cluster.nodes[name].proposer.voter_set for name in cluster.storages if name in cluster.nodes]
             return all(set(voter_set.present) == set(wished) and not voter_set.coming for voter_set in rosters)
 
-        await one.until(changed, 20, f"witnessed by {wished} instead of {voter_set.present}")
+        await cluster.until(changed, 20, f"witnessed by {wished} instead of {voter_set.present}")
         for address in voter_set.present:
             name = address.split(":")[0]
             if address not in wished:
-                one.kill(name)
+                cluster.kill(name)
                 await asyncio.sleep(1)
-                one.start(name)
+                cluster.start(name)
 
     async def empty_machine(self, victim: str) -> None:
         """An operator has a storage machine drained; once it holds nothing it is switched off for good."""
-        one = self.scene
-        fresh = f"storage-{one.made(one.storages) + self.swaps}"
+        cluster = self.cluster
+        fresh = f"storage-{cluster.made(cluster.storages) + self.swaps}"
         self.swaps += 1
-        one.storages.append(fresh)
-        one.start(fresh)
-        path = f"http://{one.cores[0]}/plan/machines/{victim}:1"
+        cluster.storages.append(fresh)
+        cluster.start(fresh)
+        path = f"http://{cluster.cores[0]}/plan/machines/{victim}:1"
         for _ in range(8):
             try:
                 response = await self.client.put(path, json={"emptied": True})
@@ -357,19 +359,19 @@
             await asyncio.sleep(0.5)
 
         def empty() -> bool:
-            known = one.nodes.get(one.cores[0])
+            known = cluster.nodes.get(cluster.cores[0])
             held = known.failure_detector.records.values() if known is not None else ()
             return bool(held) and not any(f"{victim}:1" == member.address for two in held for member in two.members())
 
-        await one.until(empty, RETURN, f"{victim} emptied")
-        one.storages.remove(victim)
-        one.power_off(victim)
-        one.disks[victim].wipe()
+        await cluster.until(empty, RETURN, f"{victim} emptied")
+        cluster.storages.remove(victim)
+        cluster.power_off(victim)
+        cluster.disks[victim].wipe()
 
     async def hurt_workers(self, long: float) -> None:
         """Workers hand requests back, lose answers, cut streams and drop what they keep, for a while."""
-        one, chance = self.scene, self.chance
-        for target in one.world.workers():
+        cluster, chance = self.cluster, self.chance
+        for target in cluster.world.workers():
             target.faults = backend.Faults(
                 0.2 * chance.random(),
                 0.2 * chance.random(),
@@ -377,34 +379,34 @@
                 0.3,
                 chance.random() < 0.5,
             )
-        victim = chance.choice(one.world.workers())
-        one.kill(victim.name)
+        victim = chance.choice(cluster.world.workers())
+        cluster.kill(victim.name)
         await asyncio.sleep(long)
-        one.loop.begin(victim.name)
-        one.wire.pages[f"{victim.name}:80"] = (victim.name, one.world.application(victim))
-        for target in one.world.workers():
+        cluster.loop.begin(victim.name)
+        cluster.wire.pages[f"{victim.name}:80"] = (victim.name, cluster.world.application(victim))
+        for target in cluster.world.workers():
             target.faults = backend.Faults()
 
     def verdict(self) -> list[str]:
         """The plain model's word on the whole day."""
-        one = self.scene
+        cluster = self.cluster
         allowed = frozenset(
-            (lane, service) for lane, spec in one.mix.document["lanes"].items() for service in spec["services"]
+            (lane, service) for lane, spec in cluster.mix.document["lanes"].items() for service in spec["services"]
         ) | frozenset(("swing", service) for service in self.operators.plain)
         history = oracle.History(
             tuple(self.asking.noted),
-            tuple(one.world.seen()),
-            one.world.ran(),
-            one.world.put_out(),
+            tuple(cluster.world.seen()),
+            cluster.world.ran(),
+            cluster.world.put_out(),
             self.document,
-            one.marked,
+            cluster.marked,
             (*self.told, *self.asking.faults),
             allowed,
         )
         return [
             *oracle.faults(history),
-            *register.faults(self.operators.writes, self.operators.reads, one.mix.document),
-            *register.foreign_runs(self.operators.writes, register.swing_runs(one), one.mix.document),
+            *register.faults(self.operators.writes, self.operators.reads, cluster.mix.document),
+            *register.foreign_runs(self.operators.writes, register.swing_runs(cluster), cluster.mix.document),
         ]
 
 
@@ -418,8 +420,8 @@
     """One seeded campaign; what was wrong, what was done to the fleet, how long service took to return."""
     held: list[Day] = []
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        held.append(Day(one, random.Random(seed * 7 + 1), kinds, count))
+    async def scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        held.append(Day(cluster, random.Random(seed * 7 + 1), kinds, count))
         await held[0].run()
 
     snapshotting.COMPACT_ENTRIES, witness.COMPACT_VALUES = (40, 60) if seed % 3 else (4000, 2000)
@@ -429,7 +431,7 @@
     played = None
     try:
         played = simulated_cluster.play(
-            seed, story, size, name=(shape.TILLS, shape.ARCHIVE)[seed % 2], weather=weather, more=more
+            seed, scenario, size, name=(shape.TILLS, shape.ARCHIVE)[seed % 2], weather=weather, more=more
         )
         wrong = held[0].verdict()
     except* Exception as group:
--- a/aspencroft/simulation/cutoff.py
+++ b/aspencroft/simulation/cutoff.py
@@ -44,8 +44,8 @@
     have been calm for as long as the bounds say.
     """
 
-    def __init__(self, scene: simulated_cluster.SimulatedCluster, bounds: Bounds):
-        self.scene = scene
+    def __init__(self, cluster: simulated_cluster.SimulatedCluster, bounds: Bounds):
+        self.cluster = cluster
         self.bounds = bounds
         self.core_changed = 0.0
         self.majority_lost = 0.0
@@ -56,31 +56,31 @@
 
     def linked(self, one: str, other: str) -> bool:
         """Whether two nodes reach each other in both directions."""
-        return not self.scene.wire.is_cut(one, other) and not self.scene.wire.is_cut(other, one)
+        return not self.cluster.wire.is_cut(one, other) and not self.cluster.wire.is_cut(other, one)
 
     def running(self) -> list[str]:
         """The cores that run."""
-        return [name for name in self.scene.cores if self.scene.alive(name)]
+        return [name for name in self.cluster.cores if self.cluster.alive(name)]
 
     def majority(self) -> list[str]:
         """The running cores that reach more than half of the core, themselves included."""
         running = self.running()
-        enough = len(self.scene.cores) // 2 + 1
+        enough = len(self.cluster.cores) // 2 + 1
         return [one for one in running if sum(self.linked(one, other) for other in running) >= enough]
 
     def sample(self) -> None:
         """Look at lives and cuts now."""
-        now, running, majority = self.scene.loop.time(), self.running(), self.majority()
+        now, running, majority = self.cluster.loop.time(), self.running(), self.majority()
         seen = (
-            tuple((name, self.scene.loop.lives.get(name)) for name in [*self.scene.cores, *self.scene.storages]),
-            tuple((one, other) for one in running for other in running if self.scene.wire.is_cut(one, other)),
+            tuple((name, self.cluster.loop.lives.get(name)) for name in [*self.cluster.cores, *self.cluster.storages]),
+            tuple((one, other) for one in running for other in running if self.cluster.wire.is_cut(one, other)),
         )
         if seen != self.seen:
             self.seen, self.core_changed = seen, now
         if not majority:
             self.majority_lost = now
-        for name in self.scene.names():
-            life = self.scene.loop.lives.get(name, 0)
+        for name in self.cluster.names():
+            life = self.cluster.loop.lives.get(name, 0)
             calm = life == self.lives.get(name) and all(self.linked(name, core) for core in majority)
             if not calm:
                 self.disturbed[name] = now
@@ -92,33 +92,33 @@
 
     def undisturbed(self, name: str) -> bool:
         """Whether a node itself and its ways to the majority have been calm for long enough."""
-        now = self.scene.loop.time()
-        return self.scene.alive(name) and now - self.disturbed.get(name, 0.0) >= self.bounds.contact
+        now = self.cluster.loop.time()
+        return self.cluster.alive(name) and now - self.disturbed.get(name, 0.0) >= self.bounds.contact
 
     def settled(self) -> bool:
         """Whether the core has been calm for long enough."""
-        return self.scene.loop.time() - max(self.core_changed, self.majority_lost) >= self.bounds.contact
+        return self.cluster.loop.time() - max(self.core_changed, self.majority_lost) >= self.bounds.contact
 
     def cut_off(self, name: str) -> bool:
         """Whether a node has had no way to and from any core of the majority for longer than a lease."""
         since = self.isolated.get(name)
-        return since is not None and self.scene.loop.time() - since > LEASE
+        return since is not None and self.cluster.loop.time() - since > LEASE
 
 
 KINDS = ("swallow", "refuse", "reset", "out", "in")
 
 
-def cut(scene: simulated_cluster.SimulatedCluster, kind: str, side: list[str], rest: list[str]) -> None:
+def cut(cluster: simulated_cluster.SimulatedCluster, kind: str, side: list[str], rest: list[str]) -> None:
     """Cut a side off: in one direction or both, with new streams swallowed or refused, and the open ones reset or
     held.
     """
     rest = [name for name in rest if name not in side]
     if kind == "in":
-        scene.wire.cut(rest, side, one_way=True)
+        cluster.wire.cut(rest, side, one_way=True)
     else:
-        scene.wire.cut(side, rest, one_way=kind == "out")
+        cluster.wire.cut(side, rest, one_way=kind == "out")
     if kind in ("refuse", "reset"):
-        scene.wire.refuse(side, rest, reset=kind == "reset")
+        cluster.wire.refuse(side, rest, reset=kind == "reset")
 
 
 def command_of(version: int) -> operator_configuration.ApplyConfiguration:
@@ -132,33 +132,33 @@
     )
 
 
-async def random_trouble(scene: simulated_cluster.SimulatedCluster, trial: "Trial", rounds: int = ROUNDS) -> None:
+async def random_trouble(cluster: simulated_cluster.SimulatedCluster, trial: "Trial", rounds: int = ROUNDS) -> None:
     """Cuts of cores, alone or with edges, for up to twenty seconds; now and then a core restarts behind its cut."""
     chance = trial.chance
     for _ in range(rounds):
         await asyncio.sleep(2 + 5 * chance.random())
-        side = chance.sample(scene.cores, chance.randint(1, (len(scene.cores) - 1) // 2))
-        leader = scene.leader(0)
+        side = chance.sample(cluster.cores, chance.randint(1, (len(cluster.cores) - 1) // 2))
+        leader = cluster.leader(0)
         if leader and leader not in side and chance.random() < 0.5:
             side[0] = leader
         restarted = chance.choice(side) if chance.random() < 0.4 else ""
-        side += [name for name in scene.edges if chance.random() < 0.5] if chance.random() < 0.5 else []
-        rest = scene.cores if chance.random() < 0.6 else scene.names()
+        side += [name for name in cluster.edges if chance.random() < 0.5] if chance.random() < 0.5 else []
+        rest = cluster.cores if chance.random() < 0.6 else cluster.names()
         kind = chance.choice(KINDS)
         trial.events.append(
-            f"{scene.loop.time():.2f} {kind} {side} restart {restarted!r} whole {rest is not scene.cores}"
+            f"{cluster.loop.time():.2f} {kind} {side} restart {restarted!r} whole {rest is not cluster.cores}"
         )
-        cut(scene, kind, side, rest)
+        cut(cluster, kind, side, rest)
         await asyncio.sleep(chance.random() * 6)
         if restarted:
-            scene.kill(restarted)
+            cluster.kill(restarted)
             await asyncio.sleep(chance.random() * 2)
-            scene.start(restarted)
+            cluster.start(restarted)
         await asyncio.sleep(chance.random() * 14)
-        scene.wire.heal()
-        trial.events.append(f"{scene.loop.time():.2f} healed")
+        cluster.wire.heal()
+        trial.events.append(f"{cluster.loop.time():.2f} healed")
         for _ in range(20):
-            await trial.read(chance.choice(scene.cores))
+            await trial.read(chance.choice(cluster.cores))
             await asyncio.sleep(0.01)
     await asyncio.sleep(6)
 
@@ -174,13 +174,13 @@
     """Form a cluster, then order, read and watch while trouble takes its course; the trial with its faults."""
     trials = []
 
-    async def story(scene: simulated_cluster.SimulatedCluster) -> None:
-        await scene.until(scene.formed, 30, "formed")
+    async def scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
         await asyncio.sleep(5)
-        trials.append(Trial(scene, random.Random(seed)))
-        await trials[0].play(lambda: trouble(scene, trials[0]))
+        trials.append(Trial(cluster, random.Random(seed)))
+        await trials[0].play(lambda: trouble(cluster, trials[0]))
 
-    played = simulated_cluster.play(seed, story, size, weather=wire.Weather(jitter=0.002), more=SETTINGS)
+    played = simulated_cluster.play(seed, scenario, size, weather=wire.Weather(jitter=0.002), more=SETTINGS)
     trials[0].faults.extend(played.ended)
     return trials[0]
 
@@ -190,14 +190,14 @@
 
     def __init__(
         self,
-        scene: simulated_cluster.SimulatedCluster,
+        cluster: simulated_cluster.SimulatedCluster,
         chance: random.Random,
         bounds: Bounds = Bounds(),
     ):
-        self.scene = scene
+        self.cluster = cluster
         self.chance = chance
         self.bounds = bounds
-        self.contact = Contact(scene, bounds)
+        self.contact = Contact(cluster, bounds)
         self.acknowledged: dict[int, float] = {}
         self.faults: list[str] = []
         self.counts: collections.Counter = collections.Counter()
@@ -206,24 +206,24 @@
 
     def newest(self, within: float = 0.0) -> int:
         """The newest version acknowledged that long ago or longer."""
-        now = self.scene.loop.time()
+        now = self.cluster.loop.time()
         return max((version for version, at in self.acknowledged.items() if at + within <= now), default=0)
 
     def fault(self, text: str) -> None:
         """Note what was wrong, with its time."""
-        self.faults.append(f"{self.scene.loop.time():.2f} {text}")
+        self.faults.append(f"{self.cluster.loop.time():.2f} {text}")
 
     async def at(self, name: str, work: collections.abc.Callable[[], collections.abc.Coroutine]):
         """What a node answers within a second of silence: a reply, a refusal, or none where it has no process.
 
         A process that was killed meanwhile owes no answer, whether or not another one has begun in its place.
         """
-        began, life = self.scene.loop.time(), self.scene.loop.lives.get(name)
-        task = self.scene.loop.create_task(work(), context=self.scene.loop.context_of(name))
+        began, life = self.cluster.loop.time(), self.cluster.loop.lives.get(name)
+        task = self.cluster.loop.create_task(work(), context=self.cluster.loop.context_of(name))
         done, _ = await asyncio.wait([task], timeout=SILENCE)
         if not done:
             task.cancel()
-            if self.scene.alive(name) and self.scene.loop.lives.get(name) == life:
+            if self.cluster.alive(name) and self.cluster.loop.lives.get(name) == life:
                 self.fault(f"{name} was silent for {SILENCE} s")
             return None
         if task.cancelled():
@@ -243,20 +243,20 @@
 
     def own(self, name: str):
         """A node whose process runs, or none."""
-        return self.scene.nodes.get(name) if self.scene.alive(name) else None
+        return self.cluster.nodes.get(name) if self.cluster.alive(name) else None
 
     async def order(self, version: int) -> None:
         """Have a version taken, trying one core after another."""
         command = command_of(version)
         calm_since = None
         while not self.over:
-            name = self.chance.choice(self.scene.cores)
+            name = self.chance.choice(self.cluster.cores)
             own = self.own(name)
-            asked = self.scene.loop.time()
+            asked = self.cluster.loop.time()
             calm_since = (calm_since or asked) if self.contact.settled() else None
             reply = None if own is None else await self.at(name, lambda own=own: own.apply(command))
             if reply is not None and not isinstance(reply, result.RequestError):
-                self.acknowledged[version] = self.scene.loop.time()
+                self.acknowledged[version] = self.cluster.loop.time()
                 self.counts["acknowledged"] += 1
                 return
             if (
@@ -285,14 +285,14 @@
         while not self.over:
             version += 1
             await self.order(version)
-            await self.read(self.chance.choice(self.scene.cores))
+            await self.read(self.chance.choice(self.cluster.cores))
             await asyncio.sleep(self.chance.random() * 0.8)
 
     def judge(self) -> None:
         """No edge in touch may hold less than what was acknowledged a while ago, and none may step back."""
         calm = self.contact.settled()
-        outer = self.scene.loop.time() - self.contact.majority_lost >= self.bounds.apply + self.bounds.outer
-        for name in self.scene.edges:
+        outer = self.cluster.loop.time() - self.contact.majority_lost >= self.bounds.apply + self.bounds.outer
+        for name in self.cluster.edges:
             own = self.own(name)
             if own is None or not self.contact.undisturbed(name) or not (calm or outer):
                 continue
@@ -308,7 +308,7 @@
     def judge_roots(self) -> None:
         """A node that hands out configuration as its root holds all that was acknowledged before it began."""
         due = self.newest(ROOT_SLACK)
-        for name in self.scene.cores:
+        for name in self.cluster.cores:
             own = self.own(name)
             if own is not None and own.is_root() and own.relay.configuration.version < due:
                 self.fault(f"{name} is the root with {own.relay.configuration.version}, not {due}")
@@ -320,7 +320,7 @@
             self.contact.sample()
             self.judge()
             self.judge_roots()
-            for name in self.scene.names():
+            for name in self.cluster.names():
                 own = self.own(name)
                 if own is None:
                     continue
--- a/aspencroft/simulation/cutoff_test.py
+++ b/aspencroft/simulation/cutoff_test.py
@@ -20,14 +20,14 @@
 
 @pytest.mark.parametrize(("kind", "leader", "whole"), CASES)
 def test_cores_cut_off_for_twenty_seconds_answer_nothing_old_and_edges_in_touch_keep_up(kind, leader, whole):
-    async def trouble(scene: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
+    async def trouble(cluster: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
         await asyncio.sleep(4)
-        victim = scene.leader(0)
-        others = [name for name in scene.cores if name != victim]
+        victim = cluster.leader(0)
+        others = [name for name in cluster.cores if name != victim]
         side = [victim, others[0]] if leader else others[:2]
-        cutoff.cut(scene, kind, side, scene.names() if whole else scene.cores)
+        cutoff.cut(cluster, kind, side, cluster.names() if whole else cluster.cores)
         await asyncio.sleep(LONG)
-        scene.wire.heal()
+        cluster.wire.heal()
         await asyncio.sleep(6)
 
     check(cutoff.play(700 + cutoff.KINDS.index(kind), trouble, SMALL), 20, 1000)
@@ -35,28 +35,28 @@
 
 @pytest.mark.parametrize("kind", ("out", "swallow"))
 def test_edges_in_touch_keep_up_though_the_edges_that_relay_to_them_are_cut_off(kind):
-    async def trouble(scene: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
+    async def trouble(cluster: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
         await asyncio.sleep(2)
-        cores = [name for name in scene.cores if name != scene.leader(0)][:2]
-        cutoff.cut(scene, kind, [*cores, *scene.edges[::2]], scene.names())
+        cores = [name for name in cluster.cores if name != cluster.leader(0)][:2]
+        cutoff.cut(cluster, kind, [*cores, *cluster.edges[::2]], cluster.names())
         await asyncio.sleep(12)
-        scene.wire.heal()
+        cluster.wire.heal()
         await asyncio.sleep(5)
 
     check(cutoff.play(710, trouble, WITH_RELAYING_EDGES), 10, 1000)
 
 
 def test_a_core_that_restarts_behind_its_cut_answers_nothing_and_holds_no_edge_back():
-    async def trouble(scene: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
+    async def trouble(cluster: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
         await asyncio.sleep(2)
-        side = [name for name in scene.cores if name != scene.leader(0)][:2]
-        cutoff.cut(scene, "refuse", side, scene.cores)
+        side = [name for name in cluster.cores if name != cluster.leader(0)][:2]
+        cutoff.cut(cluster, "refuse", side, cluster.cores)
         await asyncio.sleep(1)
         for name in side:
-            scene.kill(name)
-            scene.start(name)
+            cluster.kill(name)
+            cluster.start(name)
         await asyncio.sleep(10)
-        scene.wire.heal()
+        cluster.wire.heal()
         await asyncio.sleep(5)
 
     check(cutoff.play(720, trouble, WITH_RELAYING_EDGES), 10, 1000)
@@ -66,18 +66,18 @@
 def test_what_a_healed_primary_does_in_its_first_second_is_new_or_refused(restarted):
     """Reads and the newest order go to it every 20 ms; it is no root and holds no lease, as it is no primary."""
 
-    async def trouble(scene: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
+    async def trouble(cluster: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
         await asyncio.sleep(3)
-        victim = scene.leader(0)
-        cutoff.cut(scene, "swallow", [victim], scene.names())
+        victim = cluster.leader(0)
+        cutoff.cut(cluster, "swallow", [victim], cluster.names())
         await asyncio.sleep(LONG)
         if restarted:
-            scene.kill(victim)
-            scene.start(victim)
+            cluster.kill(victim)
+            cluster.start(victim)
             await asyncio.sleep(1)
-        scene.wire.heal()
-        due, began = trial.newest(), scene.loop.time()
-        own = scene.nodes[victim]
+        cluster.wire.heal()
+        due, began = trial.newest(), cluster.loop.time()
+        own = cluster.nodes[victim]
         assert due > 5 and own.relay.configuration.version < due
         answered = []
 
@@ -90,10 +90,10 @@
             await trial.at(victim, lambda: own.apply(cutoff.command_of(due)))
 
         async with asyncio.TaskGroup() as group:
-            while scene.loop.time() < began + 1:
+            while cluster.loop.time() < began + 1:
                 group.create_task(read())
                 group.create_task(order_again())
-                newest = max(node.failure_detector.records[0].epoch for node in scene.nodes.values())
+                newest = max(node.failure_detector.records[0].epoch for node in cluster.nodes.values())
                 held = own.failure_detector.records.get(0)
                 if own.is_root() or own.group_replicas[0].has_lease():
                     trial.fault(f"{victim} leads under {held} while {newest} is known")
@@ -109,33 +109,33 @@
 
 
 def test_random_cuts_of_cores_and_edges_break_no_promise():
-    async def trouble(scene: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
-        await cutoff.random_trouble(scene, trial, rounds=2)
+    async def trouble(cluster: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
+        await cutoff.random_trouble(cluster, trial, rounds=2)
 
     check(cutoff.play(1, trouble, simulated_cluster.Size(12, 3, 5, apart=True)), 10, 1000)
 
 
 @pytest.mark.parametrize("role", ("edge", "core"))
 def test_a_node_that_starts_with_seeds_of_the_cut_off_side_only_finds_the_majority(role):
-    async def trouble(scene: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
+    async def trouble(cluster: simulated_cluster.SimulatedCluster, trial: cutoff.Trial) -> None:
         await asyncio.sleep(2)
-        side = [scene.leader(0), next(name for name in scene.cores if name != scene.leader(0))]
-        cutoff.cut(scene, "swallow", side, [name for name in scene.cores if name not in side])
+        side = [cluster.leader(0), next(name for name in cluster.cores if name != cluster.leader(0))]
+        cutoff.cut(cluster, "swallow", side, [name for name in cluster.cores if name not in side])
         await asyncio.sleep(8)
-        names = scene.edges[:2] if role == "edge" else [name for name in scene.cores if name not in side][:1]
-        scene.seeds = tuple(f"{name}:1" for name in side)
+        names = cluster.edges[:2] if role == "edge" else [name for name in cluster.cores if name not in side][:1]
+        cluster.seeds = tuple(f"{name}:1" for name in side)
         if role == "core":
-            scene.wire.heal()
-            scene.wire.cut(side, [name for name in scene.cores if name not in [*side, *names]])
+            cluster.wire.heal()
+            cluster.wire.cut(side, [name for name in cluster.cores if name not in [*side, *names]])
         for name in names:
-            scene.kill(name)
-            scene.start(name)
+            cluster.kill(name)
+            cluster.start(name)
         await asyncio.sleep(12)
         for name in names:
-            version = scene.nodes[name].relay.configuration.version
+            version = cluster.nodes[name].relay.configuration.version
             if version < trial.newest(2.0):
                 trial.fault(f"{name} holds {version} twelve seconds after its start, not {trial.newest(2.0)}")
-        scene.wire.heal()
+        cluster.wire.heal()
         await asyncio.sleep(5)
 
     check(cutoff.play(740, trouble, SMALL), 10, 1000)
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -1119,7 +1119,7 @@
         )
 
 
-def play(seed: int, story: collections.abc.Callable, size: simulated_cluster.Size) -> World:
+def play(seed: int, scenario: collections.abc.Callable, size: simulated_cluster.Size) -> World:
     """Play a trace in a fresh world."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-"))
     world = World(seed, size, folder)
@@ -1128,7 +1128,7 @@
         world.begin_world()
         for one in world.names():
             world.start(one)
-        await world.loop.create_task(story(world), context=world.loop.context_of(simulated_cluster.OUTSIDE))
+        await world.loop.create_task(scenario(world), context=world.loop.context_of(simulated_cluster.OUTSIDE))
 
     try:
         world.loop.run_until_complete(whole())
@@ -1183,14 +1183,14 @@
     """One seeded day and its verdict."""
     held: list[Day] = []
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         held.append(Day(world, random.Random(seed * 7 + 1), kinds, count, closing, rate))
         await held[0].run()
 
     snapshotting.COMPACT_ENTRIES, witness.COMPACT_VALUES = (40, 60) if seed % 3 else (4000, 2000)
     began, wrong, played = time.perf_counter(), [], None
     try:
-        played = play(seed, story, size)
+        played = play(seed, scenario, size)
         wrong = rules.faults(held[0].history())
     except* Exception as group:
         wrong = [f"{type(error).__name__}: {error}" for error in flat(group)]
@@ -1220,9 +1220,9 @@
     found = {}
     for word in " ".join(wrong[:SHOWN]).replace(",", " ").replace("(", " ").split():
         for name, forwarding in day.world.forwarders.items():
-            for story in forwarding.traces.told(word) if word.startswith("a") and word[1:].isdigit() else ():
+            for scenario in forwarding.traces.told(word) if word.startswith("a") and word[1:].isdigit() else ():
                 found[f"{word} at {name}"] = [
-                    f"+{line.after.total_seconds():.3f} {line.what} {line.detail}"[:200] for line in story.lines
+                    f"+{line.after.total_seconds():.3f} {line.what} {line.detail}"[:200] for line in scenario.lines
                 ]
     return found
 
--- a/aspencroft/simulation/groups.py
+++ b/aspencroft/simulation/groups.py
@@ -11,7 +11,7 @@
 SIZE = simulated_cluster.Size(2, 3, 5, apart=True)
 
 
-class Stage(guarantees.Stage):
+class ClusterHarness(guarantees.ClusterHarness):
     """A formed fleet with its plan in force."""
 
     async def write(self, name: str) -> bool:
@@ -24,15 +24,17 @@
 
     async def written(self) -> set[str]:
         """The services of the plan as its primary holds it."""
-        await self.scene.until(lambda: bool(self.scene.leader(0)), 12, "led")
-        return set(self.scene.nodes[self.scene.leader(0)].group_replicas[0].replica.state_machine.document["services"])
+        await self.cluster.until(lambda: bool(self.cluster.leader(0)), 12, "led")
+        return set(
+            self.cluster.nodes[self.cluster.leader(0)].group_replicas[0].replica.state_machine.document["services"]
+        )
 
     def record(self, group_id: int) -> replica_set.ReplicaSet | None:
         """The newest record of a group that any node knows."""
         known = [
             own.failure_detector.records[group_id]
-            for name, own in self.scene.nodes.items()
-            if self.scene.alive(name) and group_id in own.failure_detector.records
+            for name, own in self.cluster.nodes.items()
+            if self.cluster.alive(name) and group_id in own.failure_detector.records
         ]
         return max(known, key=lambda one: one.epoch, default=None)
 
@@ -42,15 +44,15 @@
 
     def whole(self) -> bool:
         """Whether every group is served with as many members as it is to have."""
-        leaders = {group_id: self.scene.leader(group_id) for group_id in range(3)}
+        leaders = {group_id: self.cluster.leader(group_id) for group_id in range(3)}
         return all(
-            name and len(self.record(group_id).members()) >= self.scene.nodes[name].target_replica_count(group_id)
+            name and len(self.record(group_id).members()) >= self.cluster.nodes[name].target_replica_count(group_id)
             for group_id, name in leaders.items()
         )
 
     async def ask_node(self, name: str, work: collections.abc.Coroutine):
         """Do something as a node does it; its result, or the exception that it raised."""
-        task = self.scene.loop.create_task(work, context=self.scene.loop.context_of(name))
+        task = self.cluster.loop.create_task(work, context=self.cluster.loop.context_of(name))
         try:
             return await task
         except Exception as error:
@@ -58,19 +60,19 @@
 
 
 def play(
-    seed: int, acts, size: simulated_cluster.Size = SIZE, more: dict | None = None
+    seed: int, scenario, size: simulated_cluster.Size = SIZE, more: dict | None = None
 ) -> simulated_cluster.SimulatedCluster:
     """Form a fleet whose cores are the witnesses, put its plan in force, wait until it is whole, act."""
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        stage = Stage(one)
-        await stage.set()
-        await one.until(stage.whole, 15, "whole")
-        await acts(stage)
-        assert stage.asking.faults == [], stage.asking.faults[:3]
+    async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        harness = ClusterHarness(cluster)
+        await harness.set()
+        await cluster.until(harness.whole, 15, "whole")
+        await scenario(harness)
+        assert harness.asking.faults == [], harness.asking.faults[:3]
 
     played = simulated_cluster.play(
-        seed, story, size, shape.TILLS, wire.Weather(jitter=0.002), {"witnesses": "core", **(more or {})}
+        seed, whole_scenario, size, shape.TILLS, wire.Weather(jitter=0.002), {"witnesses": "core", **(more or {})}
     )
     assert played.ended == []
     return played
--- a/aspencroft/simulation/loop_test.py
+++ b/aspencroft/simulation/loop_test.py
@@ -14,7 +14,7 @@
             await asyncio.sleep(1)
             seen.append((loop.time(), name))
 
-    async def scene():
+    async def scenario():
         for node in ("a", "b"):
             loop.begin(node)
             loop.create_task(work(node), context=loop.context_of(node))
@@ -25,7 +25,7 @@
         loop.thaw("a")
         await asyncio.sleep(0.2)
 
-    loop.run_until_complete(scene())
+    loop.run_until_complete(scenario())
     loop.end("a")
     loop.bury()
     assert seen == [(1.0, "a"), (1.0, "b"), (3.5, "a")]
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -56,19 +56,19 @@
     Plainer.variant = variant
     original, residency.Residency = residency.Residency, Plainer
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(one.formed, 30, "formed")
-        client = httpx.AsyncClient(transport=wire.SimTransport(one.wire, simulated_cluster.OUTSIDE))
-        await client.put("http://core-1/plan", json=one.mix.document)
-        await one.until(one.ready, 20, "ready")
-        asking = one.caller(1)
+    async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
+        client = httpx.AsyncClient(transport=wire.SimTransport(cluster.wire, simulated_cluster.OUTSIDE))
+        await client.put("http://core-1/plan", json=cluster.mix.document)
+        await cluster.until(cluster.ready, 20, "ready")
+        asking = cluster.caller(1)
         async with asyncio.TaskGroup() as group:
             for number in range(programs):
                 group.create_task(asking.one(f"n{number}"))
                 await asyncio.sleep(asking.chance.expovariate(6))
-        counts = sum((worker.counts for worker in one.world.models), collections.Counter())
+        counts = sum((worker.counts for worker in cluster.world.models), collections.Counter())
         firsts = sorted(asking.firsts)
-        calls = sum(sum(worker.ran.values()) for worker in one.world.models)
+        calls = sum(sum(worker.ran.values()) for worker in cluster.world.models)
         shown.update(
             {
                 "seed": seed,
@@ -85,7 +85,7 @@
         )
 
     try:
-        simulated_cluster.play(seed, story, name=name)
+        simulated_cluster.play(seed, whole_scenario, name=name)
     finally:
         residency.Residency = original
     return shown
@@ -138,22 +138,22 @@
 
 def staged(
     seed: int,
-    acts,
+    scenario,
     size: simulated_cluster.Size = simulated_cluster.Size(),
     name: str = shape.TILLS,
     more: dict | None = None,
 ) -> None:
     """Form a fleet, put its plan in force, let five seconds pass, then act."""
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(one.formed, 30, "formed")
-        client = httpx.AsyncClient(transport=wire.SimTransport(one.wire, simulated_cluster.OUTSIDE))
-        await client.put("http://core-1/plan", json=one.mix.document)
-        await one.until(one.ready, 20, "ready")
+    async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
+        client = httpx.AsyncClient(transport=wire.SimTransport(cluster.wire, simulated_cluster.OUTSIDE))
+        await client.put("http://core-1/plan", json=cluster.mix.document)
+        await cluster.until(cluster.ready, 20, "ready")
         await asyncio.sleep(5)
-        await acts(one, client)
+        await scenario(cluster, client)
 
-    simulated_cluster.play(seed, story, size, name, wire.Weather(jitter=0.002), more)
+    simulated_cluster.play(seed, whole_scenario, size, name, wire.Weather(jitter=0.002), more)
 
 
 def spread(row: list[float]) -> str:
@@ -172,20 +172,20 @@
     for how in ("kill", "power_off", "freeze"):
         led, gaps = [], []
 
-        async def acts(one: simulated_cluster.SimulatedCluster, _) -> None:
-            old, began, gap, ahead = one.leader(0), one.loop.time(), dict.fromkeys(one.edges, 0.0), None
-            one.loop.freeze(old) if how == "freeze" else getattr(one, how)(old)
-            while one.loop.time() - began < 8:
-                if ahead is None and one.leader(0) not in ("", old):
-                    ahead = one.loop.time() - began
-                for edge in one.edges:
-                    gap[edge] += 0.0 if one.nodes[edge].relay.current() else 0.02
+        async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
+            old, began, gap, ahead = cluster.leader(0), cluster.loop.time(), dict.fromkeys(cluster.edges, 0.0), None
+            cluster.loop.freeze(old) if how == "freeze" else getattr(cluster, how)(old)
+            while cluster.loop.time() - began < 8:
+                if ahead is None and cluster.leader(0) not in ("", old):
+                    ahead = cluster.loop.time() - began
+                for edge in cluster.edges:
+                    gap[edge] += 0.0 if cluster.nodes[edge].relay.current() else 0.02
                 await asyncio.sleep(0.02)
             led.append(ahead if ahead is not None else 8.0)
             gaps.append(max(gap.values()))
 
         for seed in range(1, 1 + seeds):
-            staged(seed, acts, simulated_cluster.Size(4, 3, 5))
+            staged(seed, scenario, simulated_cluster.Size(4, 3, 5))
         print(f"{how}: next primary serves after {spread(led)} s; an edge without current plan {spread(gaps)} s")
 
 
@@ -211,42 +211,44 @@
     """
     took: list[float] = []
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(one.formed, 30, "formed")
-        await asyncio.sleep(6 + one.chance.random())
-        old, began = one.leader(group_id), one.loop.time()
+    async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
+        await asyncio.sleep(6 + cluster.chance.random())
+        old, began = cluster.leader(group_id), cluster.loop.time()
         if how in ("blackout", "lost disk", "lost machine"):
-            for name in one.names():
-                one.power_off(name)
+            for name in cluster.names():
+                cluster.power_off(name)
             if how == "lost disk":
-                one.disks[old].wipe()
-                one.lost.add(old)
+                cluster.disks[old].wipe()
+                cluster.lost.add(old)
             await asyncio.sleep(1)
-            for name in one.names():
+            for name in cluster.names():
                 if how != "lost machine" or name != old:
-                    one.start(name)
-            took.append(await one.until(one.formed, 20, "formed"))
+                    cluster.start(name)
+            took.append(await cluster.until(cluster.formed, 20, "formed"))
             return
         if how == "backup":
-            silent = one.nodes[old].group_replicas[group_id].known.backups[-1]
-            one.power_off(silent.address.split(":")[0])
-            held = one.nodes[old].group_replicas[group_id]
-            await one.until(lambda: silent not in held.known.backups and one.leader(group_id) == old, 15, "served")
+            silent = cluster.nodes[old].group_replicas[group_id].known.backups[-1]
+            cluster.power_off(silent.address.split(":")[0])
+            held = cluster.nodes[old].group_replicas[group_id]
+            await cluster.until(
+                lambda: silent not in held.known.backups and cluster.leader(group_id) == old, 15, "served"
+            )
         else:
             if how.startswith("cut"):
-                left = [old, next(name for name in one.cores if name != old)]
-                right = [name for name in one.names() if name not in left]
-                one.wire.cut(*((right, left) if how == "cut in" else (left, right)), how != "cut")
+                left = [old, next(name for name in cluster.cores if name != old)]
+                right = [name for name in cluster.names() if name not in left]
+                cluster.wire.cut(*((right, left) if how == "cut in" else (left, right)), how != "cut")
             elif how == "freeze":
-                one.loop.freeze(old)
+                cluster.loop.freeze(old)
             else:
-                getattr(one, how)(old)
-            await one.until(lambda: one.leader(group_id) not in ("", old), 15, "led by another")
-        took.append(one.loop.time() - began)
+                getattr(cluster, how)(old)
+            await cluster.until(lambda: cluster.leader(group_id) not in ("", old), 15, "led by another")
+        took.append(cluster.loop.time() - began)
 
     simulated_cluster.play(
         seed,
-        story,
+        whole_scenario,
         simulated_cluster.Size(3, 2 * losses + 1, 5, apart=True),
         weather=wire.Weather(jitter=0.002),
         more={"witnesses": "core", "losses": losses},
@@ -287,25 +289,25 @@
     ):
         took, asked, cut = [], [], []
 
-        async def acts(one: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient) -> None:
+        async def scenario(cluster: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient) -> None:
             for number in range(4):
-                before = sum(own.relay.counts["pulls"] for own in one.nodes.values())
-                pushes = sum(own.relay.counts["pushes"] for own in one.nodes.values())
+                before = sum(own.relay.counts["pulls"] for own in cluster.nodes.values())
+                pushes = sum(own.relay.counts["pushes"] for own in cluster.nodes.values())
                 response = await client.put(f"http://edge-0/plan/services/x{number}", json={"kind": "plain"})
                 took.append(response.json()["waited"])
                 asked.append(
-                    sum(own.relay.counts["pulls"] for own in one.nodes.values())
+                    sum(own.relay.counts["pulls"] for own in cluster.nodes.values())
                     - before
-                    + sum(own.relay.counts["pushes"] for own in one.nodes.values())
+                    + sum(own.relay.counts["pushes"] for own in cluster.nodes.values())
                     - pushes
                 )
                 await asyncio.sleep(1)
-            one.wire.cut(["edge-1"], [name for name in one.names() if name != "edge-1"])
+            cluster.wire.cut(["edge-1"], [name for name in cluster.names() if name != "edge-1"])
             response = await client.put("http://edge-0/plan/services/cut", json={"kind": "plain"})
             cut.append(response.json()["waited"])
 
         for seed in range(1, 1 + seeds):
-            staged(seed, acts, size)
+            staged(seed, scenario, size)
         nodes = size.edges + size.storages + size.cores
         print(
             f"{nodes} nodes: in force everywhere after {spread(took)} s, {spread(asked)} messages; "
@@ -323,20 +325,20 @@
     for length in (1.5, 2.5, 4.0, 6.0):
         refused, waited = [], []
 
-        async def acts(one: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient) -> None:
-            asking = one.caller(2)
-            one.kill(one.leader(0))
+        async def scenario(cluster: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient) -> None:
+            asking = cluster.caller(2)
+            cluster.kill(cluster.leader(0))
             async with asyncio.TaskGroup() as group:
                 for number in range(120):
                     group.create_task(asking.ask("till-lock", {"name": f"s{number}"}))
                     await asyncio.sleep(0.05)
             refused.append(sum(noted.result == 1102 for noted in asking.noted) / len(asking.noted))
-            one.wire.cut(["edge-1"], [name for name in one.names() if name != "edge-1"])
+            cluster.wire.cut(["edge-1"], [name for name in cluster.names() if name != "edge-1"])
             response = await client.put("http://edge-0/plan/services/cut", json={"kind": "plain"})
             waited.append(response.json().get("waited", -1.0))
 
         for seed in range(1, 1 + seeds):
-            staged(seed, acts, more={"currency": clock.seconds(length)})
+            staged(seed, scenario, more={"currency": clock.seconds(length)})
         print(
             f"{length} s: refused for want of a plan within 6 s of the primary's death {spread(refused)}; "
             f"a write in a cut waits {spread(waited)} s"
@@ -351,29 +353,31 @@
     for delay in (0.002, 0.02, 0.1, 0.3):
         took, batched = [], []
 
-        async def acts(one: simulated_cluster.SimulatedCluster, _) -> None:
-            for held in one.disks.values():
+        async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
+            for held in cluster.disks.values():
                 held.delay = delay
 
             async def signal(number: int) -> None:
-                began = one.loop.time()
-                noted = await one.caller(number).ask("till-lock", {"name": f"s{number}"}, operation=f"s{number}")
+                began = cluster.loop.time()
+                noted = await cluster.caller(number).ask("till-lock", {"name": f"s{number}"}, operation=f"s{number}")
                 if noted.ran == "done":
-                    took.append(one.loop.time() - began)
+                    took.append(cluster.loop.time() - began)
 
-            before = sum(held.counts["batches"] for own in one.nodes.values() for held in own.group_replicas.values())
+            before = sum(
+                held.counts["batches"] for own in cluster.nodes.values() for held in own.group_replicas.values()
+            )
             async with asyncio.TaskGroup() as group:
                 for number in range(100):
                     group.create_task(signal(number))
                     await asyncio.sleep(0.02)
             batches = (
-                sum(held.counts["batches"] for own in one.nodes.values() for held in own.group_replicas.values())
+                sum(held.counts["batches"] for own in cluster.nodes.values() for held in own.group_replicas.values())
                 - before
             )
             batched.append(200 / max(1, batches))
 
         for seed in range(1, 1 + seeds):
-            staged(seed, acts)
+            staged(seed, scenario)
         print(
             f"sync takes about {delay} s: a signal takes {spread(took)} s, {len(took)} done of {100 * seeds}; "
             f"writes per batch {spread(batched)}"
@@ -394,12 +398,12 @@
 
         machine_power.Rest.step = original if resting else no_step
 
-        async def acts(one: simulated_cluster.SimulatedCluster, _) -> None:
-            asking, seconds, calls = one.caller(3), [], []
+        async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
+            asking, seconds, calls = cluster.caller(3), [], []
             for number in range(120):
                 if number % 4 == 0:
                     calls.append(asyncio.ensure_future(asking.one(f"n{number}")))
-                seconds.append(sum(worker.asleep for worker in one.world.models) / len(one.world.models))
+                seconds.append(sum(worker.asleep for worker in cluster.world.models) / len(cluster.world.models))
                 await asyncio.sleep(0.5)
             async with asyncio.TaskGroup() as group:
                 for number in range(200):
@@ -411,7 +415,7 @@
             late.append(ordered[int(len(ordered) * 0.95)] * 1000)
 
         for seed in range(1, 1 + seeds):
-            staged(seed, acts, name=shape.ARCHIVE)
+            staged(seed, scenario, name=shape.ARCHIVE)
         print(
             f"{'with' if resting else 'without'} the rest duty: share of model workers asleep in a calm minute "
             f"{spread(asleep)}; first piece median {spread(firsts)} ms, 95 % {spread(late)} ms"
@@ -429,12 +433,12 @@
 
     machine_power.Rest.step = original if resting else no_step
 
-    async def acts(one: simulated_cluster.SimulatedCluster, _) -> None:
-        asking, began = one.caller(3), one.loop.time()
-        for model in one.world.models:
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
+        asking, began = cluster.caller(3), cluster.loop.time()
+        for model in cluster.world.models:
             model.count_energy()
             model.joules = 0.0
-        cold = sum(model.counts["cold"] for model in one.world.models)
+        cold = sum(model.counts["cold"] for model in cluster.world.models)
         async with asyncio.TaskGroup() as group:
             for number in range(240):
                 if number % 4 == 0:
@@ -446,7 +450,7 @@
                     for each in range(20):
                         group.create_task(asking.one(f"burst{number}-{each}"))
                 await asyncio.sleep(0.5)
-        joules = sum(model.count_energy() for model in one.world.models)
+        joules = sum(model.count_energy() for model in cluster.world.models)
         turns = sum(noted.ran == "done" and bool(noted.text) for noted in asking.noted)
         firsts = sorted(asking.firsts)
         shown.update(
@@ -457,16 +461,16 @@
                 "refused": sum(noted.ran != "done" for noted in asking.noted),
                 "kilojoules": joules / 1000,
                 "joules a turn": joules / turns,
-                "watts": joules / (one.loop.time() - began),
+                "watts": joules / (cluster.loop.time() - began),
                 "first median": 1000 * statistics.median(firsts),
                 "first 95": 1000 * firsts[int(len(firsts) * 0.95)],
                 "first most": 1000 * firsts[-1],
-                "cold": (sum(model.counts["cold"] for model in one.world.models) - cold) / max(1, turns),
+                "cold": (sum(model.counts["cold"] for model in cluster.world.models) - cold) / max(1, turns),
             }
         )
 
     try:
-        staged(seed, acts, name=deployment)
+        staged(seed, scenario, name=deployment)
     finally:
         machine_power.Rest.step = original
     return shown
@@ -512,14 +516,14 @@
 
     selection.draw = original if by_lot else by_name
 
-    async def acts(one: simulated_cluster.SimulatedCluster, _) -> None:
-        asking = one.caller(3)
+    async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
+        asking = cluster.caller(3)
         async with asyncio.TaskGroup() as group:
             for number in range(300 if crowd else 80):
                 group.create_task(asking.one(f"n{number}"))
                 await asyncio.sleep(0.004 if crowd else 0.2)
-        calls = sorted(sum(model.ran.values()) for model in one.world.models)
-        counts = sum((model.counts for model in one.world.models), collections.Counter())
+        calls = sorted(sum(model.ran.values()) for model in cluster.world.models)
+        counts = sum((model.counts for model in cluster.world.models), collections.Counter())
         firsts = sorted(asking.firsts)
         shown.update(
             {
@@ -537,7 +541,7 @@
         )
 
     try:
-        staged(seed, acts, simulated_cluster.Size(8, 3, 5), shape.ARCHIVE)
+        staged(seed, scenario, simulated_cluster.Size(8, 3, 5), shape.ARCHIVE)
     finally:
         selection.draw = original
     return shown
@@ -585,20 +589,20 @@
     ):
         frames, took, led = [], [], []
 
-        async def acts(one: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient) -> None:
-            before, began = sum(own.link.counts["frames out"] for own in one.nodes.values()), one.loop.time()
+        async def scenario(cluster: simulated_cluster.SimulatedCluster, client: httpx.AsyncClient) -> None:
+            before, began = sum(own.link.counts["frames out"] for own in cluster.nodes.values()), cluster.loop.time()
             await asyncio.sleep(10)
-            after = sum(own.link.counts["frames out"] for own in one.nodes.values())
-            frames.append((after - before) / (one.loop.time() - began) / len(one.nodes))
+            after = sum(own.link.counts["frames out"] for own in cluster.nodes.values())
+            frames.append((after - before) / (cluster.loop.time() - began) / len(cluster.nodes))
             response = await client.put("http://edge-0/plan/services/x", json={"kind": "plain"})
             took.append(response.json()["waited"])
-            old, began = one.leader(0), one.loop.time()
-            one.power_off(old)
-            await one.until(lambda: one.leader(0) not in ("", old), 12, "led by another")
-            led.append(one.loop.time() - began)
+            old, began = cluster.leader(0), cluster.loop.time()
+            cluster.power_off(old)
+            await cluster.until(lambda: cluster.leader(0) not in ("", old), 12, "led by another")
+            led.append(cluster.loop.time() - began)
 
         for seed in range(1, 1 + seeds):
-            staged(seed, acts, size)
+            staged(seed, scenario, size)
         print(
             f"{size.edges + size.storages + size.cores} nodes: {spread(frames)} frames a second and node; "
             f"a plan in force after {spread(took)} s; another primary after {spread(led)} s",
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -247,18 +247,18 @@
         return len({self.group_replicas[name].replica.last() for name in names}) == 1
 
 
-def play(folder: pathlib.Path, count: int, acts, members: int = 2, copies: int = 2, goal: int = 2) -> None:
+def play(folder: pathlib.Path, count: int, scenario, members: int = 2, copies: int = 2, goal: int = 2) -> None:
     """Begin a group and act on it, in simulated time."""
 
     async def whole() -> None:
-        those = Members(folder, count, copies, goal)
-        await those.begin(members)
+        cluster = Members(folder, count, copies, goal)
+        await cluster.begin(members)
         try:
-            await acts(those)
+            await scenario(cluster)
         finally:
-            for task in those.tasks:
+            for task in cluster.tasks:
                 task.cancel()
-            await asyncio.gather(*those.tasks, return_exceptions=True)
+            await asyncio.gather(*cluster.tasks, return_exceptions=True)
 
     with asyncio.Runner(loop_factory=loop.SimLoop) as runner:
         runner.run(whole())
--- a/aspencroft/simulation/placement_test.py
+++ b/aspencroft/simulation/placement_test.py
@@ -12,43 +12,45 @@
 """Twelve replicas on ten disks, one of a group in each area of three or four disks: two on a disk are enough."""
 
 
-def replicas(stage: groups.Stage) -> collections.Counter:
+def replicas(harness: groups.ClusterHarness) -> collections.Counter:
     """How many replicas of session group each storage node holds, by the newest records."""
-    found = collections.Counter(dict.fromkeys(stage.scene.storages, 0))
+    found = collections.Counter(dict.fromkeys(harness.cluster.storages, 0))
     for group in range(1, GROUPS + 1):
-        found.update(stage.members(group))
+        found.update(harness.members(group))
     return found
 
 
-def served(stage: groups.Stage) -> bool:
+def served(harness: groups.ClusterHarness) -> bool:
     """Whether every session group is served by as many members as it is to have."""
     return all(
-        stage.record(group) is not None and len(stage.members(group)) == COPIES and stage.scene.leader(group)
+        harness.record(group) is not None and len(harness.members(group)) == COPIES and harness.cluster.leader(group)
         for group in range(1, GROUPS + 1)
     )
 
 
 def test_no_disk_of_a_new_fleet_holds_more_replicas_than_it_must():
-    async def acts(stage: groups.Stage) -> None:
-        await stage.scene.until(lambda: served(stage), 15, "served")
-        assert max(replicas(stage).values()) <= FEWEST_AT_MOST, replicas(stage)
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        await harness.cluster.until(lambda: served(harness), 15, "served")
+        assert max(replicas(harness).values()) <= FEWEST_AT_MOST, replicas(harness)
 
-    groups.play(3, acts, SIZE, MORE)
+    groups.play(3, scenario, SIZE, MORE)
 
 
 def test_replicas_are_spread_again_once_machines_that_were_lost_are_back():
-    async def acts(stage: groups.Stage) -> None:
-        one = stage.scene
-        await one.until(lambda: served(stage), 15, "served")
-        for victims in (one.storages[:2], one.storages[4:6], one.storages[7:9]):
+    async def scenario(harness: groups.ClusterHarness) -> None:
+        cluster = harness.cluster
+        await cluster.until(lambda: served(harness), 15, "served")
+        for victims in (cluster.storages[:2], cluster.storages[4:6], cluster.storages[7:9]):
             for name in victims:
-                one.kill(name)
+                cluster.kill(name)
             await asyncio.sleep(6)
             for name in victims:
-                one.start(name)
+                cluster.start(name)
             await asyncio.sleep(6)
-        await one.until(
-            lambda: served(stage) and max(replicas(stage).values()) <= FEWEST_AT_MOST, 30, f"spread {replicas(stage)}"
+        await cluster.until(
+            lambda: served(harness) and max(replicas(harness).values()) <= FEWEST_AT_MOST,
+            30,
+            f"spread {replicas(harness)}",
         )
 
-    groups.play(4, acts, SIZE, MORE)
+    groups.play(4, scenario, SIZE, MORE)
