--- a/aspencroft/simulation/register.py
+++ b/aspencroft/simulation/register.py
@@ -77,7 +77,7 @@
     """Several operators at once, each through any node, on the same few resources."""
 
     def __init__(self, one: OperatedCluster, client: httpx.AsyncClient, chance: random.Random):
-        self.scene = one
+        self.cluster = one
         self.client = client
         self.chance = chance
         document = one.mix.document
@@ -129,7 +129,7 @@
     async def write(self) -> None:
         """One write in a way by chance; what was answered is noted down."""
         chance = self.chance
-        node = chance.choice(self.scene.names())
+        node = chance.choice(self.cluster.names())
         way = chance.choice(["put", "put", "put", "delete", "merge", "whole"])
         resource = self.resource()
         values, headers, expected, content, address = {}, {}, None, None, f"http://{node}/plan/{resource}"
@@ -162,9 +162,9 @@
             if conditional:
                 expected = number_of(whole["revision"])
                 headers = {"If-Match": whole["revision"]}
-        began = self.scene.loop.time()
+        began = self.cluster.loop.time()
         response = await self.ask(method, address, content, headers)
-        ended = self.scene.loop.time()
+        ended = self.cluster.loop.time()
         outcome, revision = UNSURE, 0
         if response is not None:
             shown = response.json()
@@ -178,14 +178,14 @@
 
     async def read(self) -> None:
         """Look at the plan through a node; what it shows is noted down."""
-        node, began = self.chance.choice(self.scene.names()), self.scene.loop.time()
+        node, began = self.chance.choice(self.cluster.names()), self.cluster.loop.time()
         response = await self.ask("GET", f"http://{node}/plan")
         if response is not None and response.status_code == 200:
             shown = response.json()
             self.reads.append(
                 Read(
                     began,
-                    self.scene.loop.time(),
+                    self.cluster.loop.time(),
                     node,
                     shown["current"],
                     number_of(shown["revision"]),
--- a/aspencroft/simulation/resting.py
+++ b/aspencroft/simulation/resting.py
@@ -5,28 +5,30 @@
 from aspencroft.simulation import guarantees
 
 
-def asleep(stage: guarantees.Stage) -> list:
+def asleep(harness: guarantees.ClusterHarness) -> list:
     """The model workers that sleep."""
-    return [one for one in stage.scene.world.models if one.asleep]
+    return [one for one in harness.cluster.world.models if one.asleep]
 
 
-async def calm(stage: guarantees.Stage, count: int) -> None:
+async def calm(harness: guarantees.ClusterHarness, count: int) -> None:
     """Wait in light traffic until so many machines sleep."""
-    began, number = stage.scene.loop.time(), 0
-    while len(asleep(stage)) < count:
+    began, number = harness.cluster.loop.time(), 0
+    while len(asleep(harness)) < count:
         number += 1
-        noted = await stage.ask(stage.scene.edges[number % 2], "catalogue", "x", program=f"c{began}-{number}")
+        noted = await harness.ask(harness.cluster.edges[number % 2], "catalogue", "x", program=f"c{began}-{number}")
         assert noted.ran == "done", noted
         await asyncio.sleep(1)
-        assert stage.scene.loop.time() - began < 90, [one.counts for one in stage.scene.world.models]
+        assert harness.cluster.loop.time() - began < 90, [one.counts for one in harness.cluster.world.models]
 
 
-async def crowd(stage: guarantees.Stage, name: str, count: int) -> list:
+async def crowd(harness: guarantees.ClusterHarness, name: str, count: int) -> list:
     """Many programs' first turns at once."""
     async with asyncio.TaskGroup() as group:
         tasks = [
             group.create_task(
-                stage.ask(stage.scene.edges[number % 2], "catalogue", f"long {number}", program=f"{name}-{number}")
+                harness.ask(
+                    harness.cluster.edges[number % 2], "catalogue", f"long {number}", program=f"{name}-{number}"
+                )
             )
             for number in range(count)
         ]
--- a/aspencroft/simulation/resting_test.py
+++ b/aspencroft/simulation/resting_test.py
@@ -8,30 +8,30 @@
 
 
 def test_a_machine_that_fails_to_wake_is_asked_again_and_another_is_woken():
-    async def acts(stage: guarantees.Stage) -> None:
-        await resting.calm(stage, 4)
-        stubborn = resting.asleep(stage)
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        await resting.calm(harness, 4)
+        stubborn = resting.asleep(harness)
         for one in stubborn:
             one.faults = backend.Faults(wake_fails=1.0)
-        noted = await resting.crowd(stage, "a", 120)
+        noted = await resting.crowd(harness, "a", 120)
         assert all(one.ran in ("done", "not run") for one in noted)
         assert all(one.asleep for one in stubborn)
         for one in stubborn:
             one.faults = backend.Faults()
         await asyncio.sleep(12)
         assert all(one.counts["woken"] for one in stubborn), [one.counts for one in stubborn]
-        assert sum(one.counts["put to rest while busy"] for one in stage.scene.world.models) == 0
+        assert sum(one.counts["put to rest while busy"] for one in harness.cluster.world.models) == 0
 
-    guarantees.play(61, acts, name=shape.ARCHIVE)
+    guarantees.play(61, scenario, name=shape.ARCHIVE)
 
 
 def test_a_machine_is_not_drawn_before_it_is_awake_and_wakes_with_nothing_held():
-    async def acts(stage: guarantees.Stage) -> None:
-        one = stage.scene
-        await resting.calm(stage, 5)
-        sleepers = resting.asleep(stage)
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster = harness.cluster
+        await resting.calm(harness, 5)
+        sleepers = resting.asleep(harness)
         before = {worker.name: worker.counts["put back"] for worker in sleepers}
-        noted = await resting.crowd(stage, "a", 150)
+        noted = await resting.crowd(harness, "a", 150)
         assert sum(one.ran == "done" for one in noted) > 140
         assert (
             sum(
@@ -41,60 +41,63 @@
             == 0
         )
         assert any(worker.ran for worker in sleepers)
-        read = sum(worker.counts["reports read asleep"] for worker in one.world.models)
-        probes = sum(worker.counts["reports read"] for worker in one.world.models)
-        assert probes <= 1 + one.loop.time() / residency.PROBE.total_seconds() and read <= 4, (read, probes)
+        read = sum(worker.counts["reports read asleep"] for worker in cluster.world.models)
+        probes = sum(worker.counts["reports read"] for worker in cluster.world.models)
+        assert probes <= 1 + cluster.loop.time() / residency.PROBE.total_seconds() and read <= 4, (read, probes)
 
-    guarantees.play(62, acts, name=shape.ARCHIVE)
+    guarantees.play(62, scenario, name=shape.ARCHIVE)
 
 
 def test_a_machine_marked_as_leaving_in_its_sleep_gets_nothing_and_serves_again_once_unmarked():
-    async def acts(stage: guarantees.Stage) -> None:
-        one = stage.scene
-        await resting.calm(stage, 3)
-        marked = resting.asleep(stage)[0]
-        one.world.leaving.add(marked.name)
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster = harness.cluster
+        await resting.calm(harness, 3)
+        marked = resting.asleep(harness)[0]
+        cluster.world.leaving.add(marked.name)
         await asyncio.sleep(1)
         ran = sum(marked.ran.values())
-        await resting.crowd(stage, "a", 120)
+        await resting.crowd(harness, "a", 120)
         assert sum(marked.ran.values()) == ran
-        one.world.leaving.discard(marked.name)
+        cluster.world.leaving.discard(marked.name)
         for number in range(6):
-            await resting.crowd(stage, f"b{number}", 120)
+            await resting.crowd(harness, f"b{number}", 120)
             await asyncio.sleep(1)
         assert sum(marked.ran.values()) > ran, marked.counts
 
-    guarantees.play(63, acts, name=shape.ARCHIVE)
+    guarantees.play(63, scenario, name=shape.ARCHIVE)
 
 
 def test_the_holder_of_the_rest_duty_may_die_between_any_two_steps():
-    async def acts(stage: guarantees.Stage) -> None:
-        one = stage.scene
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster = harness.cluster
         for number in range(6):
             holder = next(
                 (
                     name
-                    for name, own in one.nodes.items()
-                    if one.alive(name) and own.singleton_roles.get("rest") and own.singleton_roles["rest"].has_lease()
+                    for name, own in cluster.nodes.items()
+                    if cluster.alive(name)
+                    and own.singleton_roles.get("rest")
+                    and own.singleton_roles["rest"].has_lease()
                 ),
                 None,
             )
             await asyncio.sleep(4 + 1.3 * number)
             if holder is not None:
-                one.kill(holder)
+                cluster.kill(holder)
             noted = [
-                await stage.ask(one.edges[each % 2], "catalogue", "x", program=f"p{number}-{each}") for each in range(4)
+                await harness.ask(cluster.edges[each % 2], "catalogue", "x", program=f"p{number}-{each}")
+                for each in range(4)
             ]
             assert all(each.ran == "done" for each in noted), noted
             if holder is not None:
-                one.start(holder)
-            await one.until(one.ready, 12, "ready")
-        noted = await resting.crowd(stage, "a", 150)
+                cluster.start(holder)
+            await cluster.until(cluster.ready, 12, "ready")
+        noted = await resting.crowd(harness, "a", 150)
         assert sum(each.ran == "done" for each in noted) > 140
         await asyncio.sleep(8)
-        noted = await resting.crowd(stage, "b", 150)
+        noted = await resting.crowd(harness, "b", 150)
         assert all(each.ran == "done" for each in noted)
-        assert sum(worker.counts["put to rest while busy"] for worker in one.world.models) == 0
+        assert sum(worker.counts["put to rest while busy"] for worker in cluster.world.models) == 0
 
     for seed in (64, 65):
-        guarantees.play(seed, acts, name=shape.ARCHIVE)
+        guarantees.play(seed, scenario, name=shape.ARCHIVE)
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -256,7 +256,7 @@
 
 def play(
     seed: int,
-    story: collections.abc.Callable,
+    scenario: collections.abc.Callable,
     size: Size = Size(),
     name: str = shape.TILLS,
     weather: wire.Weather = wire.Weather(),
@@ -264,17 +264,17 @@
 ) -> SimulatedCluster:
     """Play a trace in a fresh simulated world; ``more`` are settings of all nodes that differ from their defaults."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="aspencroft-"))
-    scene = SimulatedCluster(seed, size, shape.shape_of(name), weather, folder, more)
+    cluster = SimulatedCluster(seed, size, shape.shape_of(name), weather, folder, more)
 
     async def whole() -> None:
-        scene.begin_world()
-        for one in scene.names():
-            scene.start(one)
-        await scene.loop.create_task(story(scene), context=scene.loop.context_of(OUTSIDE))
+        cluster.begin_world()
+        for one in cluster.names():
+            cluster.start(one)
+        await cluster.loop.create_task(scenario(cluster), context=cluster.loop.context_of(OUTSIDE))
 
     try:
-        scene.loop.run_until_complete(whole())
+        cluster.loop.run_until_complete(whole())
     finally:
-        scene.loop.bury()
+        cluster.loop.bury()
         shutil.rmtree(folder, ignore_errors=True)
-    return scene
+    return cluster
--- a/aspencroft/simulation/status_names_test.py
+++ b/aspencroft/simulation/status_names_test.py
@@ -31,10 +31,10 @@
     """Status and metrics of one node of each kind, in a simulated cluster that has served some turns."""
     found: dict = {}
 
-    async def scenario(stage: guarantees.Stage) -> None:
-        cluster = stage.scene
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster = harness.cluster
         for number in range(4):
-            await stage.ask(cluster.edges[0], "shopper", "x calls stock now", program=f"p{number}")
+            await harness.ask(cluster.edges[0], "shopper", "x calls stock now", program=f"p{number}")
         await asyncio.sleep(3)
         for name in EXPECTED:
             node = cluster.nodes[name]
--- a/aspencroft/simulation/stops_test.py
+++ b/aspencroft/simulation/stops_test.py
@@ -30,7 +30,7 @@
 
     ended = asyncio.Event()
 
-    async def scene():
+    async def scenario():
         standing = [asyncio.ensure_future(supervision.stand("work", work, collections.Counter())) for _ in range(3)]
         last = asyncio.ensure_future(stubborn())
         await asyncio.wait([last], timeout=0)
@@ -39,4 +39,4 @@
         return left == [last] and all(task.cancelled() for task in standing)
 
     with asyncio.Runner(loop_factory=loop.SimLoop) as runner:
-        assert runner.run(scene())
+        assert runner.run(scenario())
--- a/aspencroft/simulation/surfaces_test.py
+++ b/aspencroft/simulation/surfaces_test.py
@@ -12,52 +12,52 @@
 
 
 def test_no_page_of_the_platform_or_a_back_end_ends_a_process_or_a_standing_task():
-    async def acts(stage: guarantees.Stage) -> None:
-        one, chance = stage.scene, random.Random(stage.scene.seed)
-        sound = dict(one.wire.pages)
-        outside = ["platform:80", *(f"{worker.name}:80" for worker in one.world.workers())]
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster, chance = harness.cluster, random.Random(harness.cluster.seed)
+        sound = dict(cluster.wire.pages)
+        outside = ["platform:80", *(f"{worker.name}:80" for worker in cluster.world.workers())]
         liars = []
         for address in outside:
             owner, application = sound[address]
             liars.append(faulty_list_server.Liar(application, chance, 0.6))
-            one.wire.pages[address] = (owner, liars[-1])
+            cluster.wire.pages[address] = (owner, liars[-1])
         for number in range(60):
             lane = ("shopper", "till-lock", "handset-alert")[number % 3]
             given = f"x calls stock now {number}" if lane == "shopper" else {"name": f"n{number}", "keyed": True}
-            await stage.ask(
-                one.edges[number % 2],
+            await harness.ask(
+                cluster.edges[number % 2],
                 lane,
                 given,
                 program=f"p{number}" if lane == "shopper" else "",
                 operation="" if lane == "shopper" else f"n{number}",
             )
             await asyncio.sleep(0.1)
-        assert sum(each.lies for each in liars) > 60 and one.ended == [], one.ended
-        for name in one.names():
-            assert one.nodes[name].status()["faults"]["standing tasks"] == {}, (
+        assert sum(each.lies for each in liars) > 60 and cluster.ended == [], cluster.ended
+        for name in cluster.names():
+            assert cluster.nodes[name].status()["faults"]["standing tasks"] == {}, (
                 name,
-                one.nodes[name].status()["faults"],
+                cluster.nodes[name].status()["faults"],
             )
-        counted = sum(sum(one.nodes[name].status()["faults"]["outside"].values()) for name in one.names())
+        counted = sum(sum(cluster.nodes[name].status()["faults"]["outside"].values()) for name in cluster.names())
         assert counted > 20, counted
         for address in outside:
-            one.wire.pages[address] = sound[address]
+            cluster.wire.pages[address] = sound[address]
         await asyncio.sleep(3)
         for number in range(12):
-            noted = await stage.ask(one.edges[number % 2], "shopper", "x", program=f"after-{number}")
+            noted = await harness.ask(cluster.edges[number % 2], "shopper", "x", program=f"after-{number}")
             assert noted.ran == "done", noted
         assert any(
             own.singleton_roles.get("residency") and own.singleton_roles["residency"].has_lease()
-            for own in one.nodes.values()
+            for own in cluster.nodes.values()
         )
 
     for seed in (41, 42):
-        guarantees.play(seed, acts)
+        guarantees.play(seed, scenario)
 
 
 def test_nothing_that_a_caller_or_operator_sends_ends_a_process():
-    async def acts(stage: guarantees.Stage) -> None:
-        one, client, chance = stage.scene, stage.client, random.Random(stage.scene.seed)
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster, client, chance = harness.cluster, harness.client, random.Random(harness.cluster.seed)
         ask = {
             "lane": "shopper",
             "input": "x",
@@ -129,21 +129,21 @@
                     shown,
                 )
                 assert shown["ran"] in ("not run", "unknown"), shown
-            assert one.ended == [], (method, path, raw[:200], one.ended)
+            assert cluster.ended == [], (method, path, raw[:200], cluster.ended)
         await asyncio.sleep(2)
-        assert one.ready()
-        for name in one.names():
-            assert one.nodes[name].status()["faults"]["standing tasks"] == {}
-        assert (await stage.ask("edge-0", "till-lock", {"name": "k"}, operation="k")).ran == "done"
+        assert cluster.ready()
+        for name in cluster.names():
+            assert cluster.nodes[name].status()["faults"]["standing tasks"] == {}
+        assert (await harness.ask("edge-0", "till-lock", {"name": "k"}, operation="k")).ran == "done"
 
     for seed in (44,):
-        guarantees.play(seed, acts)
+        guarantees.play(seed, scenario)
 
 
 def test_no_record_on_a_link_ends_a_process():
-    async def acts(stage: guarantees.Stage) -> None:
-        one, chance = stage.scene, random.Random(stage.scene.seed)
-        outside = wire.SimNetwork(one.wire, simulated_cluster.OUTSIDE)
+    async def scenario(harness: guarantees.ClusterHarness) -> None:
+        cluster, chance = harness.cluster, random.Random(harness.cluster.seed)
+        outside = wire.SimNetwork(cluster.wire, simulated_cluster.OUTSIDE)
         for _ in range(250):
             number = chance.choice(sorted(codec.KINDS))
             body = bytes(chance.randrange(256) if chance.random() < 0.3 else 0 for _ in range(chance.randrange(90)))
@@ -152,17 +152,17 @@
             header = frame.HEADER.pack(
                 len(body), number, frame.VERSION, chance.choice([frame.NOTIFICATION, frame.REQUEST]), 1, 0, 0
             )[:-4]
-            channel = await outside.connect(f"{chance.choice(one.names())}:1")
+            channel = await outside.connect(f"{chance.choice(cluster.names())}:1")
             await channel.write(header + frame.CHECKSUM.pack(frame.checksum(header, body)) + body)
             await asyncio.sleep(0.01)
             channel.close()
         await asyncio.sleep(6)
-        assert one.ended == [], one.ended
-        for name in one.names():
-            assert one.nodes[name].status()["faults"]["standing tasks"] == {}, name
+        assert cluster.ended == [], cluster.ended
+        for name in cluster.names():
+            assert cluster.nodes[name].status()["faults"]["standing tasks"] == {}, name
 
     for seed in (46, 47):
-        guarantees.play(seed, acts)
+        guarantees.play(seed, scenario)
 
 
 def sample_bytes(shape: type, chance: random.Random) -> bytes:
--- a/aspencroft/simulation/voters.py
+++ b/aspencroft/simulation/voters.py
@@ -156,7 +156,7 @@
         return (clock.now() - began).total_seconds()
 
 
-def play(acts, present: int = 5, spare: int = 1) -> None:
+def play(scenario, present: int = 5, spare: int = 1) -> None:
     """Start witnesses and act on them, in simulated time."""
 
     async def whole() -> None:
@@ -164,7 +164,7 @@
         voters = Voters(tuple(names[:present]), tuple(names[present:]))
         await voters.begin()
         try:
-            await acts(voters)
+            await scenario(voters)
         finally:
             for task in voters.tasks:
                 task.cancel()
--- a/aspencroft/workers/adapter_test.py
+++ b/aspencroft/workers/adapter_test.py
@@ -39,7 +39,7 @@
         )
         return [event async for event in adapter.Adapter(around, collections.Counter()).run(target, work)]
 
-    async def scene():
+    async def scenario():
         assert (await read(rows))[-1] == adapter.End(4, 4, None)
         for shown in wrong:
             try:
@@ -49,4 +49,4 @@
                 continue
             raise AssertionError(shown)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/aspencroft/workers/list_reader_test.py
+++ b/aspencroft/workers/list_reader_test.py
@@ -17,10 +17,10 @@
 
 
 class Platform:
-    """A platform that counts who reads its list, and the readers and watchers of a scene's nodes."""
+    """A platform that counts who reads its list, and the readers and watchers of a cluster's nodes."""
 
-    def __init__(self, one: simulated_cluster.SimulatedCluster):
-        self.scene = one
+    def __init__(self, cluster: simulated_cluster.SimulatedCluster):
+        self.cluster = cluster
         self.listed: dict[str, instance.Instance] = {"a": worker("a"), "b": worker("b")}
         self.reads: list[tuple[float, str]] = []
         self.refuses = False
@@ -33,7 +33,7 @@
         """The list as one node reads it."""
 
         async def read() -> list[instance.Instance]:
-            self.reads.append((self.scene.loop.time(), name))
+            self.reads.append((self.cluster.loop.time(), name))
             await asyncio.sleep(0.02)
             if self.refuses:
                 raise result.RequestError(self.refusal)
@@ -43,18 +43,20 @@
 
     def attach(self, name: str) -> None:
         """Give a running node its part."""
-        own = self.scene.nodes[name]
+        own = self.cluster.nodes[name]
         if name.startswith("edge"):
             self.watches[name] = part = list_reader.Watch(
                 own, instances.Instances(), self.lister(name), lambda: self.cost
             )
         else:
             self.readers[name] = part = list_reader.ListReader(own, self.lister(name), lambda: self.cost)
-        self.scene.loop.create_task(part.run(), context=self.scene.loop.context_of(name))
+        self.cluster.loop.create_task(part.run(), context=self.cluster.loop.context_of(name))
 
     def holder(self) -> str:
         """The node that does the duty, or nothing."""
-        return next((name for name, one in self.readers.items() if self.scene.alive(name) and one.duty.has_lease()), "")
+        return next(
+            (name for name, one in self.readers.items() if self.cluster.alive(name) and one.duty.has_lease()), ""
+        )
 
     def known(self) -> list[frozenset[str]]:
         """What each edge would send to."""
@@ -62,22 +64,22 @@
 
     async def everywhere(self, names: str, within: float) -> float:
         """Wait until every edge knows just these workers; how long that took."""
-        return await self.scene.until(lambda: all(one == frozenset(names) for one in self.known()), within, names)
+        return await self.cluster.until(lambda: all(one == frozenset(names) for one in self.known()), within, names)
 
 
-def play(seed: int, acts: collections.abc.Callable) -> None:
-    """Play acts once the fleet is formed and all parts are attached."""
+def play(seed: int, scenario: collections.abc.Callable) -> None:
+    """Run a scenario once the fleet is formed and all parts are attached."""
 
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(one.formed, 30, "formed")
-        platform = Platform(one)
-        for name in [*one.cores, *one.edges]:
+    async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
+        platform = Platform(cluster)
+        for name in [*cluster.cores, *cluster.edges]:
             platform.attach(name)
         await platform.everywhere("ab", 8)
-        await acts(platform)
-        assert not one.ended and not one.loop.exceptions, (one.ended, one.loop.exceptions)
+        await scenario(platform)
+        assert not cluster.ended and not cluster.loop.exceptions, (cluster.ended, cluster.loop.exceptions)
 
-    simulated_cluster.play(seed, story)
+    simulated_cluster.play(seed, whole_scenario)
 
 
 def test_the_wire_form_of_the_list_keeps_it():
@@ -89,9 +91,9 @@
 
 
 def test_one_core_reads_for_all_and_a_draining_worker_is_known_within_two_seconds():
-    async def acts(platform):
+    async def scenario(platform):
         await asyncio.sleep(6)
-        began = platform.scene.loop.time()
+        began = platform.cluster.loop.time()
         platform.reads.clear()
         await asyncio.sleep(10)
         assert {name for _, name in platform.reads} == {platform.holder()}
@@ -110,24 +112,24 @@
         await asyncio.sleep(2)
         gaps = [late - early for (early, _), (late, _) in zip(platform.reads, platform.reads[1:], strict=False)]
         assert max(gaps) < 0.65, "after a change it is read more often"
-        assert began < platform.scene.loop.time()
+        assert began < platform.cluster.loop.time()
 
-    play(3, acts)
+    play(3, scenario)
 
 
 def test_edges_read_for_themselves_while_nobody_does_the_duty_and_stop_when_one_does():
-    async def acts(platform):
-        for name in platform.scene.cores:
-            platform.scene.loop.freeze(name)
+    async def scenario(platform):
+        for name in platform.cluster.cores:
+            platform.cluster.loop.freeze(name)
         platform.listed["b"] = worker("b", True)
         platform.reads.clear()
         assert await platform.everywhere("a", 6) < 4
         await asyncio.sleep(5)
-        assert {name for _, name in platform.reads} == set(platform.scene.edges)
+        assert {name for _, name in platform.reads} == set(platform.cluster.edges)
         assert len(platform.reads) <= 2 * 9, "no edge reads more often than one core would"
-        for name in platform.scene.cores:
-            platform.scene.loop.thaw(name)
-        await platform.scene.until(lambda: platform.holder() != "", 15, "a holder")
+        for name in platform.cluster.cores:
+            platform.cluster.loop.thaw(name)
+        await platform.cluster.until(lambda: platform.holder() != "", 15, "a holder")
         await asyncio.sleep(4)
         platform.reads.clear()
         platform.listed["a"] = worker("a", True)
@@ -135,22 +137,22 @@
         await asyncio.sleep(4)
         assert {name for _, name in platform.reads} == {platform.holder()}
 
-    play(5, acts)
+    play(5, scenario)
 
 
 def test_the_duty_moves_when_its_holder_dies():
-    async def acts(platform):
+    async def scenario(platform):
         holder = platform.holder()
-        platform.scene.kill(holder)
+        platform.cluster.kill(holder)
         platform.listed["b"] = worker("b", True)
         assert await platform.everywhere("a", 6) < 4
-        await platform.scene.until(lambda: platform.holder() not in ("", holder), 15, "another holder")
+        await platform.cluster.until(lambda: platform.holder() not in ("", holder), 15, "another holder")
 
-    play(6, acts)
+    play(6, scenario)
 
 
 def test_readers_that_are_refused_read_ever_more_seldom_and_edges_keep_what_they_know():
-    async def acts(platform):
+    async def scenario(platform):
         platform.refuses = True
         await asyncio.sleep(12)
         before, platform.reads = len(platform.reads), []
@@ -163,15 +165,15 @@
         platform.listed["c"] = worker("c")
         assert await platform.everywhere("abc", 9) < 9
 
-    play(7, acts)
+    play(7, scenario)
 
 
 def test_a_worker_that_leaves_as_the_platform_comes_back_is_known_as_soon_as_ever():
     for seed in range(20, 26):
 
-        async def acts(platform):
+        async def scenario(platform):
             platform.refuses, platform.refusal = True, result.ResultCode.LIST_BROKEN
-            await asyncio.sleep(30 + platform.scene.chance.random() * 5)
+            await asyncio.sleep(30 + platform.cluster.chance.random() * 5)
             platform.refuses = False
             platform.listed["b"] = worker("b", True)
             platform.reads.clear()
@@ -179,55 +181,55 @@
             await asyncio.sleep(1.3)
             assert platform.holder() in {name for _, name in platform.reads}
 
-        play(seed, acts)
+        play(seed, scenario)
 
 
 def test_a_list_that_takes_many_pages_is_read_no_more_often_than_half_of_the_rate():
-    async def acts(platform):
+    async def scenario(platform):
         platform.cost = clock.seconds(2)
         await asyncio.sleep(6)
         platform.reads.clear()
         await asyncio.sleep(20)
         assert len(platform.reads) <= 6
-        for name in platform.scene.cores:
-            platform.scene.loop.freeze(name)
+        for name in platform.cluster.cores:
+            platform.cluster.loop.freeze(name)
         await asyncio.sleep(10)
         platform.reads.clear()
         await asyncio.sleep(60)
         assert len(platform.reads) <= 60 / 4 * 1.3
 
-    play(8, acts)
+    play(8, scenario)
 
 
 def test_a_frozen_holder_tells_nothing_old_when_it_wakes():
-    async def acts(platform):
+    async def scenario(platform):
         holder = platform.holder()
-        platform.scene.loop.freeze(holder)
+        platform.cluster.loop.freeze(holder)
         platform.listed["b"] = worker("b", True)
         await platform.everywhere("a", 6)
-        await platform.scene.until(
+        await platform.cluster.until(
             lambda: any(one.duty.has_lease() for name, one in platform.readers.items() if name != holder),
             15,
             "another holder",
         )
         platform.listed["c"] = worker("c")
         await platform.everywhere("ac", 4)
-        platform.scene.loop.thaw(holder)
-        ended = platform.scene.loop.time() + 5
-        while platform.scene.loop.time() < ended:
+        platform.cluster.loop.thaw(holder)
+        ended = platform.cluster.loop.time() + 5
+        while platform.cluster.loop.time() < ended:
             assert set(platform.known()) == {frozenset("ac")}
             await asyncio.sleep(0.05)
 
-    play(11, acts)
+    play(11, scenario)
 
 
 def test_an_edge_that_starts_again_knows_the_list_without_reading_it():
-    async def acts(platform):
-        platform.scene.kill("edge-0")
+    async def scenario(platform):
+        platform.cluster.kill("edge-0")
         await asyncio.sleep(1)
-        platform.scene.start("edge-0")
-        await platform.scene.until(
-            lambda: "edge-0" in platform.scene.nodes and platform.scene.nodes["edge-0"].started.is_set(),
+        platform.cluster.start("edge-0")
+        await platform.cluster.until(
+            lambda: "edge-0" in platform.cluster.nodes and platform.cluster.nodes["edge-0"].started.is_set(),
             10,
             "started",
         )
@@ -236,46 +238,48 @@
         assert await platform.everywhere("ab", 4) < 3
         assert not [name for _, name in platform.reads if name == "edge-0"]
 
-    play(13, acts)
+    play(13, scenario)
 
 
 def test_edges_that_begin_before_any_reader_read_once_each_as_soon_as_they_have_the_plan():
-    async def story(one: simulated_cluster.SimulatedCluster) -> None:
-        await one.until(one.formed, 30, "formed")
+    async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
+        await cluster.until(cluster.formed, 30, "formed")
         write = control_state.WriteResources("merge", "", "", '{"services": {"a": {"kind": "plain"}}}', None)
-        await one.loop.create_task(one.nodes["core-0"].write_resources(write), context=one.loop.context_of("core-0"))
-        await one.until(one.ready, 30, "ready")
-        platform = Platform(one)
-        for name in one.edges:
+        await cluster.loop.create_task(
+            cluster.nodes["core-0"].write_resources(write), context=cluster.loop.context_of("core-0")
+        )
+        await cluster.until(cluster.ready, 30, "ready")
+        platform = Platform(cluster)
+        for name in cluster.edges:
             platform.attach(name)
         assert await platform.everywhere("ab", 2) < 0.6, (
             "nobody does the duty, and an edge cannot serve without the list"
         )
         await asyncio.sleep(0.5)
-        assert sorted(name for _, name in platform.reads) == sorted(one.edges)
+        assert sorted(name for _, name in platform.reads) == sorted(cluster.edges)
 
-    simulated_cluster.play(17, story)
+    simulated_cluster.play(17, whole_scenario)
 
 
 def restarted_without_plan(first_start: bool) -> list[tuple[float, str]]:
     """An edge starts again while all other nodes are down; its reads of the list within a second."""
     found: list[tuple[float, str]] = []
 
-    async def acts(platform):
-        scene = platform.scene
-        for name in [*scene.cores, "edge-0"]:
-            scene.kill(name)
-        scene.more["first_start"] = first_start
-        scene.start("edge-0")
-        await scene.until(lambda: "edge-0" in scene.nodes, 10, "started")
+    async def scenario(platform):
+        cluster = platform.cluster
+        for name in [*cluster.cores, "edge-0"]:
+            cluster.kill(name)
+        cluster.more["first_start"] = first_start
+        cluster.start("edge-0")
+        await cluster.until(lambda: "edge-0" in cluster.nodes, 10, "started")
         platform.reads.clear()
         platform.attach("edge-0")
-        began = scene.loop.time()
+        began = cluster.loop.time()
         await asyncio.sleep(1)
-        assert not scene.nodes["edge-0"].relay.current()
+        assert not cluster.nodes["edge-0"].relay.current()
         found.extend((at - began, name) for at, name in platform.reads if name == "edge-0")
 
-    play(21, acts)
+    play(21, scenario)
     return found
 
 
--- a/aspencroft/workers/pool_test.py
+++ b/aspencroft/workers/pool_test.py
@@ -36,7 +36,7 @@
     return head + b"\r\n\r\n" + body
 
 
-class Stage:
+class PoolHarness:
     """A pool and a scripted worker in a simulated world; ``came`` holds each connection's requests."""
 
     def __init__(self, script: collections.abc.Callable, seed: int = 1):
@@ -88,20 +88,20 @@
         raise AssertionError(answer)
 
 
-def play(script: collections.abc.Callable, acts: collections.abc.Callable) -> Stage:
-    """Play a scene with a scripted worker."""
-    stage = Stage(script)
+def play(script: collections.abc.Callable, scenario: collections.abc.Callable) -> PoolHarness:
+    """Run a scenario with a scripted worker."""
+    harness = PoolHarness(script)
 
-    async def scene():
-        serving = asyncio.ensure_future(stage.serve())
+    async def whole_scenario():
+        serving = asyncio.ensure_future(harness.serve())
         await asyncio.sleep(0.01)
-        await acts(stage)
+        await scenario(harness)
         serving.cancel()
 
-    stage.loop.run_until_complete(scene())
-    stage.loop.bury()
-    assert not stage.loop.exceptions, stage.loop.exceptions
-    return stage
+    harness.loop.run_until_complete(whole_scenario())
+    harness.loop.bury()
+    assert not harness.loop.exceptions, harness.loop.exceptions
+    return harness
 
 
 BROKE = (result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN)
@@ -112,21 +112,21 @@
 
 
 def test_requests_are_written_exactly_and_the_last_connection_is_used_again():
-    async def acts(stage):
-        assert await stage.ask() == (200, b"ok")
-        assert await stage.ask("POST", b"xyz") == (200, b"ok")
-        assert await stage.ask("POST") == (200, b"ok")
+    async def scenario(harness):
+        assert await harness.ask() == (200, b"ok")
+        assert await harness.ask("POST", b"xyz") == (200, b"ok")
+        assert await harness.ask("POST") == (200, b"ok")
 
-    stage = play(lambda connection, number: [OK % b"1"], acts)
+    harness = play(lambda connection, number: [OK % b"1"], scenario)
     start = b" /a?b=1 HTTP/1.1\r\nHost: h.example\r\nX-Test-Call: 1\r\n"
-    assert stage.came == [
+    assert harness.came == [
         [
             b"GET" + start + b"\r\n",
             b"POST" + start + b"Content-Length: 3\r\n\r\nxyz",
             b"POST" + start + b"Content-Length: 0\r\n\r\n",
         ]
     ]
-    assert stage.counts["worker connections"] == 1 and stage.counts["worker connections reused"] == 2
+    assert harness.counts["worker connections"] == 1 and harness.counts["worker connections reused"] == 2
 
 
 def test_heads_that_could_be_read_as_more_are_never_sent():
@@ -155,17 +155,17 @@
     for size in (1, 2, 3, 7, 50, 1000):
         pieces = [raw[place : place + size] for place in range(0, len(raw), size)]
 
-        async def acts(stage):
+        async def scenario(harness):
             for _ in range(2):
-                assert await stage.ask() == (200, b"abc0123456789")
+                assert await harness.ask() == (200, b"abc0123456789")
 
-        assert len(play(lambda connection, number: pieces, acts).came) == 1, size
+        assert len(play(lambda connection, number: pieces, scenario).came) == 1, size
 
 
 def test_parts_come_as_they_are_sent():
-    async def acts(stage):
-        response = await stage.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
-        came = [(part, stage.loop.time()) async for part in response.parts()]
+    async def scenario(harness):
+        response = await harness.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
+        came = [(part, harness.loop.time()) async for part in response.parts()]
         await response.close(True)
         assert [part for part, _ in came] == [b"ab", b"cd"] and came[1][1] - came[0][1] >= 0.9
 
@@ -175,16 +175,16 @@
             1.0,
             b"2\r\ncd\r\n0\r\n\r\n",
         ],
-        acts,
+        scenario,
     )
 
 
 def test_answers_without_a_body_leave_the_connection_sound():
-    async def acts(stage):
-        assert await stage.ask("HEAD") == (200, b"")
-        assert await stage.ask() == (204, b"")
-        assert await stage.ask() == (304, b"")
-        assert await stage.ask() == (200, b"ok")
+    async def scenario(harness):
+        assert await harness.ask("HEAD") == (200, b"")
+        assert await harness.ask() == (204, b"")
+        assert await harness.ask() == (304, b"")
+        assert await harness.ask() == (200, b"ok")
 
     answers = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
@@ -192,17 +192,17 @@
         b"HTTP/1.1 304 Not Modified\r\nContent-Length: 7\r\n\r\n",
         OK % b"1",
     ]
-    assert len(play(lambda connection, number: [answers[number]], acts).came) == 1
+    assert len(play(lambda connection, number: [answers[number]], scenario).came) == 1
 
 
 def test_interim_answers_are_passed_over_but_not_for_ever():
     interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 
-    async def sound(stage):
-        assert await stage.ask() == (200, b"ok")
+    async def sound(harness):
+        assert await harness.ask() == (200, b"ok")
 
-    async def endless(stage):
-        assert await stage.refused() == BROKE
+    async def endless(harness):
+        assert await harness.refused() == BROKE
 
     play(lambda connection, number: [interim * 3 + OK % b"1"], sound)
     play(lambda connection, number: [interim * 30 + OK % b"1"], endless)
@@ -246,18 +246,18 @@
     ]
     for parts in [[raw] for raw in broken] + [[raw, None] for raw in cut]:
 
-        async def acts(stage):
-            assert await stage.refused() == BROKE, parts
-            assert stage.pool.total == 0 and not stage.pool.resting
-            assert await stage.ask() == (200, b"ok")
+        async def scenario(harness):
+            assert await harness.refused() == BROKE, parts
+            assert harness.pool.total == 0 and not harness.pool.resting
+            assert await harness.ask() == (200, b"ok")
 
-        stage = play(lambda connection, number: parts if connection == 0 else [OK % b"1"], acts)
-        assert len(stage.came) == 2 and stage.counts["worker answers broken"] == 1, parts
+        harness = play(lambda connection, number: parts if connection == 0 else [OK % b"1"], scenario)
+        assert len(harness.came) == 2 and harness.counts["worker answers broken"] == 1, parts
 
 
 def test_a_stream_that_is_cut_raises_after_its_parts():
-    async def acts(stage):
-        response = await stage.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
+    async def scenario(harness):
+        response = await harness.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         came = []
         try:
             async for part in response.parts():
@@ -265,54 +265,54 @@
             raise AssertionError("looked complete")
         except result.RequestError as refusal:
             assert (refusal.result, refusal.ran) == BROKE
-        assert came == [b"ab"] and stage.pool.total == 0, "closed at once, whoever forgets to"
+        assert came == [b"ab"] and harness.pool.total == 0, "closed at once, whoever forgets to"
         await response.close(True)
-        assert stage.pool.total == 0
+        assert harness.pool.total == 0
 
     play(
         lambda connection, number: [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
             None,
         ],
-        acts,
+        scenario,
     )
 
 
 def test_a_connection_that_ends_before_any_answer_leaves_it_unknown_whether_the_request_ran():
-    async def acts(stage):
-        assert await stage.refused() == LOST
-        assert await stage.ask() == (200, b"ok")
-        assert await stage.refused() == LOST
+    async def scenario(harness):
+        assert await harness.refused() == LOST
+        assert await harness.ask() == (200, b"ok")
+        assert await harness.refused() == LOST
 
-    stage = play(lambda connection, number: [OK % b"1"] if (connection, number) == (1, 0) else [None], acts)
-    assert [len(one) for one in stage.came] == [1, 2], "sent once each"
+    harness = play(lambda connection, number: [OK % b"1"] if (connection, number) == (1, 0) else [None], scenario)
+    assert [len(one) for one in harness.came] == [1, 2], "sent once each"
 
 
 def test_surplus_bytes_are_never_taken_for_the_next_answer():
-    async def acts(stage):
-        assert await stage.ask() == (200, b"ok")
+    async def scenario(harness):
+        assert await harness.ask() == (200, b"ok")
         await asyncio.sleep(0.5)
-        assert await stage.ask() == (200, b"ok")
+        assert await harness.ask() == (200, b"ok")
 
     for surplus in (OK % b"0", b"\r\n", b"x"):
-        stage = play(lambda connection, number: [OK % b"1" + surplus], acts)
-        assert len(stage.came) == 2 and stage.counts["worker bytes in excess"] == 2
-        stage = play(lambda connection, number: [OK % b"1", 0.1, surplus], acts)
-        assert len(stage.came) == 2, "surplus that came on an idle connection"
+        harness = play(lambda connection, number: [OK % b"1" + surplus], scenario)
+        assert len(harness.came) == 2 and harness.counts["worker bytes in excess"] == 2
+        harness = play(lambda connection, number: [OK % b"1", 0.1, surplus], scenario)
+        assert len(harness.came) == 2, "surplus that came on an idle connection"
 
 
 def test_an_answer_in_the_place_of_the_next_is_told_apart_and_closes_the_connection():
     def accepts(status, headers):
         return dict(headers).get(b"X-Test-Call") == b"1"
 
-    async def acts(stage):
-        assert await stage.ask(accepts=accepts) == (200, b"ok")
-        assert await stage.refused(accepts=accepts) == BROKE
-        assert await stage.ask(accepts=accepts) == (200, b"ok")
-        assert stage.counts["worker answers in excess"] == 1
+    async def scenario(harness):
+        assert await harness.ask(accepts=accepts) == (200, b"ok")
+        assert await harness.refused(accepts=accepts) == BROKE
+        assert await harness.ask(accepts=accepts) == (200, b"ok")
+        assert harness.counts["worker answers in excess"] == 1
 
-    stage = play(lambda connection, number: [OK % (b"0" if (connection, number) == (0, 1) else b"1")], acts)
-    assert [len(one) for one in stage.came] == [2, 1]
+    harness = play(lambda connection, number: [OK % (b"0" if (connection, number) == (0, 1) else b"1")], scenario)
+    assert [len(one) for one in harness.came] == [2, 1]
 
 
 def test_connections_that_are_to_close_are_not_used_again():
@@ -323,12 +323,12 @@
         b"Keep-Alive: timeout=0",
     ):
 
-        async def acts(stage):
+        async def scenario(harness):
             for _ in range(2):
-                assert await stage.ask() == (200, b"ok")
+                assert await harness.ask() == (200, b"ok")
 
         answer = b"HTTP/1.1 200 OK\r\n" + said + b"\r\nContent-Length: 2\r\n\r\nok"
-        assert len(play(lambda connection, number: [answer], acts).came) == 2, said
+        assert len(play(lambda connection, number: [answer], scenario).came) == 2, said
 
 
 def test_idle_connections_are_retired_before_the_worker_closes_them():
@@ -344,16 +344,16 @@
     ):
         for swept in (False, True):
 
-            async def acts(stage):
-                assert await stage.ask() == (200, b"ok")
-                sweeping = asyncio.ensure_future(stage.pool.run()) if swept else None
+            async def scenario(harness):
+                assert await harness.ask() == (200, b"ok")
+                sweeping = asyncio.ensure_future(harness.pool.run()) if swept else None
                 await asyncio.sleep(pause)
-                assert await stage.ask() == (200, b"ok")
+                assert await harness.ask() == (200, b"ok")
                 if sweeping is not None:
                     sweeping.cancel()
 
             answer = b"HTTP/1.1 200 OK\r\nKeep-Alive: " + said + b"\r\nContent-Length: 2\r\n\r\nok"
-            assert len(play(lambda connection, number: [answer], acts).came) == connections, (
+            assert len(play(lambda connection, number: [answer], scenario).came) == connections, (
                 said,
                 pause,
                 swept,
@@ -361,51 +361,51 @@
 
 
 def test_a_connection_closed_while_idle_is_not_used_and_is_swept():
-    async def acts(stage):
-        assert await stage.ask() == (200, b"ok")
+    async def scenario(harness):
+        assert await harness.ask() == (200, b"ok")
         await asyncio.sleep(0.5)
-        stage.pool.sweep()
-        assert stage.pool.total == 0
-        assert await stage.ask() == (200, b"ok")
+        harness.pool.sweep()
+        assert harness.pool.total == 0
+        assert await harness.ask() == (200, b"ok")
         await asyncio.sleep(0.5)
-        assert await stage.ask() == (200, b"ok")
+        assert await harness.ask() == (200, b"ok")
 
-    assert len(play(lambda connection, number: [OK % b"1", 0.1, None], acts).came) == 3
+    assert len(play(lambda connection, number: [OK % b"1", 0.1, None], scenario).came) == 3
 
 
 def test_a_worker_that_closes_idle_connections_early_without_saying_so_is_learnt():
-    async def acts(stage):
-        running = asyncio.ensure_future(stage.pool.run())
+    async def scenario(harness):
+        running = asyncio.ensure_future(harness.pool.run())
         for _ in range(2):
-            assert await stage.ask() == (200, b"ok")
+            assert await harness.ask() == (200, b"ok")
             await asyncio.sleep(3)
-        assert stage.counts["worker connections closed while idle"] == 1
-        assert stage.counts["worker connections retired"] == 2
+        assert harness.counts["worker connections closed while idle"] == 1
+        assert harness.counts["worker connections retired"] == 2
         running.cancel()
 
-    play(lambda connection, number: [OK % b"1", 0.8, None], acts)
+    play(lambda connection, number: [OK % b"1", 0.8, None], scenario)
 
 
 def test_a_dead_or_silent_address_says_that_nothing_ran_within_half_a_second():
-    async def acts(stage):
-        stage.wire.listeners.pop(WORKER)
-        assert await stage.refused() == AWAY
-        stage.wire.cut(["edge"], ["worker"])
-        began = stage.loop.time()
-        assert await stage.refused() == AWAY
-        assert 0.4 < stage.loop.time() - began < 0.6
-        began = stage.loop.time()
-        assert await stage.refused(within=0.2) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
-        assert stage.loop.time() - began < 0.25
-        assert await stage.refused(within=-1) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
-        assert stage.pool.total == 0 and not stage.pool.open
-
-    play(lambda connection, number: [OK % b"1"], acts)
+    async def scenario(harness):
+        harness.wire.listeners.pop(WORKER)
+        assert await harness.refused() == AWAY
+        harness.wire.cut(["edge"], ["worker"])
+        began = harness.loop.time()
+        assert await harness.refused() == AWAY
+        assert 0.4 < harness.loop.time() - began < 0.6
+        began = harness.loop.time()
+        assert await harness.refused(within=0.2) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
+        assert harness.loop.time() - began < 0.25
+        assert await harness.refused(within=-1) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
+        assert harness.pool.total == 0 and not harness.pool.open
+
+    play(lambda connection, number: [OK % b"1"], scenario)
 
 
 def test_a_connection_that_breaks_as_it_comes_up_says_that_nothing_ran():
-    async def acts(stage):
-        connect = stage.pool.environment.network.connect
+    async def scenario(harness):
+        connect = harness.pool.environment.network.connect
 
         def broken(silence):
             raise OSError("bad descriptor")
@@ -417,114 +417,114 @@
             return channel
 
         made = []
-        stage.pool.environment.network.connect = breaking
-        assert await stage.refused() == AWAY
+        harness.pool.environment.network.connect = breaking
+        assert await harness.refused() == AWAY
         await asyncio.sleep(0.1)
-        assert stage.pool.total == 0 and stage.came == [[]] and not made[0].quiet()
+        assert harness.pool.total == 0 and harness.came == [[]] and not made[0].quiet()
 
-    play(lambda connection, number: [OK % b"1"], acts)
+    play(lambda connection, number: [OK % b"1"], scenario)
 
 
 def test_silence_ends_at_the_deadline_only_in_head_and_body():
-    async def acts(stage):
+    async def scenario(harness):
         for _ in range(2):
-            began = stage.loop.time()
-            assert await stage.refused(within=1.5) == LATE
-            assert abs(stage.loop.time() - began - 1.5) < 0.01
-            assert stage.pool.total == 0
+            began = harness.loop.time()
+            assert await harness.refused(within=1.5) == LATE
+            assert abs(harness.loop.time() - began - 1.5) < 0.01
+            assert harness.pool.total == 0
 
-    stage = play(
+    harness = play(
         lambda connection, number: [] if connection == 0 else [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"],
-        acts,
+        scenario,
     )
-    assert len(stage.came) == 2 and not stage.counts["worker answers broken"]
+    assert len(harness.came) == 2 and not harness.counts["worker answers broken"]
 
 
 def test_a_caller_that_goes_away_closes_the_connection():
-    async def acts(stage):
+    async def scenario(harness):
         for pause in (0.0002, 0.1):
-            asking = asyncio.ensure_future(stage.ask())
+            asking = asyncio.ensure_future(harness.ask())
             await asyncio.sleep(pause)
             asking.cancel()
             await asyncio.wait([asking])
-            assert asking.cancelled() and stage.pool.total == 0 and not stage.pool.open
+            assert asking.cancelled() and harness.pool.total == 0 and not harness.pool.open
 
-    play(lambda connection, number: [1.0, OK % b"1"], acts)
+    play(lambda connection, number: [1.0, OK % b"1"], scenario)
 
 
 def test_an_answer_left_unread_is_not_followed_by_another():
-    async def acts(stage):
-        response = await stage.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
+    async def scenario(harness):
+        response = await harness.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         await response.close(True)
         await response.close(True)
-        assert stage.pool.total == 0
-        assert await stage.ask() == (200, b"ok")
-        response = await stage.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
+        assert harness.pool.total == 0
+        assert await harness.ask() == (200, b"ok")
+        response = await harness.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         await response.read()
         await response.close(False)
-        assert stage.pool.total == 0
+        assert harness.pool.total == 0
 
-    assert len(play(lambda connection, number: [OK % b"1"], acts).came) == 2
+    assert len(play(lambda connection, number: [OK % b"1"], scenario).came) == 2
     slow = [(OK % b"1")[:-2], 0.2, b"ok"]
-    assert len(play(lambda connection, number: slow if connection == 0 else [OK % b"1"], acts).came) == 2
+    assert len(play(lambda connection, number: slow if connection == 0 else [OK % b"1"], scenario).came) == 2
 
 
 def test_where_idle_connections_are_found_dead_they_are_kept_for_a_shorter_time_for_a_while():
-    async def acts(stage):
-        assert await stage.ask() == (200, b"ok")
+    async def scenario(harness):
+        assert await harness.ask() == (200, b"ok")
         await asyncio.sleep(2)
         try:
-            raise AssertionError(await stage.ask())
+            raise AssertionError(await harness.ask())
         except pools.Lost as lost:
             assert lost.reused
-        assert await stage.ask() == (200, b"ok")
+        assert await harness.ask() == (200, b"ok")
         await asyncio.sleep(0.8)
-        assert await stage.ask() == (200, b"ok")
+        assert await harness.ask() == (200, b"ok")
         await asyncio.sleep(1.2)
-        assert await stage.ask() == (200, b"ok")
-        assert [len(one) for one in stage.came] == [2, 2, 1], "idle for a second at most"
+        assert await harness.ask() == (200, b"ok")
+        assert [len(one) for one in harness.came] == [2, 2, 1], "idle for a second at most"
         await asyncio.sleep(31)
-        assert await stage.ask() == (200, b"ok")
+        assert await harness.ask() == (200, b"ok")
         await asyncio.sleep(3)
-        assert await stage.ask() == (200, b"ok")
-        assert [len(one) for one in stage.came] == [2, 2, 1, 2]
+        assert await harness.ask() == (200, b"ok")
+        assert [len(one) for one in harness.came] == [2, 2, 1, 2]
 
-    play(lambda connection, number: [None] if (connection, number) == (0, 1) else [OK % b"1"], acts)
+    play(lambda connection, number: [None] if (connection, number) == (0, 1) else [OK % b"1"], scenario)
 
 
 def test_connections_are_bounded_by_address_and_by_all():
-    async def acts(stage):
-        stage.pool.most_open = 3
+    async def scenario(harness):
+        harness.pool.most_open = 3
         async with asyncio.TaskGroup() as group:
-            tasks = [group.create_task(stage.ask(most=2)) for _ in range(2)]
+            tasks = [group.create_task(harness.ask(most=2)) for _ in range(2)]
             await asyncio.sleep(0.1)
-            assert await stage.refused(most=2) == FULL
+            assert await harness.refused(most=2) == FULL
         assert [task.result() for task in tasks] == [(200, b"ok")] * 2
-        accepted = await wire.SimNetwork(stage.wire, "worker").listen("other:80")
+        accepted = await wire.SimNetwork(harness.wire, "worker").listen("other:80")
         response = asyncio.ensure_future(
-            stage.pool.request("other:80", "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
+            harness.pool.request("other:80", "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         )
         await accepted.get()
-        stage.wire.listeners["third:80"] = stage.wire.listeners["other:80"]
+        harness.wire.listeners["third:80"] = harness.wire.listeners["other:80"]
         more = asyncio.ensure_future(
-            stage.pool.request("third:80", "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
+            harness.pool.request("third:80", "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         )
         await accepted.get()
-        assert stage.pool.total == 3 and stage.pool.open[WORKER] == 1, "an idle one gave way"
+        assert harness.pool.total == 3 and harness.pool.open[WORKER] == 1, "an idle one gave way"
         response.cancel()
         more.cancel()
 
-    play(lambda connection, number: [0.5, OK % b"1"], acts)
+    play(lambda connection, number: [0.5, OK % b"1"], scenario)
 
 
 def test_the_connection_used_last_is_used_first():
-    async def acts(stage):
-        await asyncio.gather(*[stage.ask() for _ in range(3)])
+    async def scenario(harness):
+        await asyncio.gather(*[harness.ask() for _ in range(3)])
         for _ in range(4):
-            await stage.ask()
+            await harness.ask()
 
-    stage = play(lambda connection, number: [0.01 * connection, OK % b"1"], acts)
-    assert sorted(len(one) for one in stage.came) == [1, 1, 5]
+    harness = play(lambda connection, number: [0.01 * connection, OK % b"1"], scenario)
+    assert sorted(len(one) for one in harness.came) == [1, 1, 5]
 
 
 def test_all_faults_at_once_never_mix_answers_nor_leak_connections():
@@ -532,7 +532,7 @@
         chance = random.Random(seed)
 
         def script(connection, number):
-            wanted = stage.came[connection][number].split(b"X-Test-Call: ")[1].split(b"\r\n")[0]
+            wanted = harness.came[connection][number].split(b"X-Test-Call: ")[1].split(b"\r\n")[0]
             whole = (
                 b"HTTP/1.1 200 OK\r\nX-Test-Call: " + wanted + b"\r\nContent-Length: %d\r\n\r\n" % len(wanted) + wanted
             )
@@ -554,7 +554,7 @@
             wanted = b"%d" % number
             headers = ((b"Host", b"h"), (b"X-Test-Call", wanted))
             try:
-                response = await stage.pool.request(
+                response = await harness.pool.request(
                     WORKER,
                     "GET",
                     "/",
@@ -575,8 +575,8 @@
             finally:
                 await response.close(True)
 
-        async def acts(stage):
-            running = asyncio.ensure_future(stage.pool.run())
+        async def scenario(harness):
+            running = asyncio.ensure_future(harness.pool.run())
             async with asyncio.TaskGroup() as group:
                 for number in range(150):
                     task = group.create_task(one(number + 1))
@@ -584,30 +584,30 @@
                         task.cancel()
                     await asyncio.sleep(chance.expovariate(30))
             await asyncio.sleep(8)
-            assert stage.pool.total == 0 and not stage.pool.open and not stage.pool.resting
+            assert harness.pool.total == 0 and not harness.pool.open and not harness.pool.resting
             running.cancel()
 
         outcomes = collections.Counter()
-        stage = Stage(script, seed)
-        stage.script = script
-        holder = stage
+        harness = PoolHarness(script, seed)
+        harness.script = script
+        holder = harness
 
-        async def scene():
+        async def whole_scenario():
             serving = asyncio.ensure_future(holder.serve())
             await asyncio.sleep(0.01)
-            await acts(holder)
+            await scenario(holder)
             serving.cancel()
 
-        stage.loop.run_until_complete(scene())
-        stage.loop.bury()
+        harness.loop.run_until_complete(whole_scenario())
+        harness.loop.bury()
         assert outcomes[result.ResultCode.DONE] > 70, outcomes
-        sent = [raw for requests in stage.came for raw in requests]
+        sent = [raw for requests in harness.came for raw in requests]
         assert len(sent) == len(set(sent)), "a request was sent twice"
 
 
 def test_a_connection_that_comes_up_after_the_end_of_the_time_carries_nothing():
-    async def acts(stage):
-        held = stage.pool.environment.network.connect
+    async def scenario(harness):
+        held = harness.pool.environment.network.connect
 
         async def connect(address):
             channel = await held(address)
@@ -615,30 +615,30 @@
                 await asyncio.sleep(1.0)
             return channel
 
-        stage.pool.environment.network.connect = connect
-        assert await stage.refused(within=0.4) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
+        harness.pool.environment.network.connect = connect
+        assert await harness.refused(within=0.4) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
         await asyncio.sleep(1)
-        assert stage.pool.total == 0
+        assert harness.pool.total == 0
 
-    assert not any(play(lambda connection, number: [OK % b"1"], acts).came)
+    assert not any(play(lambda connection, number: [OK % b"1"], scenario).came)
 
 
 # -- on loopback -----------------------------------------------------------------------------------
 
 
-def on_loopback(handler: collections.abc.Callable, acts: collections.abc.Callable) -> collections.Counter:
-    """A scene with a worker on a real socket: ``handler(reader, writer)`` and ``acts(pool, address)``."""
+def on_loopback(handler: collections.abc.Callable, scenario: collections.abc.Callable) -> collections.Counter:
+    """A scene with a worker on a real socket: ``handler(reader, writer)`` and ``scenario(pool, address)``."""
     counts = collections.Counter()
 
-    async def scene():
+    async def whole_scenario():
         server = await asyncio.start_server(handler, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         pool = pools.Pool(environment.machine(), counts)
-        await acts(pool, address)
+        await scenario(pool, address)
         await pool.close()
         server.close()
 
-    asyncio.run(scene())
+    asyncio.run(whole_scenario())
     return counts
 
 
@@ -673,7 +673,7 @@
             await writer.drain()
         reset(writer)
 
-    async def acts(pool, address):
+    async def scenario(pool, address):
         async def refused():
             try:
                 raise AssertionError(await ask(pool, address))
@@ -685,7 +685,7 @@
         assert await refused() == LOST
         assert await refused() in (BROKE, LOST)
 
-    on_loopback(handler, acts)
+    on_loopback(handler, scenario)
 
 
 def test_a_byte_in_the_machines_buffer_keeps_a_connection_from_use():
@@ -697,7 +697,7 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(OK % b"1")
 
-    async def acts(pool, address):
+    async def scenario(pool, address):
         for surplus in (lambda one: one.send(b"x"), lambda one: one.shutdown(socket.SHUT_WR)):
             assert await ask(pool, address) == b"ok"
             link = writers[-1].get_extra_info("socket")
@@ -706,7 +706,7 @@
             assert await ask(pool, address) == b"ok"
         assert len(writers) == 3
 
-    on_loopback(handler, acts)
+    on_loopback(handler, scenario)
 
 
 def test_an_answer_before_the_whole_body_was_read_still_comes():
@@ -717,11 +717,11 @@
         await reader.readexactly(1)
         writer.close()
 
-    async def acts(pool, address):
+    async def scenario(pool, address):
         assert await ask(pool, address, b"x" * (30 << 20)) == b"no"
         assert pool.total == 0, "a request that was not written whole leaves no connection"
 
-    on_loopback(handler, acts)
+    on_loopback(handler, scenario)
 
 
 def test_large_bodies_pass_both_ways():
@@ -734,9 +734,9 @@
             given = await reader.readexactly(size)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + given)
 
-    async def acts(pool, address):
+    async def scenario(pool, address):
         for _ in range(2):
             assert await ask(pool, address, body) == body
 
-    counts = on_loopback(handler, acts)
+    counts = on_loopback(handler, scenario)
     assert counts["worker connections"] == 1
