--- a/aspencroft/replication/interrupted_write_test.py
+++ b/aspencroft/replication/interrupted_write_test.py
@@ -1,6 +1,7 @@
 """A replica whose writes are cancelled, refused or hang: its disk and its memory never differ."""
 
 import asyncio
+import collections
 import errno
 import random
 
@@ -61,6 +62,7 @@
         await asyncio.sleep(after)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
+        assert await is_same_after_start(local), after
         first = local.last().sequence
         await local.append(entries_behind(local, 1, "c:1", epoch=2))
         assert await is_same_after_start(local), after
@@ -172,6 +174,7 @@
                 task.cancel()
             await asyncio.gather(writing, return_exceptions=True)
             local_disk.delay = 0.002
+            assert not sequences_written_twice(cluster.group_replicas["n1:1"].replica), number
         await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
         await cluster.write("last")
         assert cluster.same("n0:1", "n1:1")
@@ -181,6 +184,14 @@
     members.play(tmp_path, 2, scenario)
 
 
+def sequences_written_twice(local: replica.Replica) -> set[int]:
+    """Sequences of which the disk holds more than one entry, by the bytes of the generation in force."""
+    records = data_file.scan((local.storage.current.generation_folder() / "journal.dat").read_bytes()).records
+    values = [codec.untagged(record.payload) for record in records]
+    counted = collections.Counter(value.sequence for value in values if isinstance(value, log_records.Entry))
+    return {sequence for sequence, count in counted.items() if count > 1}
+
+
 async def is_same_member_after_start(cluster: members.Members, name: str) -> bool:
     """Whether a process that starts on a member's disk holds what that member holds."""
     running = cluster.group_replicas[name].replica
