--- a/aspencroft/simulation/guarantees_test.py
+++ b/aspencroft/simulation/guarantees_test.py
@@ -6,13 +6,13 @@
 import json
 
 from aspencroft.configuration import control_state
-from aspencroft.consensus import replica_set
+from aspencroft.consensus import replica_set, witness
 from aspencroft.emulator import backend
 from aspencroft.errors import result
 from aspencroft.residency import residency
 from aspencroft.runtime import clock
 from aspencroft.simulation import campaign, guarantees, simulated_cluster, wire
-from aspencroft.transport import frame
+from aspencroft.transport import codec, frame
 
 
 def test_a_key_at_many_edges_runs_once_though_the_primary_dies_and_answers_are_lost():
@@ -458,6 +458,24 @@
     guarantees.play(14, acts)
 
 
+async def refuses_all_votes(voter: witness.Witness) -> bool:
+    """Whether a witness refuses to take part in a ballot and to grant a lease because it is blank."""
+    voter_set, member = voter.voter_set.number, replica_set.ReplicaId("storage-0:1", "x")
+    value = codec.tagged(replica_set.ReplicaSet(0, 1 << 20, member, ()))
+    requests = (
+        (voter.prepare, replica_set.Prepare(0, 1 << 40, member.address, voter_set)),
+        (voter.accept, replica_set.Accept(0, 1 << 40, value, voter.state.incarnation, voter_set)),
+        (voter.renew_lease, replica_set.LeaseRequest(0, 1 << 40, value, str(member), witness.LEASE, voter_set)),
+    )
+    refused = 0
+    for ask, request in requests:
+        try:
+            await ask(request)
+        except result.RequestError as refusal:
+            refused += refusal.result is result.ResultCode.WITNESS_BLANK
+    return refused == len(requests)
+
+
 def test_all_witnesses_losing_their_memory_at_once_neither_stops_nor_splits_the_fleet():
     async def acts(stage: guarantees.Stage) -> None:
         one = stage.scene
@@ -469,7 +487,15 @@
                 one.kill(name)
             for name in one.cores:
                 one.start(name)
-            await asyncio.sleep(3)
+            refusing, end = set(), one.loop.time() + 3
+            while one.loop.time() < end:
+                await asyncio.sleep(0.1)
+                for name in one.cores:
+                    voter = one.nodes[name].witness
+                    if not voter.voting:
+                        assert await refuses_all_votes(voter), name
+                        refusing.add(name)
+            assert refusing == set(one.cores)
             await one.until(one.ready, 12, "ready")
             for group_id, epoch in epochs.items():
                 assert one.nodes[one.leader(group_id)].group_replicas[group_id].known.epoch >= epoch
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1093,10 +1093,19 @@
     Mutation(
         "what a start finds is not synced",
         "storage/store.py",
-        "        self.disk.synchronise(data_path)\n        rows =",
-        "        rows =",
+        "    disk.synchronise(data_path)\n    with data_path",
+        "    with data_path",
         ("storage/failing_disk_test.py::test_what_a_killed_process_wrote_and_never_synced_lasts_once_it_was_found",),
     ),
+    Mutation(
+        "a torn tail is cut off without a sync",
+        "storage/store.py",
+        "            self.disk.synchronise(data_path)\n        rows =",
+        "        rows =",
+        (
+            "storage/failing_disk_test.py::test_a_torn_tail_that_a_start_cuts_off_is_gone_for_good_before_the_start_is_over",
+        ),
+    ),
     Mutation(
         "a pointer is not synced before the older generation goes",
         "storage/store.py",
--- a/aspencroft/storage/failing_disk_test.py
+++ b/aspencroft/storage/failing_disk_test.py
@@ -103,6 +103,28 @@
         assert open_on(machine)[1] == records
 
 
+def test_a_torn_tail_that_a_start_cuts_off_is_gone_for_good_before_the_start_is_over(tmp_path):
+    machine = disk.SimDisk(tmp_path, random.Random(1))
+    journal = open_on(machine).store
+    journal.append(FIRST)
+    journal.append(LATER)
+    data_path = journal.generation_folder() / "journal.dat"
+    end = data_file.scan(data_path.read_bytes()).extents[-1].end
+    with data_path.open("ab") as file:
+        file.write(b"torn" * 300)
+    synced_sizes, sync = [], machine.synchronise
+
+    def watched(path):
+        if path == data_path:
+            synced_sizes.append(path.stat().st_size)
+        sync(path)
+
+    machine.synchronise = watched
+    assert open_on(machine)[1] == (*FIRST, *LATER)
+    assert data_path.stat().st_size == end
+    assert synced_sizes == [end + 1200, end], "synced as it was found, then without the tail"
+
+
 def test_a_pointer_renamed_by_a_killed_process_lasts_before_the_older_generation_goes(tmp_path):
     machine = disk.SimDisk(tmp_path, random.Random(1))
     journal = open_on(machine).store
