--- a/aspencroft/benchmarks/virtual_cluster_test.py
+++ b/aspencroft/benchmarks/virtual_cluster_test.py
@@ -17,6 +17,8 @@
 
 SMALL = virtual_cluster.Shape(nodes=12, cores=3, storages=3, regions=3, zones=3)
 IDLE_S = 2.0
+CUT_S = 5.0
+CUT_NOTICED_LIMIT_S = 30.0
 IDLE_LIMITS = {
     settings.EDGE: {"messages": 50, "bytes": 3_500},
     settings.CORE: {"messages": 85, "bytes": 11_000},
@@ -121,6 +123,23 @@
         return on_virtual_loop(whole)
 
 
+async def lose_and_restart(cluster: virtual_cluster.VirtualCluster, lost: str, silent: bool) -> dict[str, float]:
+    """Seconds until all think a killed node down, and until none counts it; then until all know it again."""
+    loop = asyncio.get_running_loop()
+    cluster.kill(lost, silent)
+    killed_at = loop.time()
+
+    def is_down_everywhere() -> bool:
+        states = {own.failure_detector.state(lost) for own in cluster.nodes.values()}
+        return states == {cluster_member.DOWN}
+
+    down = await cluster.until(is_down_everywhere, 30)
+    assert await cluster.until(lambda: all_know_the_running_nodes(cluster), 30) >= 0
+    seconds = {"down": down, "lost": loop.time() - killed_at}
+    cluster.start(lost)
+    return {**seconds, "back": await cluster.until(lambda: all_know_the_running_nodes(cluster), 60)}
+
+
 def form_and_lose_nodes(folder) -> dict:
     """Seconds until the cluster formed from its seeds, until losses were noticed and made good, and bytes sent."""
 
@@ -128,18 +147,8 @@
         cluster = virtual_cluster.VirtualCluster(SMALL, folder)
         seconds = {"formed": await form(cluster)}
         for fault, lost, silent in (("process", "edge-0:1", False), ("machine", "edge-1:1", True)):
-            cluster.kill(lost, silent)
-            seconds[f"{fault} down"] = await cluster.until(
-                lambda lost=lost: all(
-                    own.failure_detector.state(lost) == cluster_member.DOWN for own in cluster.nodes.values()
-                ),
-                30,
-            )
-            seconds[f"{fault} lost"] = seconds[f"{fault} down"] + await cluster.until(
-                lambda: all_know_the_running_nodes(cluster), 30
-            )
-            cluster.start(lost)
-            seconds[f"{fault} back"] = await cluster.until(lambda: all_know_the_running_nodes(cluster), 60)
+            seen = await lose_and_restart(cluster, lost, silent)
+            seconds.update({f"{fault} {event}": took for event, took in seen.items()})
         sent = {name: dataclasses.astuple(each) for name, each in cluster.wire.traffic.items()}
         faults = sum(sum(own.standing.values()) for own in cluster.nodes.values())
         await cluster.end()
@@ -283,67 +292,93 @@
     assert first == again
 
 
-def test_another_leads_and_takes_changes_when_the_control_leaders_machine_is_lost(tmp_path):
-    async def scenario(cluster: virtual_cluster.VirtualCluster) -> None:
-        lost = control_leader(cluster).address
-        cluster.kill(lost, silent=True)
-        until_another_leads = await cluster.until(
-            lambda: control_leader(cluster) is not None and control_leader(cluster).relay.root, LEADER_LOSS_LIMIT_S
-        )
-        assert until_another_leads > 0
-        assert control_leader(cluster).address != lost
-        change = await add_service(cluster, "after-the-loss", edges_of(cluster)[0])
-        assert 0 < change["in force"] <= change["acknowledged"] + 0.05
-        assert until_another_leads + change["acknowledged"] < LEADER_LOSS_LIMIT_S
-        cluster.start(lost)
-        assert await cluster.until(lambda: all_know_the_running_nodes(cluster), RESTART_LIMIT_S) >= 0
-        assert await cluster.until(lambda: all_are_current(cluster), RESTART_LIMIT_S) >= 0
-        assert not nodes_without(cluster, "after-the-loss")
+async def lose_control_leader(cluster: virtual_cluster.VirtualCluster) -> None:
+    """The control leader's machine is lost: another leads and takes changes; it comes back and catches up."""
+    lost = control_leader(cluster).address
+    cluster.kill(lost, silent=True)
+    until_another_leads = await cluster.until(
+        lambda: control_leader(cluster) is not None and control_leader(cluster).relay.root, LEADER_LOSS_LIMIT_S
+    )
+    assert until_another_leads > 0
+    assert control_leader(cluster).address != lost
+    change = await add_service(cluster, "after-the-loss", edges_of(cluster)[0])
+    assert 0 < change["in force"] <= change["acknowledged"] + 0.05
+    assert until_another_leads + change["acknowledged"] < LEADER_LOSS_LIMIT_S
+    cluster.start(lost)
+    assert await cluster.until(lambda: all_know_the_running_nodes(cluster), RESTART_LIMIT_S) >= 0
+    assert await cluster.until(lambda: all_are_current(cluster), RESTART_LIMIT_S) >= 0
+    assert not nodes_without(cluster, "after-the-loss")
+
+
+async def cut_off_and_rejoin_a_region(cluster: virtual_cluster.VirtualCluster) -> None:
+    """A region without the control leader is cut off, which harms no other, and heals when it is joined again."""
+    home = wire.region_of(cluster.zones[control_leader(cluster).address])
+    regions = sorted({wire.region_of(zone) for zone in cluster.zones.values()})
+    away = next(region for region in regions if region != home)
+    inside = {name for name in cluster.nodes if wire.region_of(cluster.zones[name]) == away}
+    outside = set(cluster.nodes) - inside
+    for region in regions:
+        if region != away:
+            cluster.wire.cut(region, away)
+    assert not await nodes_that_lose_currency(cluster, outside, CUT_S)
+
+    def down_by_those_outside() -> list[set[str]]:
+        detectors = [cluster.nodes[name].failure_detector for name in outside]
+        return [{name for name in cluster.nodes if each.state(name) == cluster_member.DOWN} for each in detectors]
+
+    assert all(down <= inside for down in down_by_those_outside())
+    until_all_noticed = await cluster.until(
+        lambda: all(down == inside for down in down_by_those_outside()), CUT_NOTICED_LIMIT_S
+    )
+    assert until_all_noticed >= 0
+    body = json.dumps({"services": {"during-the-cut": {"kind": "plain"}}})
+    edge = next(name for name in edges_of(cluster) if name in outside)
+    await cluster.nodes[edge].write_resources(control_state.WriteResources("merge", "", "", body, None))
+    assert nodes_without(cluster, "during-the-cut") == inside
+    assert not any(cluster.nodes[name].relay.current() for name in inside)
+    cluster.wire.heal()
+    assert await cluster.until(lambda: all_know_the_running_nodes(cluster), REJOIN_LIMIT_S) >= 0
+    assert await cluster.until(lambda: all_are_current(cluster), CURRENT_AFTER_REJOIN_LIMIT_S) >= 0
+    assert not nodes_without(cluster, "during-the-cut")
+
+
+async def restart_as_planned(cluster: virtual_cluster.VirtualCluster) -> None:
+    """An edge leaves, stops, and starts again a second later: soon all know it and it is current."""
+    restarted = edges_of(cluster)[0]
+    virtual.context_of(restarted).run(cluster.nodes[restarted].failure_detector.leave)
+    await asyncio.sleep(1)
+    for name, own in cluster.nodes.items():
+        assert own.failure_detector.state(restarted) == cluster_member.LEAVING, name
+    cluster.kill(restarted, silent=False)
+    await asyncio.sleep(1)
+    cluster.start(restarted)
+    until_back = await cluster.until(
+        lambda: cluster.nodes[restarted].relay.current() and all_know_the_running_nodes(cluster), RESTART_LIMIT_S
+    )
+    assert until_back > 0
+    assert not nodes_without(cluster, "first")
 
-    run_on_formed_cluster(tmp_path, scenario)
 
+def test_another_leads_and_takes_changes_when_the_control_leaders_machine_is_lost(tmp_path):
+    run_on_formed_cluster(tmp_path, lose_control_leader)
 
-def test_a_region_that_is_cut_off_harms_no_other_and_heals_when_it_is_joined_again(tmp_path):
-    async def scenario(cluster: virtual_cluster.VirtualCluster) -> None:
-        home = wire.region_of(cluster.zones[control_leader(cluster).address])
-        regions = sorted({wire.region_of(zone) for zone in cluster.zones.values()})
-        away = next(region for region in regions if region != home)
-        inside = {name for name in cluster.nodes if wire.region_of(cluster.zones[name]) == away}
-        outside = set(cluster.nodes) - inside
-        for region in regions:
-            if region != away:
-                cluster.wire.cut(region, away)
-        assert not await nodes_that_lose_currency(cluster, outside, 5)
-        for name in outside:
-            detector = cluster.nodes[name].failure_detector
-            assert not {other for other in outside if detector.state(other) == cluster_member.DOWN}, name
-        body = json.dumps({"services": {"during-the-cut": {"kind": "plain"}}})
-        edge = next(name for name in edges_of(cluster) if name in outside)
-        await cluster.nodes[edge].write_resources(control_state.WriteResources("merge", "", "", body, None))
-        assert nodes_without(cluster, "during-the-cut") == inside
-        assert not any(cluster.nodes[name].relay.current() for name in inside)
-        cluster.wire.heal()
-        assert await cluster.until(lambda: all_know_the_running_nodes(cluster), REJOIN_LIMIT_S) >= 0
-        assert await cluster.until(lambda: all_are_current(cluster), CURRENT_AFTER_REJOIN_LIMIT_S) >= 0
-        assert not nodes_without(cluster, "during-the-cut")
 
-    run_on_formed_cluster(tmp_path, scenario)
+def test_a_region_that_is_cut_off_harms_no_other_and_heals_when_it_is_joined_again(tmp_path):
+    run_on_formed_cluster(tmp_path, cut_off_and_rejoin_a_region)
 
 
 def test_a_node_that_leaves_and_starts_again_is_known_and_current_soon(tmp_path):
+    run_on_formed_cluster(tmp_path, restart_as_planned)
+
+
+def test_one_cluster_survives_lost_nodes_a_restart_a_lost_leader_and_a_cut_in_turn(tmp_path):
     async def scenario(cluster: virtual_cluster.VirtualCluster) -> None:
-        restarted = edges_of(cluster)[0]
-        virtual.context_of(restarted).run(cluster.nodes[restarted].failure_detector.leave)
-        await asyncio.sleep(1)
-        for name, own in cluster.nodes.items():
-            assert own.failure_detector.state(restarted) == cluster_member.LEAVING, name
-        cluster.kill(restarted, silent=False)
-        await asyncio.sleep(1)
-        cluster.start(restarted)
-        until_back = await cluster.until(
-            lambda: cluster.nodes[restarted].relay.current() and all_know_the_running_nodes(cluster), RESTART_LIMIT_S
-        )
-        assert until_back > 0
-        assert not nodes_without(cluster, "first")
+        for lost, silent in (("edge-2:1", False), ("edge-3:1", True)):
+            seconds = await lose_and_restart(cluster, lost, silent)
+            assert 1 < seconds["down"] <= seconds["lost"] < 8
+            assert seconds["back"] >= 0
+        await restart_as_planned(cluster)
+        await lose_control_leader(cluster)
+        await cut_off_and_rejoin_a_region(cluster)
 
     run_on_formed_cluster(tmp_path, scenario)
