--- /dev/null
+++ b/aspencroft/docs_test.py
@@ -0,0 +1,124 @@
+"""The pages name files, tests and classes that exist.
+
+A living page may name only what is in the tree. A page that tells what was may use the names of its day: those pages
+are listed one by one in HISTORY.
+"""
+
+import ast
+import functools
+import pathlib
+import re
+
+import pytest
+
+ROOT = pathlib.Path(__file__).resolve().parent.parent
+FOLDERS = (ROOT / "aspencroft", ROOT / "platform")
+PAGES = {str(page.relative_to(ROOT)): page for page in sorted([*(ROOT / "docs").rglob("*.md"), ROOT / "README.md"])}
+HISTORY = frozenset(
+    {
+        "docs/incidents/group-not-back.md",
+        "docs/incidents/inc-cd65.md",
+        "docs/incidents/inc-fc88.md",
+        "docs/incidents/recover-grown.md",
+        "docs/incidents/sighup.md",
+        "docs/measurements.md",
+    }
+)
+LIVING = sorted(set(PAGES) - HISTORY)
+FUNCTIONS = (ast.FunctionDef, ast.AsyncFunctionDef)
+FILE = re.compile(r"(?<![\w/.*-])((?:[\w.-]+/)*[\w-]+\.py)\b(?:::(\w+))?")
+"""`consensus/ballot.py`, `platform/front.py`, `ballot.py` where the page says before which package it means, and
+`consensus/witness_test.py::test_name`."""
+TEST = re.compile(r"(?:(?<![\w:/.])(test_\w+)|(?<=`\.\.\.)(_\w+))(\.\.\.)?")
+"""A test without its file; three dots before or after stand for the rest of its name."""
+METHOD = re.compile(r"`([A-Z][a-z]\w*)(?:\.(\w+))?`")
+"""`Class.method`, or a class alone, on the page of the architecture."""
+
+
+def files_of(path):
+    """The files that a page may mean: from the root or the package; a name without a folder may be in any of them."""
+    if "/" in path:
+        return [file for file in (ROOT / path, ROOT / "aspencroft" / path) if file.is_file()]
+    return [*ROOT.glob(path), *(file for folder in FOLDERS for file in folder.rglob(path))]
+
+
+@functools.cache
+def functions_of(file):
+    """The names of the functions of a file."""
+    return frozenset(node.name for node in ast.parse(file.read_text()).body if isinstance(node, FUNCTIONS))
+
+
+@functools.cache
+def all_tests():
+    """The names of all tests."""
+    files = [file for folder in FOLDERS for file in folder.rglob("*_test.py")]
+    return frozenset(name for file in files for name in functions_of(file) if name.startswith("test_"))
+
+
+@functools.cache
+def methods():
+    """The methods of all classes that are no tests', by the class's name."""
+    found = {}
+    for folder in FOLDERS:
+        for file in folder.rglob("*.py"):
+            if file.name.endswith("_test.py"):
+                continue
+            for node in ast.walk(ast.parse(file.read_text())):
+                if isinstance(node, ast.ClassDef):
+                    names = {inner.name for inner in node.body if isinstance(inner, FUNCTIONS)}
+                    found.setdefault(node.name, set()).update(names)
+    return found
+
+
+def stale_files(text):
+    """The files, and tests in them, that a page names and the tree does not have."""
+    stale = set()
+    for path, test in FILE.findall(text):
+        files = files_of(path)
+        if not files or (test and not any(test in functions_of(file) for file in files)):
+            stale.add(f"{path}::{test}" if test else path)
+    return sorted(stale)
+
+
+def stale_tests(text):
+    """The tests that a page names without their file and the tree does not have."""
+    stale = set()
+    for start, later, dots in TEST.findall(text):
+        end = r"\w*" if dots else ""
+        pattern = re.compile(f"{start}{end}" if start else rf"\w+{later}{end}")
+        if not any(pattern.fullmatch(test) for test in all_tests()):
+            stale.add(start or later)
+    return sorted(stale)
+
+
+@pytest.mark.parametrize("page", LIVING)
+def test_a_living_page_names_only_files_and_tests_that_exist(page):
+    text = PAGES[page].read_text()
+    assert (stale_files(text), stale_tests(text)) == ([], [])
+
+
+def test_the_page_of_the_architecture_names_only_classes_and_methods_that_exist():
+    named = set(METHOD.findall(PAGES["docs/architecture.md"].read_text()))
+    assert len(named) > 50
+    assert [(one, name) for one, name in sorted(named) if name not in {"", *methods().get(one, ())}] == []
+    assert [one for one, _ in sorted(named) if one not in methods()] == []
+
+
+def test_each_page_of_history_is_there():
+    assert set(PAGES) >= HISTORY
+
+
+def test_stale_names_are_seen():
+    assert stale_files("`consensus/no_such.py`, `no_such.py` and `platform/no_such.py`") == [
+        "consensus/no_such.py",
+        "no_such.py",
+        "platform/no_such.py",
+    ]
+    assert stale_files("`consensus/witness_test.py::test_no_such`") == ["consensus/witness_test.py::test_no_such"]
+    assert stale_files("`consensus/ballot.py`, `aspencroft/consensus/ballot.py`, `platform/front.py`, `front.py`") == []
+    assert stale_tests("`test_no_such...`, `test_stale_names`") == ["test_no_such", "test_stale_names"]
+    assert stale_tests("`..._no_such_end`, `..._names_are`") == ["_names_are", "_no_such_end"]
+    assert (
+        stale_tests("`test_stale_names...`, `test_stale_names_are_seen`, `..._names_are_seen`, `..._names_are...`")
+        == []
+    )
