--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""The way of an opaque call through an edge: admit, choose, forward, stream, close."""
+"""Forwards opaque calls from callers to workers: admission, worker selection, attempts, streaming, completion."""
 
 import asyncio
 import collections
@@ -41,17 +41,17 @@
 RETRY_SOON = clock.seconds(0.3)
 RETRY_LATER = clock.seconds(1)
 TURN_END_GRACE = clock.seconds(0.2)
-AIM_PARTS_FOR_WAITING = 4
-WAITING_SHARE = 0.4
-SHORTEST_GROUP_WAIT = clock.seconds(0.1)
-LEAST_RETENTION = clock.seconds(60)
+WORKER_WAIT_AIM_DIVISOR = 4
+WAIT_SHARE_OF_TIME_LIMIT = 0.4
+MIN_GROUP_WAIT = clock.seconds(0.1)
+MIN_RETENTION = clock.seconds(60)
 DRAIN_POLL_INTERVAL = clock.seconds(0.05)
 WAIT_POLL_INTERVAL = clock.seconds(0.02)
-SERVED_WHILE_UNREADY = clock.seconds(2.5)
-DRAIN_LIMIT = clock.seconds(7.2)
-MOST_CALLS = 1024
-MOST_SELECTIONS = 12
-MOST_CONNECTIONS = 64
+SERVING_TIME_AFTER_STOP = clock.seconds(2.5)
+DRAIN_TIMEOUT = clock.seconds(7.2)
+MAX_ACTIVE_CALLS = 1024
+MAX_SELECTIONS = 12
+MAX_CONNECTIONS = 64
 LOAD_LIMIT = 1.25
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 GROUP_UNAVAILABLE = (
@@ -64,30 +64,30 @@
 
 
 class Dialect(typing.Protocol):
-    """How a worker's wire says what the product means; given by whoever translates."""
+    """Translates between the calls of this package and the headers of a worker's HTTP protocol."""
 
-    def request_headers(self, one: call.Call, instance_name: str, remaining: datetime.timedelta) -> call.Headers:
-        """The headers of a request to a worker."""
+    def request_headers(self, request: call.Call, instance_name: str, remaining: datetime.timedelta) -> call.Headers:
+        """Return the headers of a request to a worker."""
 
     def head(self, status: int, headers: call.Headers, attempt: str) -> call.Head:
-        """What the head of an answer says."""
+        """Parse the status and headers of a response."""
 
     def resume_headers(self, headers: call.Headers, last_event: str) -> call.Headers:
-        """The headers of a request that continues a stream behind an event; unchanged when that is none."""
+        """Return the headers of a request that resumes a stream after an event; unchanged if that is empty."""
 
     def accepts(self, attempt: str) -> pool.Accepts:
-        """Whether an answer may be one to the request with this id."""
+        """Return the check whether a response may belong to the request with this attempt id."""
 
     def answer_headers(self, headers: call.Headers) -> call.Headers:
-        """The headers of an answer that go on to the caller."""
+        """Return the response headers that are passed on to the caller."""
 
 
 @dataclasses.dataclass
 class Attempts:
-    """What was sent to workers for one call; a hedge shares it with the attempts that it races.
+    """Counts of the requests sent to workers for one call; a hedge shares them with the attempts it competes with.
 
-    ``possibly_run`` counts requests whose worker did not say that it did not run them, ``in_flight`` those without a
-    whole answer so far.
+    ``possibly_run`` counts requests that no worker reported as not run, ``in_flight`` those without a complete response
+    so far.
 
     Example: ``Attempts().sent == 0``
     """
@@ -99,7 +99,7 @@
 
 @dataclasses.dataclass
 class CallState:
-    """One call on its way: its route, its time, what was begun for it and whether a worker was sent it."""
+    """State of one call in progress: its route, deadline, reservations and attempts."""
 
     call: call.Call
     route: http_route.HttpRoute
@@ -117,37 +117,37 @@
     group_wait_end: datetime.timedelta | None = None
 
     def attempt_id(self) -> str:
-        """The caller's id of this try, as session groups know it."""
+        """The caller's attempt id, qualified by its tenant as session groups store it."""
         return self.call.within_tenant(self.call.attempt)
 
     def session_id(self) -> str:
-        """The line of turns that the call belongs to, as session groups know it."""
+        """The session of the call, qualified by its tenant as session groups store it."""
         return self.call.within_tenant(self.call.session)
 
     def previous_turn(self) -> str:
-        """The turn that the call goes on from, as session groups know it: none of another tenant's can be named."""
+        """The id of the previous turn, qualified by the tenant, so that no other tenant's turn can be named."""
         return self.call.within_tenant(self.call.previous)
 
     def turn(self) -> bool:
-        """Whether the call is a turn that the session group count or keep."""
+        """Whether the call is a turn that a session group charges to a budget or stores."""
         return self.route.kind == http_route.STREAM and bool(self.call.budget or self.route.retained)
 
     def repeatable(self) -> bool:
-        """Whether the work may be done more than once."""
+        """Whether the request is idempotent, so that it may run more than once."""
         return self.route.kind == http_route.SAFE
 
     def may_resume(self) -> bool:
-        """Whether a stream that breaks off may go on at another worker."""
+        """Whether a broken stream may be resumed at another worker."""
         return self.route.kind == http_route.STREAM and self.route.resumable and self.route.attempts > 1
 
     def exhausted(self) -> bool:
-        """Whether the call was sent to as many workers as its route allows."""
+        """Whether the call has used all attempts that its route allows."""
         return self.attempts.sent >= max(1, self.route.attempts)
 
 
 @dataclasses.dataclass
 class StreamSource:
-    """The worker that a stream comes from at the moment, and its answer; it is given back once."""
+    """The worker that currently sends a stream, and its response; the worker's slot is released once."""
 
     chosen: instance.Instance
     response: pool.Response
@@ -156,7 +156,7 @@
     is_open: bool = True
 
     async def read(self) -> collections.abc.AsyncIterator[bytes]:
-        """The bytes that came first, and all others as they come."""
+        """Yield the first chunk, which was read already, then the others as they arrive."""
         if self.first:
             yield self.first
             async for part in self.parts:
@@ -164,7 +164,7 @@
 
 
 class Forwarder:
-    """The stages of one edge for opaque calls; each call is walked through them by the task of its connection."""
+    """Forwards the calls of one edge; the task of the caller's connection takes each call through all stages."""
 
     def __init__(self, own: node.Node, dialect: Dialect, known: instances.Instances, connections: pool.Pool):
         self.node = own
@@ -190,47 +190,52 @@
         own.status_reporter.sections["calls"] = self.status
 
     async def run(self) -> None:
-        """The standing work beside the calls: the ends of calls that nobody waits for."""
+        """Run the background work: commands that end turns and keys after the caller has its answer."""
         await self.completions.run()
 
-    # -- admit -----------------------------------------------------------------------------------
+    # -- admission -------------------------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Whether this edge should get new connections."""
+        """Whether this edge should receive new connections."""
         return not self.node.stopping.is_set() and self.node.relay.current() and bool(self.instances.listed)
 
-    def admit(self, one: call.Call) -> CallState:
-        """The call's route and time; refused, not run, when there is none or this edge cannot serve it."""
+    def admit(self, request: call.Call) -> CallState:
+        """Find the call's route, tenant and deadline, or reject it as not run if this edge cannot serve it."""
         self.counts["asked"] += 1
         if self.closed:
             raise result.RequestError(result.ResultCode.LEAVING, retry=RETRY_SOON)
         if not self.node.relay.current():
             raise result.RequestError(result.ResultCode.NO_PLAN, retry=RETRY_SOON)
-        if self.active >= MOST_CALLS:
+        if self.active >= MAX_ACTIVE_CALLS:
             raise result.RequestError(result.ResultCode.OVERLOADED, retry=RETRY_LATER)
-        route = self.node.relay.configuration.route_table.match(one.host, one.path())
+        route = self.node.relay.configuration.route_table.match(request.host, request.path())
         if route is None:
             if not self.access.knows_newest_configuration():
                 raise result.RequestError(
-                    result.ResultCode.NO_PLAN, detail="no route here, but one may be", retry=RETRY_SOON
+                    result.ResultCode.NO_PLAN,
+                    detail="no such route in the configuration of this edge, which may be outdated",
+                    retry=RETRY_SOON,
                 )
-            raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=one.path()[:200])
-        one = self.access.identify(one, route)
-        end = min(one.end(), one.arrived + route.timeout)
+            raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=request.path()[:200])
+        request = self.access.identify(request, route)
+        end = min(request.end(), request.arrived + route.timeout)
         if end <= clock.now():
             raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
-        program = one.within_tenant(one.program or one.session or one.attempt)
-        return CallState(one, route, end, one.body, program=program)
+        program = request.within_tenant(request.program or request.session or request.attempt)
+        return CallState(request, route, end, request.body, program=program)
 
-    async def wait_for_configuration(self, one: call.Call) -> None:
-        """Hold a call for a part of its time while this edge, just started, learns the plan and the workers.
+    async def wait_for_configuration(self, request: call.Call) -> None:
+        """Delay a call for a part of its time limit while a newly started edge has no configuration or workers.
 
-        The time is that of the route, as far as an older plan tells it.
+        The time limit includes that of the route if an older configuration has it.
         """
-        route = self.node.relay.configuration.route_table.match(one.host, one.path())
-        limit = clock.now() + (one.within if route is None else min(one.within, route.timeout)) * WAITING_SHARE
+        route = self.node.relay.configuration.route_table.match(request.host, request.path())
+        limit = (
+            clock.now()
+            + (request.within if route is None else min(request.within, route.timeout)) * WAIT_SHARE_OF_TIME_LIMIT
+        )
         while not (self.node.relay.current() and self.instances.listed) and clock.now() < limit and not self.closed:
-            if self.waiting >= MOST_CALLS:
+            if self.waiting >= MAX_ACTIVE_CALLS:
                 return
             self.waiting += 1
             try:
@@ -238,104 +243,104 @@
             finally:
                 self.waiting -= 1
 
-    async def handle(self, one: call.Call) -> call.Answer:
-        """Serve a call: an Answer, or a Refusal that says whether anything ran."""
-        await self.wait_for_configuration(one)
+    async def handle(self, request: call.Call) -> call.Answer:
+        """Serve a call: return an Answer, or raise a RequestError that says whether the request may have run."""
+        await self.wait_for_configuration(request)
         try:
-            state = self.admit(one)
+            state = self.admit(request)
         except result.RequestError as rejection:
             self.admission.note_rejected(rejection)
             raise
         self.admission.note_admitted()
         self.active += 1
-        handed = False
+        is_streaming = False
         try:
             await self.reserve_quota(state)
             if state.turn():
                 await self.begin_turn(state)
-            elif state.route.kind == http_route.KEYED and one.key:
-                known = await self.reserve_key(state)
-                if known is not None:
+            elif state.route.kind == http_route.KEYED and request.key:
+                recorded = await self.reserve_key(state)
+                if recorded is not None:
                     self.return_quota(state)
-                    return known
+                    return recorded
             answer = await self.forward(state)
-            handed = answer.parts is not None
+            is_streaming = answer.parts is not None
             return answer
-        except result.RequestError as refusal:
-            self.add_trace(state, "refused", str(refusal))
-            self.counts[f"refused {refusal.result.number}"] += 1
-            self.routes.note_refused(state.route.name, refusal)
+        except result.RequestError as error:
+            self.add_trace(state, "refused", str(error))
+            self.counts[f"refused {error.result.number}"] += 1
+            self.routes.note_refused(state.route.name, error)
             self.abandon(state)
-            if state.attempts.possibly_run and refusal.ran is result.Ran.NOT_RUN:
-                raise result.RequestError(refusal.result, result.Ran.UNKNOWN, refusal.detail, refusal.retry) from None
+            if state.attempts.possibly_run and error.ran is result.Ran.NOT_RUN:
+                raise result.RequestError(error.result, result.Ran.UNKNOWN, error.detail, error.retry) from None
             raise
         except BaseException:
             self.abandon(state)
             raise
         finally:
-            if not handed:
+            if not is_streaming:
                 self.active -= 1
 
-    def add_trace(self, state: CallState, what: str, detail: str = "") -> None:
-        """Add a line to the call's trace."""
-        one = state.call
-        self.traces.add(one.attempt, state.route.name, clock.now() - one.arrived, what, detail)
+    def add_trace(self, state: CallState, event: str, detail: str = "") -> None:
+        """Add an event to the call's trace."""
+        request = state.call
+        self.traces.add(request.attempt, state.route.name, clock.now() - request.arrived, event, detail)
 
-    # -- begin -----------------------------------------------------------------------------------
+    # -- reservations ----------------------------------------------------------------------------
 
     async def reserve_quota(self, state: CallState) -> None:
-        """Have the call counted for its tenant; one above the tenant's limit is refused, not run."""
+        """Count the call towards its tenant's quota; a call above the quota is rejected as not run."""
         holder = self.access.tenant_of(state.call)
         if holder is not None:
             state.quota_grant = await self.quotas.reserve(holder, self.group_wait_limit(state))
 
     def return_quota(self, state: CallState) -> None:
-        """Let the tenant have another call for one that did not run."""
+        """Return the quota of a call that did not run to its tenant."""
         if state.quota_grant is not None and not state.attempts.possibly_run:
             self.quotas.give_back(state.quota_grant)
         state.quota_grant = None
 
     def group_wait_limit(self, state: CallState) -> datetime.timedelta:
-        """How long a call waits for the group that it needs: its primary may be changing, which takes a second or so.
+        """How long a call waits for a session group, whose primary may be changing, which takes about a second.
 
-        A call that waits is tried all the time and goes on the moment the group serves; it leaves the caller time to
-        come again. All waits of a call end at the same time, but for a short one that each group gets.
+        A waiting call is retried continuously and proceeds as soon as the group serves. The limit leaves the caller
+        time for a retry of its own. All waits of a call share one deadline, but each group gets a short minimum.
         """
         now = clock.now()
         left = state.end - now
         if state.group_wait_end is None:
-            state.group_wait_end = now + max(state.route.aim, left * WAITING_SHARE)
-        return max(min(max(state.group_wait_end - now, SHORTEST_GROUP_WAIT), left), clock.ZERO)
+            state.group_wait_end = now + max(state.route.aim, left * WAIT_SHARE_OF_TIME_LIMIT)
+        return max(min(max(state.group_wait_end - now, MIN_GROUP_WAIT), left), clock.ZERO)
 
     async def submit_to_group(self, state: CallState, group_key: str, command):
-        """Have a session group decide a command; what no group can decide now is refused, not run."""
+        """Submit a command to a session group; if the group is unavailable the call is rejected as not run."""
         began = clock.now()
         try:
             return await self.node.submit(self.group_of(group_key), command, self.group_wait_limit(state))
-        except result.RequestError as refusal:
-            if refusal.result in GROUP_UNAVAILABLE:
-                raise result.RequestError(refusal.result, result.Ran.NOT_RUN, refusal.detail, RETRY_SOON) from None
+        except result.RequestError as error:
+            if error.result in GROUP_UNAVAILABLE:
+                raise result.RequestError(error.result, result.Ran.NOT_RUN, error.detail, RETRY_SOON) from None
             raise
         finally:
             self.routes.note_stage(state.route.name, route_counts.Stage.BEGIN, began)
 
     def group_of(self, key: str) -> int:
-        """The session group of a program or operation key."""
+        """The session group that holds a program or an operation key."""
         return session_groups.group_of(key, self.node.settings.talk_pairs)
 
     async def begin_turn(self, state: CallState) -> None:
-        """Reserve the turn's output and learn its history; the call's body becomes the chain and the new input."""
-        one, route = state.call, state.route
+        """Reserve the turn's output tokens and fetch its history, which the request body then begins with."""
+        request, route = state.call, state.route
         previous = state.previous_turn() if route.retained else ""
         have = previous if previous and self.chains.holds(previous) else ""
-        keep = max(route.keep, LEAST_RETENTION, one.program_within or clock.ZERO)
+        keep = max(route.keep, MIN_RETENTION, request.program_within or clock.ZERO)
         command = entry.BeginTurn(
             state.program,
             state.session_id(),
             state.attempt_id(),
             previous,
-            one.reserve,
-            one.budget,
+            request.reserve,
+            request.budget,
             route.retained,
             keep,
             state.end - clock.now(),
@@ -346,9 +351,9 @@
         state.turn_reserved = True
         try:
             reply = await self.submit_to_group(state, state.program, command)
-        except result.RequestError as refusal:
-            if refusal.result is not result.ResultCode.UNKNOWN_TURN:
-                if refusal.result is result.ResultCode.OUT_OF_BUDGET:
+        except result.RequestError as error:
+            if error.result is not result.ResultCode.UNKNOWN_TURN:
+                if error.result is result.ResultCode.OUT_OF_BUDGET:
                     state.turn_reserved = False
                 raise
             chain = await self.find_chain_in_other_groups(state, previous)
@@ -356,130 +361,138 @@
         state.last_worker = reply.worker
         if previous:
             self.chains.keep(reply.chain)
-            whole = self.chains.bytes_of(previous)
-            if whole is None:
-                raise result.RequestError(result.ResultCode.INTERNAL, detail="a chain came with a gap")
-            state.body = whole + one.body
-        self.add_trace(state, "turn begun", f"behind {one.previous or 'nothing'}")
+            history = self.chains.bytes_of(previous)
+            if history is None:
+                raise result.RequestError(result.ResultCode.INTERNAL, detail="the history of the turn is incomplete")
+            state.body = history + request.body
+        self.add_trace(state, "turn begun", f"previous turn: {request.previous or 'none'}")
 
     async def find_chain_in_other_groups(self, state: CallState, turn: str) -> tuple[entry.Turn, ...]:
-        """A chain that another program's group keeps; unknown only when every group says so."""
-        mine = self.group_of(state.program)
+        """Find a turn's history in the groups of other programs; it is unknown only if every group says so."""
+        own_group = self.group_of(state.program)
         found: list[entry.TurnFound] = []
-        missed: list[int] = []
+        failed_groups: list[int] = []
 
         async def ask(group: int) -> None:
             try:
                 found.append(await self.node.submit(group, entry.FindTurn(turn), self.group_wait_limit(state)))
             except result.RequestError:
-                missed.append(group)
+                failed_groups.append(group)
 
         async with asyncio.TaskGroup() as tasks:
             for group in range(1, self.node.settings.group_count):
-                if group != mine:
+                if group != own_group:
                     tasks.create_task(ask(group))
         for reply in found:
             if reply.found:
                 self.counts["chains found elsewhere"] += 1
                 return reply.chain
-        if missed:
+        if failed_groups:
             raise result.RequestError(
-                result.ResultCode.NOT_PRIMARY, detail=f"groups {missed} cannot tell", retry=RETRY_LATER
+                result.ResultCode.NOT_PRIMARY, detail=f"no reply from session groups {failed_groups}", retry=RETRY_LATER
             )
         raise result.RequestError(result.ResultCode.UNKNOWN_TURN, detail=turn)
 
     async def reserve_key(self, state: CallState) -> call.Answer | None:
-        """Claim the operation's key; the record's answer when it is another's."""
-        one = state.call
+        """Claim the operation key; return the recorded answer if another attempt has completed the operation."""
+        request = state.call
         digest = hashlib.blake2b(
-            b"\0".join([one.method.encode(), one.host.encode(), one.target.encode(), one.body]),
+            b"\0".join([request.method.encode(), request.host.encode(), request.target.encode(), request.body]),
             digest_size=16,
         ).digest()
         state.key_reserved = True
         window = self.node.settings.key_window
         command = entry.ClaimKey(
-            self.key_of(one), state.attempt_id(), digest, state.end - clock.now(), window, self.node.incarnation_id()
+            self.key_of(request),
+            state.attempt_id(),
+            digest,
+            state.end - clock.now(),
+            window,
+            self.node.incarnation_id(),
         )
-        held = await self.submit_to_group(state, self.key_of(one), command)
-        if held.mine:
+        claim = await self.submit_to_group(state, self.key_of(request), command)
+        if claim.mine:
             self.add_trace(state, "key claimed")
             return None
         state.key_reserved = False
-        self.add_trace(state, "key known", held.outcome or "at work")
-        if held.outcome == messages.DONE and held.status:
-            return call.Answer(held.status, tuple((header.name, header.value) for header in held.headers), held.body)
-        raise result.RequestError(result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN, held.outcome)
+        self.add_trace(state, "key known", claim.outcome or "in progress")
+        if claim.outcome == messages.DONE and claim.status:
+            return call.Answer(claim.status, tuple((header.name, header.value) for header in claim.headers), claim.body)
+        raise result.RequestError(result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN, claim.outcome)
 
-    def key_of(self, one: call.Call) -> str:
-        """The operation's key within its tenant."""
-        return f"{one.tenant}\n{one.key}"
+    def key_of(self, request: call.Call) -> str:
+        """The operation key, qualified by its tenant."""
+        return f"{request.tenant}\n{request.key}"
 
-    # -- choose ----------------------------------------------------------------------------------
+    # -- worker selection ------------------------------------------------------------------------
 
     def choose(self, state: CallState) -> tuple[instance.Instance | None, str]:
-        """A worker for the call among those that the configuration in force allows now, and why."""
+        """Choose a worker that the current configuration allows for the call; also return the reason in words."""
         route = self.node.relay.configuration.http_routes.get(state.route.name)
         if route is None or (route.host, route.prefix) != (state.route.host, state.route.prefix):
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=state.route.name)
         self.access.check_unchanged(state.call, route)
         if (route.kind, route.retained) != (state.route.kind, state.route.retained):
-            raise result.RequestError(result.ResultCode.PUT_BACK, detail="the route changed its kind", retry=RETRY_SOON)
+            raise result.RequestError(
+                result.ResultCode.PUT_BACK, detail="the kind of the route has changed", retry=RETRY_SOON
+            )
         state.route = route
         service = draw_service(route, self.node.environment.randomness)
         candidates = self.instances.candidates(service, state.tried_workers, state.repeatable())
-        used = self.working_sets.of(service)
-        chosen = worker_selection.choose(
+        service_set = self.working_sets.of(service)
+        choice = worker_selection.choose(
             candidates,
-            used.home_parts(state.call.parts, state.program),
+            service_set.home_parts(state.call.parts, state.program),
             state.last_worker,
             self.node.settings.area,
             self.node.environment.randomness,
             load_limit=LOAD_LIMIT,
-            copies=used.copies(len(self.instances.services.get(service, ())), *self.memory_and_slots(service)),
+            copies=service_set.copies(len(self.instances.services.get(service, ())), *self.memory_and_slots(service)),
         )
-        return self.instances.listed.get(chosen.name), f"{service}: {chosen.reason}"
+        return self.instances.listed.get(choice.name), f"{service}: {choice.reason}"
 
     def memory_and_slots(self, service: str) -> tuple[int, int]:
-        """The KV memory of one of a service's workers in tokens, and its slots; zeros when they aren't known."""
+        """The KV memory in tokens and the slots of one worker of a service; zeros if they are not known."""
         facts = self.node.relay.configuration.services.get(service)
         if facts is None or facts.engine is None:
             return 0, 0
         return facts.engine.kv_tokens, facts.engine.slots
 
     def rank(self, state: CallState) -> int:
-        """How urgent a call is, 0 the most: as its tenant says, else its route."""
+        """The priority of a call, 0 the most urgent: that of its tenant if set, else that of its route."""
         holder = self.access.tenant_of(state.call)
         return state.route.rank if holder is None or holder.rank is None else holder.rank
 
     async def wait_for_worker(self, state: CallState) -> instance.Instance:
-        """A worker with a place for the call, waited for during a part of its aim.
+        """Wait for a worker with a free slot for the call, up to a fraction of the route's latency target.
 
-        For half of that time more urgent calls that wait here go first; then all are alike, so that none starves.
+        For the first half of that time the call yields to more urgent calls that wait on this edge; after that all
+        calls are equal, so that none starves.
         """
         now = clock.now()
-        span = min(state.route.aim or state.route.timeout, state.end - now) / AIM_PARTS_FOR_WAITING
-        limit, yields_until = now + span, now + span / 2
+        wait = min(state.route.aim or state.route.timeout, state.end - now) / WORKER_WAIT_AIM_DIVISOR
+        limit, yields_until = now + wait, now + wait / 2
         with self.waiting_calls.enter(self.rank(state), state.route.services()) as entered:
-            chosen, why = None, ""
-            while chosen is None and (not why or clock.now() < limit):
-                if why:
+            worker, reason = None, ""
+            while worker is None and (not reason or clock.now() < limit):
+                if reason:
                     await self.wait_for_place(limit)
                 if clock.now() < yields_until and self.waiting_calls.is_preceded(entered):
-                    why = "more urgent calls wait"
+                    reason = "more urgent calls are waiting"
                 else:
-                    chosen, why = self.choose(state)
+                    worker, reason = self.choose(state)
         self.routes.note_stage(state.route.name, route_counts.Stage.CHOOSE, now)
-        if chosen is None:
+        if worker is None:
             raise result.RequestError(
                 result.ResultCode.OVERLOADED if bool(self.instances.listed) else result.ResultCode.NO_WORKER,
-                detail=why,
+                detail=reason,
                 retry=RETRY_SOON,
             )
-        self.add_trace(state, "chosen", f"{chosen.name}: {why}")
-        return chosen
+        self.add_trace(state, "chosen", f"{worker.name}: {reason}")
+        return worker
 
     async def wait_for_place(self, limit: datetime.timedelta) -> None:
-        """Wait until a place may have become free, for a moment at most."""
+        """Wait until a slot may have become free, up to the poll interval."""
         self.freed.clear()
         try:
             async with clock.limit(min(WAIT_POLL_INTERVAL, limit - clock.now())):
@@ -487,10 +500,10 @@
         except TimeoutError:
             pass
 
-    # -- forward ---------------------------------------------------------------------------------
+    # -- attempts --------------------------------------------------------------------------------
 
     async def forward(self, state: CallState) -> call.Answer:
-        """Send the call to workers until one answers, as often as its kind and its route allow."""
+        """Send the call to workers until one answers, as often as the kind of the route and its attempts allow."""
         if not state.repeatable() or state.route.attempts < 2 or not state.route.aim:
             return await self.try_workers_in_turn(state)
         first = asyncio.ensure_future(self.try_workers_in_turn(state))
@@ -500,19 +513,18 @@
                 return await first
             return await self.hedge(state, first)
         finally:
-            await ended(first)
+            await cancel_and_wait(first)
 
     async def hedge(self, state: CallState, first: asyncio.Task) -> call.Answer:
-        """Another attempt beside one that is silent beyond its aim, as its answer may be lost.
-
-        The first to answer counts.
+        """Start a second attempt while the first has not answered within the latency target: its answer may be lost.
 
-        Only work that may be repeated comes here, and the attempts that the route allows are shared.
+        The first answer wins. Only idempotent requests are hedged, and both attempts count towards the limit of the
+        route.
         """
         self.counts["hedged"] += 1
         state.hedged = True
         other = dataclasses.replace(state, tried_workers=state.tried_workers | {state.current_worker}, hedged=False)
-        self.add_trace(state, "hedged", f"{state.current_worker} is silent")
+        self.add_trace(state, "hedged", f"no answer from {state.current_worker} so far")
         second = asyncio.ensure_future(self.try_workers_in_turn(other))
         pending = {first, second}
         try:
@@ -523,64 +535,66 @@
                         return task.result()
             return await first
         finally:
-            await ended(second)
+            await cancel_and_wait(second)
 
     async def try_workers_in_turn(self, state: CallState) -> call.Answer:
-        """Attempts one after the other."""
-        for _ in range(MOST_SELECTIONS):
-            chosen = await self.wait_for_worker(state)
-            state.current_worker = chosen.name
+        """Try one worker after another."""
+        for _ in range(MAX_SELECTIONS):
+            worker = await self.wait_for_worker(state)
+            state.current_worker = worker.name
             try:
-                return await self.attempt(state, chosen)
-            except result.RequestError as refusal:
-                self.add_trace(state, "attempt failed", f"{chosen.name}: {refusal}")
-                self.routes.note_failed_attempt(state.route.name, refusal)
-                state.tried_workers |= {chosen.name}
-                if refusal.ran is not result.Ran.NOT_RUN and not (state.repeatable() or state.may_resume()):
+                return await self.attempt(state, worker)
+            except result.RequestError as error:
+                self.add_trace(state, "attempt failed", f"{worker.name}: {error}")
+                self.routes.note_failed_attempt(state.route.name, error)
+                state.tried_workers |= {worker.name}
+                if error.ran is not result.Ran.NOT_RUN and not (state.repeatable() or state.may_resume()):
                     raise
                 if state.hedged or state.exhausted() or clock.now() >= state.end:
                     raise
         raise result.RequestError(result.ResultCode.PUT_BACK, retry=RETRY_SOON)
 
     async def attempt(self, state: CallState, chosen: instance.Instance) -> call.Answer:
-        """One attempt at one worker; whatever comes is counted for the choice of later ones."""
-        one, began = state.call, clock.now()
+        """Make one attempt at one worker; its outcome is recorded for the selection of workers for later calls."""
+        request, began = state.call, clock.now()
         self.instances.begin(chosen.name)
         state.attempts.in_flight += 1
-        ended = False
+        is_streaming = False
         try:
             if self.instances.is_excluded(chosen.name):
-                raise result.RequestError(result.ResultCode.PUT_BACK, detail="the worker is leaving")
+                raise result.RequestError(result.ResultCode.PUT_BACK, detail="the worker is draining or gone")
             remaining = state.end - clock.now()
             if remaining <= clock.ZERO:
                 raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
             service = self.node.relay.configuration.services.get(chosen.service)
-            most = service.max_connections if service is not None and service.max_connections else MOST_CONNECTIONS
-            headers = self.dialect.request_headers(one, chosen.name, remaining)
-            response = await self.send(state, chosen, headers, most)
-            head = self.dialect.head(response.status, response.headers, one.attempt)
+            max_connections = (
+                service.max_connections if service is not None and service.max_connections else MAX_CONNECTIONS
+            )
+            headers = self.dialect.request_headers(request, chosen.name, remaining)
+            response = await self.send(state, chosen, headers, max_connections)
+            head = self.dialect.head(response.status, response.headers, request.attempt)
             self.record_head(chosen, head)
             await self.check_head(state, response, head)
             if state.route.kind == http_route.STREAM and 200 <= head.status < 300:
                 answer = await self.begin_stream(state, chosen, response, head)
-                ended = True
+                is_streaming = True
                 return answer
             return await self.read_answer(state, chosen, response, head)
         finally:
             self.routes.note_stage(state.route.name, route_counts.Stage.FIRST, began)
             state.attempts.in_flight -= 1
-            if not ended:
+            if not is_streaming:
                 self.release(chosen)
 
     async def send(
-        self, state: CallState, chosen: instance.Instance, headers: call.Headers, most_connections: int
+        self, state: CallState, chosen: instance.Instance, headers: call.Headers, max_connections: int
     ) -> pool.Response:
-        """Send the call to a worker once, and wait for the head of the answer.
+        """Send the call to a worker once and wait for the head of the response.
 
-        The call counts as sent and as possibly run from before its first byte until the pool or the worker says
-        otherwise.
+        The call counts as sent and as possibly run from before its first byte is written until the pool or the worker
+        reports that it did not run.
         """
-        one, attempts = state.call, state.attempts
+        request, attempts = state.call, state.attempts
         if state.exhausted():
             raise result.RequestError(result.ResultCode.PUT_BACK, detail="the route allows no more attempts")
         attempts.sent += 1
@@ -588,25 +602,23 @@
         try:
             return await self.pool.request(
                 chosen.address,
-                one.method,
-                one.target,
+                request.method,
+                request.target,
                 headers,
                 state.body,
                 state.end,
-                most_connections,
-                self.dialect.accepts(one.attempt),
+                max_connections,
+                self.dialect.accepts(request.attempt),
             )
-        except result.RequestError as refusal:
-            if refusal.ran is result.Ran.NOT_RUN:
+        except result.RequestError as error:
+            if error.ran is result.Ran.NOT_RUN:
                 attempts.sent -= 1
                 attempts.possibly_run -= 1
-            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(refusal))
+            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(error))
             raise
 
     async def check_head(self, state: CallState, response: pool.Response, head: call.Head) -> None:
-        """Raise unless the answer may go on to the caller: a worker declined the call, or it is unclear whether it
-        ran.
-        """
+        """Raise unless the response may be passed on: the worker rejected the call, or it is unclear whether it ran."""
         declined = head.misdirected or head.not_run
         if declined and (head.attempt or not response.reused or state.repeatable()):
             state.attempts.possibly_run -= 1
@@ -614,22 +626,22 @@
             raise result.RequestError(result.ResultCode.PUT_BACK, detail=str(head.status), retry=RETRY_SOON)
         unclear = ""
         if declined:
-            unclear = "an answer without an id on a connection that carried another request"
+            unclear = "a response without an attempt id on a reused connection"
         elif not head.stamped and 200 <= head.status < 300:
-            unclear = "an answer without its stamp"
+            unclear = "a response without the seal of the worker"
         elif head.status in NOT_RUN_STATUSES and not state.repeatable():
-            unclear = f"status {head.status} from a worker that does not say that nothing ran"
+            unclear = f"status {head.status} without a statement that the request did not run"
         if unclear:
             await response.close(False)
             raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, unclear)
 
     def release(self, chosen: instance.Instance) -> None:
-        """Give a worker's place back, and wake whoever waits for one."""
+        """Release a worker's slot and wake the calls that wait for one."""
         self.instances.end(chosen.name)
         self.freed.set()
 
     async def discard_answer(self, response: pool.Response, reuse: bool) -> None:
-        """Read the rest of an answer that is not handed on, so that its connection serves again if that is wanted."""
+        """Read the rest of a response that is not passed on, so that the connection can be reused if wanted."""
         try:
             await response.read()
         except result.RequestError:
@@ -638,7 +650,7 @@
             await response.close(reuse)
 
     def record_head(self, chosen: instance.Instance, head: call.Head) -> None:
-        """Take in what a worker's head tells of it."""
+        """Record what the head of a response says about its worker."""
         if head.load is not None:
             self.instances.record_load(chosen.name, *head.load)
         if head.misdirected:
@@ -655,11 +667,11 @@
     async def read_answer(
         self, state: CallState, chosen: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
-        """A plain answer, read whole before any of it goes out."""
+        """Read a response that is not a stream completely before any of it is passed on."""
         try:
             body = await response.read()
-        except result.RequestError as refusal:
-            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(refusal))
+        except result.RequestError as error:
+            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(error))
             raise
         except BaseException:
             await response.close(False)
@@ -680,22 +692,22 @@
         self.add_trace(state, "answered", f"{chosen.name}: {response.status}")
         return answer
 
-    # -- stream ----------------------------------------------------------------------------------
+    # -- streams ---------------------------------------------------------------------------------
 
     async def begin_stream(
         self, state: CallState, chosen: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
-        """Wait for the stream's first bytes, then hand the rest on as it comes."""
+        """Wait for the first bytes of the stream, then pass on the rest as it arrives."""
         parts = response.parts()
         try:
             first = await anext(parts, b"")
-        except result.RequestError as refusal:
-            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(refusal))
+        except result.RequestError as error:
+            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(error))
             raise
         except BaseException:
             await response.close(False)
             raise
-        self.add_trace(state, "first part", chosen.name)
+        self.add_trace(state, "first bytes", chosen.name)
         return call.Answer(
             response.status,
             self.dialect.answer_headers(response.headers),
@@ -711,39 +723,39 @@
         parts: collections.abc.AsyncIterator[bytes],
         first: bytes,
     ) -> collections.abc.AsyncIterator[bytes]:
-        """The parts of a stream; it ends only once the turn is kept, and raises when it was broken off.
+        """Yield the chunks of a stream; it ends only after the turn is stored, and raises if the stream is broken.
 
-        On a route that may be resumed only whole events go out, and a stream that breaks goes on at another worker.
+        On a resumable route only complete events are passed on, and a broken stream is resumed at another worker.
         """
-        reader, watch = events.Reader(), stream_pace.Stopwatch()
-        whole_events = event_buffer.EventBuffer() if state.may_resume() else None
-        source, whole = StreamSource(chosen, response, parts, first), False
+        reader, pace_timer = events.Reader(), stream_pace.Stopwatch()
+        buffer = event_buffer.EventBuffer() if state.may_resume() else None
+        source, is_complete = StreamSource(chosen, response, parts, first), False
         try:
-            while not whole:
+            while not is_complete:
                 try:
                     async for part in source.read():
-                        passed = part if whole_events is None else whole_events.feed(part)
-                        if passed:
-                            reader.feed(passed)
-                            watch.saw(reader.count)
-                            yield passed
-                    whole = True
-                except result.RequestError as refusal:
-                    await self.close_broken(source, refusal)
-                    source = await self.resume(state, source, whole_events, refusal)
-                    watch = stream_pace.Stopwatch()
-            if whole_events is not None and (rest := whole_events.rest()):
+                        complete = part if buffer is None else buffer.feed(part)
+                        if complete:
+                            reader.feed(complete)
+                            pace_timer.saw(reader.count)
+                            yield complete
+                    is_complete = True
+                except result.RequestError as error:
+                    await self.close_broken(source, error)
+                    source = await self.resume(state, source, buffer, error)
+                    pace_timer = stream_pace.Stopwatch()
+            if buffer is not None and (rest := buffer.rest()):
                 reader.feed(rest)
                 yield rest
-            await self.close_whole(source, watch)
+            await self.close_whole(source, pace_timer)
             if state.turn_reserved:
                 await self.end_turn(state, source.chosen, reader)
             self.counts["answered"] += 1
             self.add_trace(state, "answered", f"{source.chosen.name}: {reader.count} events")
-        except result.RequestError as refusal:
+        except result.RequestError as error:
             self.counts["streams broken"] += 1
-            self.routes.note_failed_attempt(state.route.name, refusal)
-            self.add_trace(state, "broken off", str(refusal))
+            self.routes.note_failed_attempt(state.route.name, error)
+            self.add_trace(state, "stream broken", str(error))
             raise
         finally:
             self.active -= 1
@@ -754,18 +766,18 @@
             if state.turn_reserved:
                 self.finish_turn_later(state, messages.UNKNOWN)
 
-    async def close_whole(self, source: StreamSource, watch: stream_pace.Stopwatch) -> None:
-        """Give back the worker and the connection of a stream that came whole."""
-        seconds_an_event = watch.pace()
+    async def close_whole(self, source: StreamSource, pace_timer: stream_pace.Stopwatch) -> None:
+        """Release the worker and the connection of a complete stream, and record its pace."""
+        seconds_an_event = pace_timer.pace()
         if seconds_an_event:
             self.instances.record_pace(source.chosen.name, seconds_an_event)
         await source.response.close(True)
         source.is_open = False
         self.release(source.chosen)
 
-    async def close_broken(self, source: StreamSource, refusal: result.RequestError) -> None:
-        """Give back the worker of a stream that broke off, and count the failure for it."""
-        self.instances.record_failure(source.chosen.name, outlier_detection.outcome_of_error(refusal))
+    async def close_broken(self, source: StreamSource, error: result.RequestError) -> None:
+        """Release the worker of a broken stream and record the failure."""
+        self.instances.record_failure(source.chosen.name, outlier_detection.outcome_of_error(error))
         source.is_open = False
         await source.response.close(False)
         self.release(source.chosen)
@@ -774,52 +786,54 @@
         self,
         state: CallState,
         broken: StreamSource,
-        whole_events: event_buffer.EventBuffer | None,
-        refusal: result.RequestError,
+        buffer: event_buffer.EventBuffer | None,
+        error: result.RequestError,
     ) -> StreamSource:
-        """Continue a stream at another worker, behind the last whole event that went out.
+        """Resume a stream at another worker, after the last complete event that was passed on.
 
-        The attempts that the route allows hold for all workers of the call together.
+        The attempts that the route allows are counted over all workers of the call.
 
         Raises:
-            RequestError: the refusal that broke the stream, where it may not go on; that of the last attempt where no
-                worker could continue it.
+            RequestError: the error that broke the stream if it cannot be resumed; the error of the last attempt if no
+                worker could resume it.
 
         """
-        if whole_events is None or not whole_events.can_continue():
-            raise refusal
+        if buffer is None or not buffer.can_continue():
+            raise error
         failed = broken.chosen
         while not state.exhausted() and clock.now() < state.end:
             state.tried_workers |= {failed.name}
-            self.add_trace(state, "broken, to be continued", f"{failed.name}: {refusal}")
+            self.add_trace(state, "stream broken, resuming", f"{failed.name}: {error}")
             failed = await self.wait_for_worker(state)
             try:
-                source = await self.continue_at(state, failed, whole_events.last_id)
-            except result.RequestError as later:
-                refusal = later
+                source = await self.continue_at(state, failed, buffer.last_id)
+            except result.RequestError as next_error:
+                error = next_error
                 continue
-            whole_events.begin_again()
+            buffer.begin_again()
             self.counts["streams continued"] += 1
-            self.add_trace(state, "continued", f"{failed.name}, behind event {whole_events.last_id or 'none'}")
+            self.add_trace(state, "stream resumed", f"{failed.name}, after event {buffer.last_id or 'none'}")
             return source
-        raise refusal
+        raise error
 
     async def continue_at(self, state: CallState, chosen: instance.Instance, last_event: str) -> StreamSource:
-        """Ask one worker to continue a stream; its answer's head was checked and is not passed on.
+        """Ask one worker to resume a stream; the head of its response is checked here and not passed on.
 
         Raises:
-            RequestError: the worker declined, broke off or gave another answer than a stream.
+            RequestError: the worker rejected the request, failed, or did not answer with a stream.
 
         """
         self.instances.begin(chosen.name)
         response: pool.Response | None = None
         try:
             if self.instances.is_excluded(chosen.name):
-                raise result.RequestError(result.ResultCode.PUT_BACK, detail="the worker is leaving")
+                raise result.RequestError(result.ResultCode.PUT_BACK, detail="the worker is draining or gone")
             service = self.node.relay.configuration.services.get(chosen.service)
-            most = service.max_connections if service is not None and service.max_connections else MOST_CONNECTIONS
+            max_connections = (
+                service.max_connections if service is not None and service.max_connections else MAX_CONNECTIONS
+            )
             headers = self.dialect.request_headers(state.call, chosen.name, state.end - clock.now())
-            response = await self.send(state, chosen, self.dialect.resume_headers(headers, last_event), most)
+            response = await self.send(state, chosen, self.dialect.resume_headers(headers, last_event), max_connections)
             head = self.dialect.head(response.status, response.headers, state.call.attempt)
             self.record_head(chosen, head)
             await self.check_head(state, response, head)
@@ -836,8 +850,8 @@
             raise
 
     async def end_turn(self, state: CallState, chosen: instance.Instance, reader: events.Reader) -> None:
-        """Have the turn kept and charged, before its caller hears of its end."""
-        one, output = state.call, reader.output()
+        """Have the session group store and charge the turn before the caller receives the end of the stream."""
+        request, output = state.call, reader.output()
         service = self.node.relay.configuration.services.get(chosen.service)
         stride = service.engine.stride if service is not None and service.engine is not None else 1
         retained = state.route.retained
@@ -846,7 +860,7 @@
             state.session_id(),
             state.attempt_id(),
             messages.DONE,
-            one.body if retained else b"",
+            request.body if retained else b"",
             output if retained else b"",
             reader.count * stride,
             chosen.name,
@@ -855,19 +869,19 @@
         within = max(state.end - began, TURN_END_GRACE)
         try:
             await self.node.submit(self.group_of(state.program), command, within)
-        except result.RequestError as refusal:
-            raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, str(refusal)) from None
+        except result.RequestError as error:
+            raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, str(error)) from None
         finally:
             self.routes.note_stage(state.route.name, route_counts.Stage.END, began)
         state.turn_reserved = False
         if retained:
-            turn = entry.Turn(state.attempt_id(), state.previous_turn(), one.body, output, chosen.name)
+            turn = entry.Turn(state.attempt_id(), state.previous_turn(), request.body, output, chosen.name)
             self.chains.keep((turn,))
 
-    # -- close -----------------------------------------------------------------------------------
+    # -- completion ------------------------------------------------------------------------------
 
     def finish_turn_later(self, state: CallState, outcome: str) -> None:
-        """Have a turn that nobody waits for ended behind the answer."""
+        """Queue the end of a turn whose result the caller does not wait for."""
         state.turn_reserved = False
         self.completions.offer(
             self.group_of(state.program),
@@ -875,7 +889,7 @@
         )
 
     def abandon(self, state: CallState) -> None:
-        """Free or charge what was begun for a call that failed."""
+        """Release or charge the reservations of a failed call."""
         outcome = messages.UNKNOWN if state.attempts.possibly_run else messages.NOT_RUN
         self.return_quota(state)
         if state.turn_reserved:
@@ -886,17 +900,17 @@
             self.completions.offer(self.group_of(key), entry.CloseKey(key, state.attempt_id(), outcome, 0, (), b""))
 
     async def drain(self) -> None:
-        """Serve on while callers are still handed to this edge, then refuse new calls and let the others end."""
+        """Serve on while callers are still routed to this edge, then reject new calls and let pending ones finish."""
         began = clock.now()
         self.draining = True
-        while clock.now() < began + DRAIN_LIMIT:
+        while clock.now() < began + DRAIN_TIMEOUT:
             await clock.sleep(DRAIN_POLL_INTERVAL)
-            self.closed = clock.now() > began + SERVED_WHILE_UNREADY
+            self.closed = clock.now() > began + SERVING_TIME_AFTER_STOP
             if self.closed and not self.active and not self.completions.open():
                 return
 
     def samples(self) -> list[sample.Sample]:
-        """What the forwarding says of itself in numbers."""
+        """The metrics of the forwarder."""
         found = [
             sample.sample("aspencroft_calls_active", self.active),
             sample.sample("aspencroft_calls_asked_total", self.counts["asked"]),
@@ -916,7 +930,7 @@
         return [*found, *self.admission.samples(), *self.quotas.samples(), *self.routes.samples()]
 
     def status(self) -> dict:
-        """What an operator should see of the calls here, as a section of ``/status``."""
+        """The ``calls`` section of ``/status``."""
         outliers = self.instances.outliers
         return {
             "active": self.active,
@@ -934,8 +948,8 @@
         }
 
 
-async def ended(task: asyncio.Task) -> None:
-    """Cancel a task if it still runs, and wait until it ended; what became of it is of no concern any more."""
+async def cancel_and_wait(task: asyncio.Task) -> None:
+    """Cancel a task if it still runs and wait for its end; its result and its exception are ignored."""
     task.cancel()
     await asyncio.wait((task,))
     if not task.cancelled():
@@ -943,7 +957,9 @@
 
 
 def draw_service(route: http_route.HttpRoute, randomness: random.Random) -> str:
-    """One of a route's services, by their weights."""
+    """Draw one of a route's services at random by weight."""
     if len(route.targets) == 1:
         return route.targets[0].service
-    return randomness.choices([one.service for one in route.targets], [one.weight for one in route.targets])[0]
+    return randomness.choices(
+        [target.service for target in route.targets], [target.weight for target in route.targets]
+    )[0]
