--- a/aspencroft/proxy/__init__.py
+++ b/aspencroft/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Opaque requests: admission, selection, attempt, stream, completion."""
+"""Forwarding of opaque requests: admission, worker selection, attempts, streaming, completion."""
--- a/aspencroft/proxy/admission_report.py
+++ b/aspencroft/proxy/admission_report.py
@@ -1,4 +1,4 @@
-"""What an edge rejects at admission: counted by result, and said once while it lacks a configuration."""
+"""Counts the calls that an edge rejects at admission and reports when it starts and stops lacking a configuration."""
 
 import collections
 
@@ -12,20 +12,20 @@
 
 
 class AdmissionReport:
-    """Counts rejections at admission; an edge without a configuration is an event, as is its end."""
+    """Counts rejections by result; the start and the end of rejecting for want of a configuration are events."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.counts: collections.Counter[int] = collections.Counter()
-        self.turned_away = 0
+        self.rejected_without_configuration = 0
 
     def note_rejected(self, rejection: result.RequestError) -> None:
-        """Count a call that was rejected before anything was begun for it."""
+        """Count a call that was rejected before anything was reserved for it."""
         self.counts[rejection.result.number] += 1
         if rejection.result is not result.ResultCode.NO_PLAN:
             return
-        self.turned_away += 1
-        if self.turned_away == 1:
+        self.rejected_without_configuration += 1
+        if self.rejected_without_configuration == 1:
             events.report(
                 LOG,
                 events.EventFields(events.Event.TURNING_AWAY, member=self.address, reason="no current configuration"),
@@ -34,25 +34,25 @@
             )
 
     def note_admitted(self) -> None:
-        """A call was admitted: whatever was lacking is there again."""
-        if not self.turned_away:
+        """Record that a call was admitted, which ends a period without a configuration."""
+        if not self.rejected_without_configuration:
             return
         events.report(
             LOG,
             events.EventFields(events.Event.TURNING_AWAY_ENDED, member=self.address),
             "{} takes calls again: {} were turned away for want of a configuration",
             self.address,
-            self.turned_away,
+            self.rejected_without_configuration,
         )
-        self.turned_away = 0
+        self.rejected_without_configuration = 0
 
     def samples(self) -> list[sample.Sample]:
-        """The counts as metrics."""
+        """Return the counts as metrics."""
         return [
             sample.sample("aspencroft_calls_rejected_total", count, result=str(number))
             for number, count in sorted(self.counts.items())
         ]
 
     def document(self) -> dict[str, int]:
-        """The counts by the number of the result, as ``/status`` shows them."""
+        """Return the counts by result number, as shown by ``/status``."""
         return {str(number): count for number, count in sorted(self.counts.items())}
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -1,4 +1,4 @@
-"""An opaque call: what a caller sent, to be handed to a worker unchanged, and the answer to it."""
+"""An opaque call: the request of a caller, which is passed to a worker unchanged, and the answer to it."""
 
 import collections.abc
 import dataclasses
@@ -9,13 +9,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """One attempt of a caller, read whole; headers are those that go on to the worker, end to end.
+    """One attempt of a caller, read completely; ``headers`` are the end-to-end headers that are passed to the worker.
 
-    ``within`` is how long the caller waits from ``arrived`` on.
-    Token counts are tokens; an empty text or zero means that the caller
-    said nothing about it.
-    ``key_digest`` is the digest of the caller's API key, which itself is in none of the fields; ``tenant`` is found by
-    it at admission, whatever the caller says.
+    ``within`` is how long the caller waits, counted from ``arrived``. ``budget``, ``prompt_tokens``, ``reserve`` and
+    the sizes in ``parts`` are in tokens. An empty text or zero means that the caller did not specify a value.
+    ``key_digest`` is the digest of the caller's API key, which itself is in none of the fields; ``tenant`` is looked up
+    by it at admission, whatever the caller claims.
     """
 
     method: str
@@ -41,25 +40,26 @@
     resume_after: str = ""
 
     def end(self) -> datetime.timedelta:
-        """When the caller stops waiting, on the loop's clock."""
+        """The time at which the caller stops waiting, on the clock of the event loop."""
         return self.arrived + self.within
 
     def within_tenant(self, name: str) -> str:
-        """A caller's name for a thing, distinct from the same name of any other tenant; an empty name stays empty."""
+        """Qualify a name given by the caller with its tenant, so that tenants share no names; "" stays empty."""
         return f"{self.tenant}\n{name}" if self.tenant and name else name
 
     def path(self) -> str:
-        """The target without its query."""
+        """The request target without its query."""
         return self.target.split("?", 1)[0]
 
 
 @dataclasses.dataclass(frozen=True)
 class Head:
-    """What the head of a worker's answer says, in the product's terms.
+    """The status and headers of a worker's response, parsed.
 
-    ``not_run`` is the worker's own word that it did not run the request;
-    ``misdirected`` that another worker has the address.
-    ``load`` is (running, waiting, slots) when it was told.
+    ``not_run`` means that the worker reports that it did not run the request, ``misdirected`` that another worker has
+    the address now, ``leaving`` that the worker closes the connection.
+    ``load`` is (running, waiting, slots), or none if the response has no load.
+    ``stamped`` is whether the response carries the worker's seal.
     """
 
     status: int
@@ -75,9 +75,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What a caller gets: a whole body, or parts of a stream as they come.
+    """The answer to a caller: a complete body, or the chunks of a stream as they arrive.
 
-    A stream that raises was broken off, and must not look complete to the caller.
+    A stream that raises is broken and must not look complete to the caller.
     """
 
     status: int
--- a/aspencroft/proxy/completion_queue.py
+++ b/aspencroft/proxy/completion_queue.py
@@ -1,4 +1,4 @@
-"""What is told to the session group behind an answer: bounded rows and a few tellers for each group."""
+"""Sends commands that complete turns and keys after the answer: a bounded queue and a few senders for each group."""
 
 import asyncio
 import collections
@@ -7,51 +7,53 @@
 from aspencroft.node import node
 from aspencroft.runtime import clock, supervision
 
-BOUND = 1024
+QUEUE_SIZE = 1024
 SENDERS_PER_GROUP = 4
-WITHIN = clock.seconds(12)
+SUBMIT_TIMEOUT = clock.seconds(12)
 
 
 class CompletionQueue:
-    """Commands that end turns and keys; what cannot be told in time the group ends by its own timer."""
+    """Queues commands that end turns and keys; the group's own timer ends what no command ends in time."""
 
     def __init__(self, own: node.Node):
         self.node = own
-        self.rows = {group: asyncio.Queue(BOUND) for group in range(1, own.settings.group_count)}
-        self.under_way = 0
+        self.rows = {group: asyncio.Queue(QUEUE_SIZE) for group in range(1, own.settings.group_count)}
+        self.in_flight = 0
         self.counts: collections.Counter = collections.Counter()
 
     def offer(self, group: int, command) -> None:
-        """Queue a command; what finds no room is left to the group's timer."""
+        """Queue a command; if the queue is full the command is dropped, and the group's timer ends the turn or key."""
         if self.rows[group].full():
             self.counts["left to the group"] += 1
         else:
             self.rows[group].put_nowait(command)
 
     def open(self) -> bool:
-        """Whether something is still to be told."""
-        return self.under_way > 0 or any(not row.empty() for row in self.rows.values())
+        """Whether commands are queued or in flight."""
+        return self.in_flight > 0 or any(not queue.empty() for queue in self.rows.values())
 
     async def run(self) -> None:
-        """All tellers."""
+        """Run all senders."""
         async with supervision.Group() as group:
-            for number in self.rows:
+            for group_id in self.rows:
                 for _ in range(SENDERS_PER_GROUP):
-                    group.create_task(supervision.stand(f"endings {number}", self.sender(number), self.node.standing))
+                    group.create_task(
+                        supervision.stand(f"endings {group_id}", self.sender(group_id), self.node.standing)
+                    )
 
-    def sender(self, number: int):
-        """The work of one teller of a group."""
+    def sender(self, group_id: int):
+        """Return the work of one sender of a group."""
 
         async def work() -> None:
             while True:
-                command = await self.rows[number].get()
-                self.under_way += 1
+                command = await self.rows[group_id].get()
+                self.in_flight += 1
                 try:
-                    await self.node.submit(number, command, WITHIN)
+                    await self.node.submit(group_id, command, SUBMIT_TIMEOUT)
                     self.counts["told"] += 1
                 except result.RequestError:
                     self.counts["left to the group"] += 1
                 finally:
-                    self.under_way -= 1
+                    self.in_flight -= 1
 
         return work
--- a/aspencroft/proxy/event_buffer_test.py
+++ b/aspencroft/proxy/event_buffer_test.py
@@ -80,6 +80,6 @@
 
 
 def test_an_event_without_end_is_held_back_within_bounds(monkeypatch):
-    monkeypatch.setattr(event_buffer, "MOST_PENDING_BYTES", 100)
+    monkeypatch.setattr(event_buffer, "MAX_PENDING_BYTES", 100)
     buffer = event_buffer.EventBuffer()
     assert buffer.feed(b"data: " + b"x" * 200) == b"data: " + b"x" * 200 and not buffer.can_continue()
--- a/aspencroft/proxy/events.py
+++ b/aspencroft/proxy/events.py
@@ -1,8 +1,8 @@
-"""Reading a stream of events (text/event-stream) while its bytes pass on unchanged."""
+"""Parser for server-sent events (text/event-stream), fed with the bytes of a stream that is passed on unchanged."""
 
 
 class Reader:
-    r"""Counts the events of a stream and gathers their data; keeps only what is not ended yet and the data."""
+    """Counts the events of a stream and collects their data; it buffers only that data and the incomplete event."""
 
     def __init__(self):
         self.pending = b""
@@ -12,17 +12,17 @@
         self.after_return = False
 
     def feed(self, part: bytes) -> None:
-        """Take bytes in as they come, cut anywhere."""
+        """Add bytes as they arrive, split at any position."""
         if self.after_return and part.startswith(b"\n"):
             part = part[1:]
         self.after_return = part.endswith(b"\r") if part else self.after_return
-        text = (self.pending + part).replace(b"\r\n", b"\n").replace(b"\r", b"\n")
-        *whole, self.pending = text.split(b"\n")
-        for line in whole:
+        normalized = (self.pending + part).replace(b"\r\n", b"\n").replace(b"\r", b"\n")
+        *complete, self.pending = normalized.split(b"\n")
+        for line in complete:
             self.take_line(line)
 
     def take_line(self, line: bytes) -> None:
-        """Take one line in; an empty one ends an event, which counts when it has data."""
+        """Add one line; an empty one ends an event, which is counted if it has data."""
         if not line:
             if self.lines:
                 self.count += 1
@@ -34,5 +34,5 @@
             self.lines.append(value[1:] if value.startswith(b" ") else value)
 
     def output(self) -> bytes:
-        r"""The data of each event, each with a line feed behind."""
-        return b"".join(one + b"\n" for one in self.data)
+        """Return the data of all events, each followed by a line feed."""
+        return b"".join(event_data + b"\n" for event_data in self.data)
--- a/aspencroft/proxy/instance.py
+++ b/aspencroft/proxy/instance.py
@@ -1,4 +1,4 @@
-"""One life of a worker, as the platform's list shows it."""
+"""One incarnation of a worker, as listed by the platform."""
 
 import dataclasses
 import datetime
@@ -6,10 +6,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Instance:
-    """A worker's life: its name is its own, while its address may be given to another life later.
+    """An incarnation of a worker: its name is unique, while its address may be reused by a later incarnation.
 
-    ``cold`` is how much longer the worker was to be slow when the list was read;
-    ``slots`` the requests it works on at once.
+    ``cold`` is the warm-up time that remained when the list was read, ``slots`` the number of requests that the worker
+    runs at once.
     """
 
     name: str
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1498,15 +1498,15 @@
     Mutation(
         "tenants: an edge believes the caller's word for its tenant",
         "proxy/caller_access.py",
-        "            return dataclasses.replace(one, tenant=holder.name)\n",
-        "            return dataclasses.replace(one, tenant=one.tenant or holder.name)\n",
+        "            return dataclasses.replace(request, tenant=holder.name)\n",
+        "            return dataclasses.replace(request, tenant=request.tenant or holder.name)\n",
         ("simulation/quota_campaign_test.py::test_days_of_failures_break_none_of_the_rules",),
     ),
     Mutation(
         "tenants: a request whose key nobody holds runs",
         "proxy/caller_access.py",
         "        raise result.RequestError(result.ResultCode.UNKNOWN_KEY)\n",
-        "        return one\n",
+        "        return request\n",
         ("simulation/quota_campaign_test.py::test_days_of_failures_break_none_of_the_rules",),
     ),
     Mutation(
