--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -1,4 +1,4 @@
-"""What an edge knows of workers: the platform's list, its own requests there, and what their answers told."""
+"""An edge's view of the workers: the platform's list, its own requests in flight, and what responses reported."""
 
 import collections
 import dataclasses
@@ -8,18 +8,18 @@
 from aspencroft.proxy import instance, outlier_detection, stream_pace, worker_selection
 from aspencroft.runtime import clock
 
-FIRST_SUSPICION, LONGEST_SUSPICION = clock.seconds(0.25), clock.seconds(8)
-FAILURES_FORGOTTEN_AFTER = clock.seconds(20)
-MISDIRECTED_FOR = clock.seconds(4)
-FIRST_REJECTION_PAUSE, LONGEST_REJECTION_PAUSE = clock.seconds(0.05), clock.seconds(0.8)
-CLOSES_BEFORE_LEAVING, LEAVING_FOR = 3, clock.seconds(1.5)
+MIN_SUSPECT_TIME, MAX_SUSPECT_TIME = clock.seconds(0.25), clock.seconds(8)
+FAILURE_STREAK_TIMEOUT = clock.seconds(20)
+MISDIRECTED_EXCLUSION = clock.seconds(4)
+MIN_REJECTION_PAUSE, MAX_REJECTION_PAUSE = clock.seconds(0.05), clock.seconds(0.8)
+CLOSES_BEFORE_LEAVING, LEAVING_SUSPECT_TIME = 3, clock.seconds(1.5)
 REPORTED_LOAD_DECAY = clock.seconds(1)
-DRAINING_REMEMBERED = clock.seconds(60)
+DRAINING_RETENTION = clock.seconds(60)
 
 
 @dataclasses.dataclass
 class WorkerState:
-    """What is known of one worker's life beside the list."""
+    """What an edge has observed of one worker, in addition to the list."""
 
     running: int = 0
     reported_load: int = 0
@@ -38,7 +38,7 @@
     misdirected_until: datetime.timedelta = clock.ZERO
 
     def load(self, now: datetime.timedelta) -> float:
-        """The load in requests: our own, and those of others as told, which count for less with age."""
+        """The load in requests: our own, and those of other edges as last reported, whose weight decays with age."""
         others = self.reported_load - self.running_when_reported
         if self.reported_at is None or others <= 0:
             return float(self.running)
@@ -46,7 +46,7 @@
 
 
 class Instances:
-    """An edge's knowledge of workers; nothing here is asked of a worker, all of it is met or heard."""
+    """An edge's view of the workers; it sends no probes and uses only the list and the outcomes of requests."""
 
     def __init__(self):
         self.listed: dict[str, instance.Instance] = {}
@@ -59,100 +59,104 @@
         self.fresh_at: datetime.timedelta | None = None
 
     def update(self, snapshot: list[instance.Instance], seen_at: datetime.timedelta) -> None:
-        """Take the platform's list as it was read at a time of the loop's clock; an older one is left.
+        """Apply the platform's list as it was read at a time of the loop's clock; an older one is ignored.
 
-        A worker that was seen draining stays so, whatever a list says that comes late.
+        A worker once seen draining stays excluded, because a list that arrives later may be out of date.
         """
         if self.seen_at is not None and seen_at < self.seen_at:
             return
         self.seen_at = seen_at
         self.confirm(seen_at)
-        self.listed = {one.name: one for one in snapshot}
-        self.drained.update({one.name: seen_at for one in snapshot if one.draining})
-        self.drained = {name: at for name, at in self.drained.items() if seen_at - at < DRAINING_REMEMBERED}
+        self.listed = {worker.name: worker for worker in snapshot}
+        self.drained.update({worker.name: seen_at for worker in snapshot if worker.draining})
+        self.drained = {
+            name: drained_at for name, drained_at in self.drained.items() if seen_at - drained_at < DRAINING_RETENTION
+        }
         services = collections.defaultdict(list)
-        for one in snapshot:
-            if one.name not in self.drained:
-                services[one.service].append(one)
+        for worker in snapshot:
+            if worker.name not in self.drained:
+                services[worker.service].append(worker)
         self.services = {name: tuple(found) for name, found in services.items()}
-        there = {name: frozenset(one.name for one in found) for name, found in self.services.items()}
-        self.outliers.set_workers(there)
-        self.paces.set_workers(there)
+        names = {name: frozenset(worker.name for worker in found) for name, found in self.services.items()}
+        self.outliers.set_workers(names)
+        self.paces.set_workers(names)
         for name in [name for name, known in self.known.items() if name not in self.listed and not known.running]:
             del self.known[name]
 
     def confirm(self, at: datetime.timedelta) -> None:
-        """The list taken last was still the platform's at this time."""
+        """Record that the last list applied was still current at this time."""
         self.fresh_at = at if self.fresh_at is None else max(self.fresh_at, at)
 
     def age(self) -> datetime.timedelta | None:
-        """How long ago the list was surely the platform's; none before the first."""
+        """The time since the list was last known to be current; none before the first list."""
         return None if self.fresh_at is None else clock.now() - self.fresh_at
 
     def of(self, service: str) -> tuple[instance.Instance, ...]:
-        """A service's workers that are neither draining nor gone."""
-        return tuple(one for one in self.services.get(service, ()) if not self.is_excluded(one.name))
+        """The workers of a service that are neither draining nor gone."""
+        return tuple(worker for worker in self.services.get(service, ()) if not self.is_excluded(worker.name))
 
     def is_excluded(self, name: str) -> bool:
-        """Whether no request may be sent to a worker at this moment: it is draining or gone."""
-        one = self.listed.get(name)
-        if one is None or name in self.drained:
+        """Whether no request may be sent to a worker now, because it is draining or gone."""
+        worker = self.listed.get(name)
+        if worker is None or name in self.drained:
             return True
-        known = self.known.get(name)
-        return known is not None and known.misdirected_until > clock.now()
+        state = self.known.get(name)
+        return state is not None and state.misdirected_until > clock.now()
 
     def candidates(
         self, service: str, without: frozenset[str] = frozenset(), repeatable: bool = True
     ) -> tuple[worker_selection.Candidate, ...]:
-        """What to choose from; ``without`` names those that were tried.
+        """The workers to choose from, except those in ``without``, which were tried already.
 
-        Workers that are judged unsound are left out while any other is there. A request that is not
-        ``repeatable`` is lost with the worker's failure, so suspects come after the others for it.
+        Ejected outliers are omitted unless no other worker is left. A request that is not ``repeatable`` is lost if its
+        worker fails, so suspect workers come after the others for it.
         """
-        now, found, held = clock.now(), [], []
-        since = now - self.seen_at if self.seen_at is not None else clock.ZERO
+        now, found, ejected = clock.now(), [], []
+        list_age = now - self.seen_at if self.seen_at is not None else clock.ZERO
         paces = self.paces.of(service)
-        for one in self.services.get(service, ()):
-            if one.name in without:
+        for worker in self.services.get(service, ()):
+            if worker.name in without:
                 continue
-            known = self.known.get(one.name)
-            slowness = paces.slowness(one.name, one.zone, now)
-            if known is None:
+            state = self.known.get(worker.name)
+            slowness = paces.slowness(worker.name, worker.zone, now)
+            if state is None:
                 found.append(
-                    worker_selection.Candidate(one.name, one.zone, one.slots, 0.0, one.cold > since, slowness=slowness)
+                    worker_selection.Candidate(
+                        worker.name, worker.zone, worker.slots, 0.0, worker.cold > list_age, slowness=slowness
+                    )
                 )
-            elif known.misdirected_until <= now:
+            elif state.misdirected_until <= now:
                 candidate = worker_selection.Candidate(
-                    one.name,
-                    one.zone,
-                    known.slots or one.slots,
-                    known.load(now),
-                    one.cold > since,
-                    known.suspect_until > now or known.leaving_until > now,
-                    known.rejecting_until > now,
+                    worker.name,
+                    worker.zone,
+                    state.slots or worker.slots,
+                    state.load(now),
+                    worker.cold > list_age,
+                    state.suspect_until > now or state.leaving_until > now,
+                    state.rejecting_until > now,
                     slowness,
                 )
-                if one.name in self.outliers.records:
-                    candidate.suspect = candidate.suspect or self.outliers.is_suspect(one.name, repeatable, now)
-                    if not self.outliers.admit(one.name, repeatable, now):
-                        held.append(candidate)
+                if worker.name in self.outliers.records:
+                    candidate.suspect = candidate.suspect or self.outliers.is_suspect(worker.name, repeatable, now)
+                    if not self.outliers.admit(worker.name, repeatable, now):
+                        ejected.append(candidate)
                         continue
                 found.append(candidate)
-        return tuple(found or held)
+        return tuple(found or ejected)
 
     def begin(self, name: str) -> None:
-        """A request is sent to a worker."""
+        """Record that a request is being sent to a worker."""
         self.known[name].running += 1
 
     def end(self, name: str) -> None:
-        """A request that was sent to a worker is over."""
+        """Record the end of a request to a worker."""
         known = self.known[name]
         known.running = max(0, known.running - 1)
         if not known.running and name not in self.listed:
             del self.known[name]
 
     def record_load(self, name: str, running: int, waiting: int, slots: int) -> None:
-        """A worker's answer told its load."""
+        """Record the load that a worker reported with a response."""
         known = self.known[name]
         known.reported_load, known.running_when_reported, known.reported_at = (
             running + waiting,
@@ -163,14 +167,14 @@
             known.slots = slots
 
     def load(self, name: str) -> float:
-        """A worker's load in requests: our own, and those of others as told, which count for less with age."""
+        """A worker's load in requests: our own, and those of other edges as last reported, decayed with age."""
         known = self.known.get(name)
         return known.load(clock.now()) if known is not None else 0.0
 
     def record_answer(self, name: str, kind: str = outlier_detection.GOOD) -> None:
-        """A worker answered a request, well or with a failure of its own (a kind of ``outlier_detection``).
+        """Record that a worker answered a request, with its outcome, a kind of ``outlier_detection``.
 
-        Whatever the answer, the worker is there: what went wrong before in reaching it is forgiven.
+        Any answer shows that the worker is reachable, so earlier connection failures and rejections are cleared.
         """
         known = self.known[name]
         known.failures = known.rejections = known.misdirections = 0
@@ -182,52 +186,50 @@
         self.record_outcome(name, kind)
 
     def record_failure(self, name: str, kind: str = outlier_detection.LOST) -> None:
-        """A worker could not be reached, was lost or broke its answer off: it is suspect for a while that grows.
+        """Record that a worker was unreachable, lost or broke off its response; it is suspect, each time for longer.
 
-        ``kind`` is what ``outlier_detection.outcome_of_error`` makes of the refusal; an empty one, or a late answer,
-        leaves the worker as it is.
+        ``kind`` is the result of ``outlier_detection.outcome_of_error``. An empty kind, a late response and a stale
+        connection do not make the worker suspect.
         """
         self.record_outcome(name, kind)
         if kind in ("", outlier_detection.LATE, outlier_detection.STALE):
             return
         known, now = self.known[name], clock.now()
-        if now - known.failed_at > FAILURES_FORGOTTEN_AFTER:
+        if now - known.failed_at > FAILURE_STREAK_TIMEOUT:
             known.failures = 0
         if known.suspect_until <= now:
             known.failures += 1
         known.failed_at = now
-        known.suspect_until = now + min(LONGEST_SUSPICION, FIRST_SUSPICION * 2 ** min(known.failures - 1, 16))
+        known.suspect_until = now + min(MAX_SUSPECT_TIME, MIN_SUSPECT_TIME * 2 ** min(known.failures - 1, 16))
 
     def record_pace(self, name: str, seconds_an_event: float) -> None:
-        """A worker's stream came at this pace."""
-        one = self.listed.get(name)
-        if one is not None:
-            self.paces.of(one.service).observe(name, one.zone, seconds_an_event, clock.now())
+        """Record the pace of a worker's stream."""
+        worker = self.listed.get(name)
+        if worker is not None:
+            self.paces.of(worker.service).observe(name, worker.zone, seconds_an_event, clock.now())
 
     def record_outcome(self, name: str, kind: str) -> None:
-        """Count how a request ended at a worker for its outlier detection."""
-        one = self.listed.get(name)
-        if one is not None:
-            self.outliers.record_outcome(one.service, name, kind, clock.now())
+        """Record the outcome of a request at a worker for outlier detection."""
+        worker = self.listed.get(name)
+        if worker is not None:
+            self.outliers.record_outcome(worker.service, name, kind, clock.now())
 
     def record_rejection(self, name: str) -> None:
-        """A worker rejected a request without running it: it is crowded for a moment."""
+        """Record that a worker rejected a request without running it; other workers are preferred for a short time."""
         known, now = self.known[name], clock.now()
         if known.rejecting_until <= now:
             known.rejections += 1
-        known.rejecting_until = now + min(
-            LONGEST_REJECTION_PAUSE, FIRST_REJECTION_PAUSE * 2 ** min(known.rejections - 1, 16)
-        )
+        known.rejecting_until = now + min(MAX_REJECTION_PAUSE, MIN_REJECTION_PAUSE * 2 ** min(known.rejections - 1, 16))
 
     def record_connection_close(self, name: str) -> None:
-        """A worker's answer closed its connection: several in a row say that it is leaving, so others come first."""
+        """Record that a response closed its connection: several in a row mean that the worker is about to stop."""
         known = self.known[name]
         known.connection_closes, known.connection_closed = known.connection_closes + 1, True
         if known.connection_closes >= CLOSES_BEFORE_LEAVING:
-            known.leaving_until = clock.now() + LEAVING_FOR
+            known.leaving_until = clock.now() + LEAVING_SUSPECT_TIME
 
     def record_misdirection(self, name: str) -> None:
-        """Another worker has the address: this one is gone, unless the list goes on naming it for long."""
+        """Record that another worker has the address; exclude this one, each time for longer if it stays listed."""
         known = self.known[name]
         known.misdirections += 1
-        known.misdirected_until = clock.now() + MISDIRECTED_FOR * 2 ** min(known.misdirections - 1, 8)
+        known.misdirected_until = clock.now() + MISDIRECTED_EXCLUSION * 2 ** min(known.misdirections - 1, 8)
--- a/aspencroft/proxy/outlier_detection.py
+++ b/aspencroft/proxy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which workers are sound: judged by how their answers end, against the other workers of the same service."""
+"""Outlier detection of workers, by the failure rate of their requests compared to the other workers of a service."""
 
 import collections
 import dataclasses
@@ -23,19 +23,19 @@
 )
 WEIGHTS = {FAILED: 1.0, BROKE: 1.0, LOST: 1.0, STALE: 0.5, UNREACHED: 1.0, LATE: 0.5}
 OUTCOME_DECAY = clock.seconds(8)
-LEAST_FAILURES = 2.5
-OUTLIER_RATE = 0.08
+MIN_FAILURES = 2.5
+MIN_OUTLIER_RATE = 0.08
 SUSPECT_RATE = 0.05
-RETURNING_RATE = 0.2
+REEJECTION_RATE = 0.2
 PRIOR_FAILURES, PRIOR_ANSWERS = 0.2, 10.0
-EJECTABLE_PART = 3
-FIRST_EJECTION, LONGEST_EJECTION = clock.seconds(2), clock.seconds(16)
-FAILURES_FORGOTTEN_AFTER = clock.seconds(30)
+EJECTABLE_DIVISOR = 3
+MIN_EJECTION_TIME, MAX_EJECTION_TIME = clock.seconds(2), clock.seconds(16)
+EJECTION_HISTORY_TIME = clock.seconds(30)
 SLOW_START_SHARE, SLOW_START_GROWTH = 0.1, 1.5
 
 
 def outcome_of_error(refusal: result.RequestError) -> str:
-    """How a request ended at a worker, by the pool's refusal; nothing when that tells nothing of the worker."""
+    """Map an error of the connection pool to the outcome of a request; "" if it says nothing about the worker."""
     if isinstance(refusal, pools.Lost) and refusal.reused:
         return STALE
     return {
@@ -47,7 +47,7 @@
 
 
 def peer_rate(bad: float, total: float) -> float:
-    """The share of bad answers to expect by what the others gave; a few are expected of anybody.
+    """The expected failure rate, estimated from the other workers; the prior allows a few failures to any worker.
 
     Example: ``peer_rate(0.0, 0.0) == 0.02``
     """
@@ -55,14 +55,14 @@
 
 
 def exceeds_peer_rate(bad: float, total: float, rate: float) -> bool:
-    """Whether so many bad answers of so many are surely more than chance gives at the others' rate."""
+    """Whether ``bad`` failures of ``total`` requests are significantly more than the rate of the peers explains."""
     expected = total * rate
-    return bad >= LEAST_FAILURES and bad / total >= OUTLIER_RATE and bad > expected + 3.0 * math.sqrt(expected) + 0.5
+    return bad >= MIN_FAILURES and bad / total >= MIN_OUTLIER_RATE and bad > expected + 3.0 * math.sqrt(expected) + 0.5
 
 
 @dataclasses.dataclass
 class WorkerRecord:
-    """One worker's answers, fading, and its standing."""
+    """The decaying counts of one worker's outcomes and its ejection state."""
 
     service: str
     good: float = 0.0
@@ -70,14 +70,14 @@
     at: datetime.timedelta = clock.ZERO
     ejected_until: datetime.timedelta = clock.ZERO
     ejected_at: datetime.timedelta | None = None
-    span: datetime.timedelta = clock.ZERO
+    ejection_time: datetime.timedelta = clock.ZERO
     share: float = 1.0
     credit: float = 0.0
     limited: bool = False
     reason: str = ""
 
-    def fade(self, now: datetime.timedelta) -> None:
-        """Let what was counted count for less."""
+    def decay(self, now: datetime.timedelta) -> None:
+        """Decay the counts to the time ``now``."""
         if now > self.at:
             factor = math.exp(-((now - self.at) / OUTCOME_DECAY))
             self.good *= factor
@@ -86,19 +86,20 @@
             self.at = now
 
     def weight(self) -> float:
-        """Bad answers, by their weights."""
+        """The weighted number of failures."""
         return sum(WEIGHTS[kind] * count for kind, count in self.bad.items())
 
     def total(self) -> float:
-        """All answers."""
+        """The number of all outcomes."""
         return self.good + sum(self.bad.values())
 
 
 class OutlierDetector:
-    """One edge's outlier detection of workers; it asks nobody and believes no worker's word on its own health.
+    """One edge's outlier detection; it sends no probes and ignores what workers report about their own health.
 
-    A worker that is worse than the others of its service gets nothing for a while; no more than a third of a
-    service at once. It comes back by small shares of what it would get, and goes for longer if it fails again.
+    A worker that fails more often than the others of its service is ejected for a while, at most a third of a service
+    at once. It returns with a small share of its traffic, which grows (slow start), and is ejected for longer if it
+    fails again.
     """
 
     def __init__(self):
@@ -107,72 +108,86 @@
         self.counts = {"ejected": 0, "not ejected": 0, "returned": 0}
 
     def set_workers(self, services: dict[str, frozenset[str]]) -> None:
-        """The workers that there are, by service; what is known of others is dropped."""
+        """Set the current workers by service; the records of others are dropped."""
         self.services = services
-        there = {name for names in services.values() for name in names}
-        for name in [name for name in self.records if name not in there]:
+        listed = {name for names in services.values() for name in names}
+        for name in [name for name in self.records if name not in listed]:
             del self.records[name]
 
     def record_outcome(self, service: str, name: str, kind: str, now: datetime.timedelta) -> None:
-        """A request ended at a worker, well or in one of the bad ways."""
+        """Record the outcome of a request at a worker."""
         if name not in self.services.get(service, ()) or (kind != GOOD and kind not in WEIGHTS):
             return
         record = self.records.get(name)
         if record is None:
             record = self.records[name] = WorkerRecord(service, at=now)
-        record.fade(now)
+        record.decay(now)
         if kind == GOOD:
             record.good += 1.0
             if record.share < 1.0 and now >= record.ejected_until:
                 record.share = min(1.0, record.share * SLOW_START_GROWTH)
                 if record.share == 1.0:
                     self.counts["returned"] += 1
-                    report(events.Event.WORKER_RETURNED, name, service, "it answers well again")
+                    report(events.Event.WORKER_RETURNED, name, service, "its responses are good again")
             return
         record.bad[kind] += 1.0
         self.review(name, record, kind, now)
 
     def review(self, name: str, record: WorkerRecord, kind: str, now: datetime.timedelta) -> None:
-        """Judge a worker after a bad answer; one that is alone is not judged."""
+        """Decide after a failure whether to eject a worker; the only worker of a service is never ejected."""
         if now < record.ejected_until or len(self.services[record.service]) < 2:
             return
         bad, total, rate = record.weight(), record.total(), self.rate(name, record.service, now)
-        again = record.share < 1.0 and WEIGHTS[kind] == 1.0 and bad / total > RETURNING_RATE + 2.0 * rate
-        if not again and not exceeds_peer_rate(bad, total, rate):
+        fails_again = record.share < 1.0 and WEIGHTS[kind] == 1.0 and bad / total > REEJECTION_RATE + 2.0 * rate
+        if not fails_again and not exceeds_peer_rate(bad, total, rate):
             return
         names = self.services[record.service]
-        out = sum(1 for one in names if one in self.records and self.records[one].ejected_until > now)
-        kinds = ", ".join(f"{one} {count:.1f}" for one, count in sorted(record.bad.items()) if count >= 0.1)
-        record.reason = f"{bad:.1f} of {total:.1f} answers bad ({kinds}), {100 * rate:.0f} % expected"
-        if out >= len(names) // EJECTABLE_PART:
+        ejected = sum(1 for other in names if other in self.records and self.records[other].ejected_until > now)
+        kinds = ", ".join(f"{other} {count:.1f}" for other, count in sorted(record.bad.items()) if count >= 0.1)
+        record.reason = f"{bad:.1f} of {total:.1f} requests failed ({kinds}), {100 * rate:.0f} % expected"
+        if ejected >= len(names) // EJECTABLE_DIVISOR:
             record.limited = True
             self.counts["not ejected"] += 1
-            report(events.Event.WORKER_NOT_EJECTED, name, record.service, record.reason, "too many are ejected already")
+            report(
+                events.Event.WORKER_NOT_EJECTED,
+                name,
+                record.service,
+                record.reason,
+                "too many workers are ejected already",
+            )
             return
-        remembered = record.ejected_at is not None and now - record.ejected_at < FAILURES_FORGOTTEN_AFTER + record.span
-        record.span = min(LONGEST_EJECTION, record.span * 2) if remembered else FIRST_EJECTION
-        record.ejected_at, record.ejected_until = now, now + record.span
+        is_repeated = (
+            record.ejected_at is not None and now - record.ejected_at < EJECTION_HISTORY_TIME + record.ejection_time
+        )
+        record.ejection_time = min(MAX_EJECTION_TIME, record.ejection_time * 2) if is_repeated else MIN_EJECTION_TIME
+        record.ejected_at, record.ejected_until = now, now + record.ejection_time
         record.share, record.credit, record.limited = SLOW_START_SHARE, 0.0, False
         record.good, record.bad = 0.0, collections.Counter()
         self.counts["ejected"] += 1
-        detail = f"for {record.span.total_seconds():g} s: {record.reason}"
-        report(events.Event.WORKER_EJECTED, name, record.service, detail, "worse than the others of its service")
+        detail = f"for {record.ejection_time.total_seconds():g} s: {record.reason}"
+        report(
+            events.Event.WORKER_EJECTED,
+            name,
+            record.service,
+            detail,
+            "failure rate above that of the other workers of its service",
+        )
 
     def rate(self, name: str, service: str, now: datetime.timedelta) -> float:
-        """The share of bad answers that the other workers of a service give."""
+        """The failure rate of the other workers of a service."""
         bad = total = 0.0
-        for one in self.services.get(service, ()):
-            record = self.records.get(one)
-            if record is not None and one != name:
-                record.fade(now)
+        for other in self.services.get(service, ()):
+            record = self.records.get(other)
+            if record is not None and other != name:
+                record.decay(now)
                 bad += record.weight()
                 total += record.total()
         return peer_rate(bad, total)
 
     def admit(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
-        """Whether a worker may get the next request, as far as outlier detection goes; it counts as asked.
+        """Whether outlier detection lets a worker have the next request, which is charged to its slow start.
 
-        One that comes back gets its share of the requests that may be repeated.
+        A returning worker gets only its share of the requests that are repeatable.
         """
         record = self.records.get(name)
         if record is None or record.share >= 1.0:
@@ -186,13 +201,13 @@
         return True
 
     def is_suspect(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
-        """Whether others should come first: it is bad but too many are, or it may be and the request is sent once
-        only.
+        """Whether other workers should be preferred: this one could not be ejected because too many are, or it has
+        some failures and the request may be sent only once.
         """
         record = self.records.get(name)
         if record is None:
             return False
-        record.fade(now)
+        record.decay(now)
         bad, total = record.weight(), record.total()
         if record.limited:
             record.limited = exceeds_peer_rate(bad, total, self.rate(name, record.service, now))
@@ -201,24 +216,24 @@
         return bad / total > SUSPECT_RATE + 2.0 * self.rate(name, record.service, now)
 
     def ejected(self, now: datetime.timedelta) -> dict[str, str]:
-        """The workers that get nothing at this moment, each with the reason in words."""
+        """The workers that are ejected now, each with the reason in words."""
         return {name: record.reason for name, record in self.records.items() if now < record.ejected_until}
 
     def explain(self, name: str, now: datetime.timedelta) -> str:
-        """What is held against a worker, in words; nothing when it is sound."""
+        """Describe why a worker is ejected, limited or in slow start; "" if it is none of these."""
         record = self.records.get(name)
         if record is None or (record.share >= 1.0 and not record.limited):
             return ""
         if now < record.ejected_until:
             left = (record.ejected_until - now).total_seconds()
-            return f"{name} gets nothing for {left:.1f} s more: {record.reason}"
+            return f"{name} is ejected for another {left:.1f} s: {record.reason}"
         if record.limited:
-            return f"{name} is bad, but too many are: {record.reason}"
-        return f"{name} comes back with a share of {record.share:.2f}: {record.reason}"
+            return f"{name} is not ejected because too many workers are: {record.reason}"
+        return f"{name} is in slow start with a share of {record.share:.2f}: {record.reason}"
 
 
 def report(event: events.Event, name: str, service: str, detail: str, reason: str = "") -> None:
-    """Log what was decided of a worker; ``reason`` stays the same from one time to the next, ``detail`` has figures."""
+    """Log a decision on a worker; ``reason`` has no figures, so that it is the same each time, ``detail`` may have."""
     events.report(
         LOG,
         events.EventFields(event, member=name, reason=reason or detail),
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -158,7 +158,7 @@
     service = play(
         2, 6, lambda name, now: (0.9 if name == "i-3" and now % 6 < 3 else 0.0, outlier_detection.LOST), scenario
     )
-    assert service.known.outliers.records["i-3"].span >= clock.seconds(8)
+    assert service.known.outliers.records["i-3"].ejection_time >= clock.seconds(8)
     assert service.share("i-3", 20) < 0.08
 
 
@@ -245,7 +245,7 @@
         while not service.most_out:
             await service.run(0.5)
         said = service.known.outliers.explain("i-3", clock.now())
-        assert said.startswith("i-3 gets nothing for") and "broke" in said and "% expected" in said
+        assert said.startswith("i-3 is ejected for another") and "broke" in said and "% expected" in said
         assert collections.Counter(service.known.outliers.explain(name, clock.now()) for name in service.names)[""] == 5
 
     play(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
--- a/aspencroft/proxy/quota_client.py
+++ b/aspencroft/proxy/quota_client.py
@@ -1,8 +1,8 @@
-"""An edge's share in counting the requests of tenants: it asks the tenant's session group for each, in batches.
+"""Quota client of an edge: it reserves each request of a tenant at the tenant's session group, in batches.
 
-While one question of a tenant is under way the next requests wait for the following one, so that a busy tenant costs
-one message a round trip from each edge and no more. When the group that counts a tenant has no primary, another group
-grants a small part of the error that a deployment allows, which is counted by itself.
+While one batch of a tenant is in flight, further requests wait for the next one, so that a busy tenant costs each edge
+at most one message a round trip. When the group that counts a tenant has no primary, another group grants requests from
+a reserve: a small part of the error that a deployment allows, which is counted separately.
 """
 
 import asyncio
@@ -19,29 +19,29 @@
 from aspencroft.sessions import entry, session_groups
 from aspencroft.tracing import sample
 
-PRIMARY_PATIENCE = clock.seconds(0.15)
-"""How long a question waits for the primary of the group that counts before the reserve is asked."""
+PRIMARY_TIMEOUT = clock.seconds(0.15)
+"""How long a batch waits for the primary of the counting group before the reserve is used."""
 ANSWER_TIMEOUT = clock.seconds(0.5)
-"""How long an answer of that primary may take to be used; then the question is asked again."""
+"""How long a reply of that primary is waited for; then the batch is sent again."""
 RETRY_PAUSE = clock.seconds(0.02)
-REFUSAL_MEMORY = clock.seconds(0.1)
-"""For so long an edge refuses on its own what would be refused if it asked."""
-RETURN_WITHIN = clock.seconds(1)
-RUN_AHEAD_PART = 4
-"""The part of the allowed error that a primary may forget at a takeover is one in so many."""
-RESERVE_PART = 4
-"""The part of the allowed error that the reserve grants in a window is one in so many."""
+REFUSAL_CACHE_TIME = clock.seconds(0.1)
+"""After a refusal an edge refuses requests of the tenant for up to this time without asking the group."""
+RETURN_TIMEOUT = clock.seconds(1)
+RUN_AHEAD_DIVISOR = 4
+"""A takeover of the primary may lose one part in this many of the allowed error."""
+RESERVE_DIVISOR = 4
+"""The reserve grants one part in this many of the allowed error in each window."""
 MAX_BATCH = 256
-MAX_WAITING = 128
-"""Calls of one tenant that wait at an edge: a small part of those that it may hold, which others need."""
+MAX_WAITING_PER_TENANT = 128
+"""Most calls of one tenant that wait at an edge: a small part of its calls, as other tenants need the rest."""
 UNAVAILABLE_RETRY_AFTER = clock.seconds(0.3)
 
 
 @dataclasses.dataclass(frozen=True)
 class Grant:
-    """Leave for one request to run: the name, group and epoch that it is counted under, and when it was asked for.
+    """A granted request: the name, group and epoch under which it is counted, and when it was requested.
 
-    ``granted_at`` is when the primary counted it, by that one's clock.
+    ``granted_at`` is when the primary counted it, on the clock of that primary.
     """
 
     counted_as: str
@@ -52,8 +52,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Question:
-    """What is asked about a tenant: its number on this edge, and for how many requests."""
+class Batch:
+    """A batch of requests to reserve: its number on this edge, and how many requests it has."""
 
     number: int
     count: int
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass
 class TenantQueue:
-    """The requests of a tenant that wait for an answer here."""
+    """The requests of one tenant that wait for a reply on this edge."""
 
     limit: tenant.Tenant
     waiting: collections.deque[asyncio.Future] = dataclasses.field(default_factory=collections.deque)
@@ -70,7 +70,7 @@
 
 
 class QuotaClient:
-    """Gets leave for the requests of tenants that have a limit."""
+    """Reserves the requests of tenants that have a limit."""
 
     def __init__(self, own: node.Node):
         self.node = own
@@ -81,11 +81,11 @@
         self.late_answers: set[asyncio.Future] = set()
 
     async def reserve(self, one: tenant.Tenant, within: datetime.timedelta) -> Grant | None:
-        """Leave for one request; none is needed where the tenant has no limit.
+        """Reserve one request and return its grant; none if the tenant has no limit.
 
         Raises:
-            RequestError: OVER_QUOTA with the time after which the next request may be granted, or UNREACHABLE where
-                nobody could tell ``within`` that time. Nothing ran.
+            RequestError: OVER_QUOTA with the time after which the next request may be granted, UNREACHABLE if no group
+                answered ``within`` that time, or OVERLOADED if too many requests wait. In each case nothing ran.
 
         """
         if not one.is_limited():
@@ -97,122 +97,124 @@
         if now < queue.refused_until:
             self.counts["refused here"] += 1
             raise over_quota(queue.refused_until - now)
-        if len(queue.waiting) >= MAX_WAITING:
+        if len(queue.waiting) >= MAX_WAITING_PER_TENANT:
             raise result.RequestError(result.ResultCode.OVERLOADED, retry=UNAVAILABLE_RETRY_AFTER)
-        leave = asyncio.get_running_loop().create_future()
-        queue.waiting.append(leave)
+        waiter = asyncio.get_running_loop().create_future()
+        queue.waiting.append(waiter)
         if queue.task is None or queue.task.done():
             queue.task = asyncio.ensure_future(self.serve(queue))
         try:
             async with clock.limit(within):
-                return await leave
+                return await waiter
         except TimeoutError:
-            if is_granted(leave):
-                return leave.result()
+            if is_granted(waiter):
+                return waiter.result()
             self.counts["not told"] += 1
             raise result.RequestError(
                 result.ResultCode.UNREACHABLE,
-                detail="the tenant's requests can't be counted",
+                detail="no session group answered the quota request of the tenant in time",
                 retry=UNAVAILABLE_RETRY_AFTER,
             ) from None
         except asyncio.CancelledError:
-            if is_granted(leave):
-                self.give_back(leave.result())
+            if is_granted(waiter):
+                self.give_back(waiter.result())
             raise
 
     async def serve(self, queue: TenantQueue) -> None:
-        """Ask for all that wait, batch by batch, until none waits."""
-        while batch := self.take_batch(queue):
-            question = Question(next(self.numbers), len(batch))
+        """Reserve all waiting requests, batch by batch, until none waits."""
+        while waiters := self.take_batch(queue):
+            batch = Batch(next(self.numbers), len(waiters))
             try:
-                while batch:
-                    batch = await self.ask(queue, question, batch)
+                while waiters:
+                    waiters = await self.reserve_batch(queue, batch, waiters)
             except BaseException as error:
-                self.fail(batch, error)
+                self.fail_waiters(waiters, error)
                 raise
 
     def take_batch(self, queue: TenantQueue) -> list[asyncio.Future]:
-        """The requests that are asked for next; those that gave up waiting fall out."""
-        batch: list[asyncio.Future] = []
-        while queue.waiting and len(batch) < MAX_BATCH:
-            leave = queue.waiting.popleft()
-            if not leave.done():
-                batch.append(leave)
-        return batch
-
-    async def ask(self, queue: TenantQueue, question: Question, batch: list[asyncio.Future]) -> list[asyncio.Future]:
-        """Ask once for a batch; those of it that still have to wait for an answer.
-
-        The group that counts the tenant is asked the same question until it answers, lest it counts twice. As long as
-        it doesn't, the reserve is asked for those that wait.
+        """Return the requests of the next batch; those that stopped waiting are dropped."""
+        waiters: list[asyncio.Future] = []
+        while queue.waiting and len(waiters) < MAX_BATCH:
+            waiter = queue.waiting.popleft()
+            if not waiter.done():
+                waiters.append(waiter)
+        return waiters
+
+    async def reserve_batch(
+        self, queue: TenantQueue, batch: Batch, waiters: list[asyncio.Future]
+    ) -> list[asyncio.Future]:
+        """Try once to reserve a batch; return those of its waiters that have no reply yet.
+
+        The counting group is sent the batch under the same number until it replies, so that it does not count it twice.
+        Until then the waiting requests are granted from the reserve.
         """
         quota, name = self.node.settings.quota, queue.limit.name
         limit = queue.limit.most_requests(quota.window)
         error = quota.allowed_error(limit)
-        command = self.question(name, question, limit, error // RUN_AHEAD_PART)
-        asked = asyncio.ensure_future(self.ask_group(self.group_of(name), command, ANSWER_TIMEOUT))
+        command = self.reservation_command(name, batch, limit, error // RUN_AHEAD_DIVISOR)
+        pending_reply = asyncio.ensure_future(self.submit_to_group(self.group_of(name), command, ANSWER_TIMEOUT))
         try:
-            await asyncio.wait((asked,), timeout=PRIMARY_PATIENCE.total_seconds())
-            if not asked.done() or asked.exception() is not None:
+            await asyncio.wait((pending_reply,), timeout=PRIMARY_TIMEOUT.total_seconds())
+            if not pending_reply.done() or pending_reply.exception() is not None:
                 self.counts["primary did not tell"] += 1
-                batch = await self.ask_for_reserve(queue, error // RESERVE_PART, batch)
-                if not batch:
-                    self.late_answers.add(asked)
-                    asked.add_done_callback(self.give_back_late)
+                waiters = await self.grant_from_reserve(queue, error // RESERVE_DIVISOR, waiters)
+                if not waiters:
+                    self.late_answers.add(pending_reply)
+                    pending_reply.add_done_callback(self.give_back_late)
                     return []
-            grant, reply = await asked
+            grant, reply = await pending_reply
         except result.RequestError:
-            return batch
+            return waiters
         except BaseException:
-            asked.cancel()
+            pending_reply.cancel()
             raise
-        self.hand_out(queue, batch, grant, reply)
+        self.resolve(queue, waiters, grant, reply)
         return []
 
-    def give_back_late(self, asked: asyncio.Future[tuple[Grant, entry.RequestsReserved]]) -> None:
-        """A primary answered when nobody waited for its answer any more."""
-        self.late_answers.discard(asked)
-        if asked.cancelled() or asked.exception() is not None:
+    def give_back_late(self, pending_reply: asyncio.Future[tuple[Grant, entry.RequestsReserved]]) -> None:
+        """Return the grants of a primary that replied when no request waited any more."""
+        self.late_answers.discard(pending_reply)
+        if pending_reply.cancelled() or pending_reply.exception() is not None:
             return
-        grant, reply = asked.result()
+        grant, reply = pending_reply.result()
         if reply.granted:
             self.give_back(grant, reply.granted)
 
-    async def ask_for_reserve(
-        self, queue: TenantQueue, limit: int, batch: list[asyncio.Future]
+    async def grant_from_reserve(
+        self, queue: TenantQueue, limit: int, waiters: list[asyncio.Future]
     ) -> list[asyncio.Future]:
-        """Ask another group for leave from the reserve; those of a batch that got none and still wait."""
-        waiting = [leave for leave in batch if not leave.done()]
+        """Ask another group for grants from the reserve; return the requests of the batch that still wait."""
+        waiting = [waiter for waiter in waiters if not waiter.done()]
         if not waiting:
             return []
         name = queue.limit.name
-        command = self.question(f"{name}\nreserve", Question(next(self.numbers), len(waiting)), limit, 0)
+        command = self.reservation_command(f"{name}\nreserve", Batch(next(self.numbers), len(waiting)), limit, 0)
         try:
-            grant, reply = await self.ask_group(self.other_group(self.group_of(name)), command, PRIMARY_PATIENCE)
+            grant, reply = await self.submit_to_group(self.other_group(self.group_of(name)), command, PRIMARY_TIMEOUT)
         except result.RequestError:
             await clock.sleep(RETRY_PAUSE)
             return waiting
         if not reply.granted:
             await clock.sleep(RETRY_PAUSE)
         left = reply.granted
-        for leave in waiting:
-            if left and not leave.done():
+        for waiter in waiting:
+            if left and not waiter.done():
                 left -= 1
                 self.counts["granted from the reserve"] += 1
-                leave.set_result(grant)
+                waiter.set_result(grant)
         if left:
             self.give_back(grant, left)
-        return [leave for leave in waiting if not leave.done()]
+        return [waiter for waiter in waiting if not waiter.done()]
 
-    def question(self, counted_as: str, question: Question, limit: int, run_ahead: int) -> entry.ReserveRequests:
-        """The command that asks for leave under a name."""
+    def reservation_command(self, counted_as: str, batch: Batch, limit: int, run_ahead: int) -> entry.ReserveRequests:
+        """Build the command that reserves a batch, counted under a name."""
         edge, window = self.node.incarnation_id(), self.node.settings.quota.window
-        return entry.ReserveRequests(counted_as, edge, question.number, question.count, limit, run_ahead, window)
+        return entry.ReserveRequests(counted_as, edge, batch.number, batch.count, limit, run_ahead, window)
 
-    async def ask_group(
+    async def submit_to_group(
         self, group_id: int, command: entry.ReserveRequests, within: datetime.timedelta
     ) -> tuple[Grant, entry.RequestsReserved]:
-        """Ask the primary of one group, for a short time."""
+        """Send a command to the primary of one group; return the grant and the reply."""
         asked_at = clock.now()
         reply: entry.RequestsReserved = await self.node.submit(group_id, command, within)
         return Grant(command.tenant, group_id, reply.epoch, asked_at, reply.granted_at), reply
@@ -222,44 +224,45 @@
         return session_groups.group_of(name, self.node.settings.talk_pairs)
 
     def other_group(self, group_id: int) -> int:
-        """The session group that has the reserve of the tenants of a group."""
+        """The session group that holds the reserve for the tenants counted by a group."""
         return 1 + group_id % self.node.settings.talk_pairs
 
-    def hand_out(
-        self, queue: TenantQueue, batch: list[asyncio.Future], grant: Grant, reply: entry.RequestsReserved
+    def resolve(
+        self, queue: TenantQueue, waiters: list[asyncio.Future], grant: Grant, reply: entry.RequestsReserved
     ) -> None:
-        """Tell those who wait; grants of those who left meanwhile go to others."""
+        """Resolve the waiting requests; grants of those that stopped waiting go to others or are returned."""
         left = reply.granted
-        for leave in batch:
-            if leave.done():
+        for waiter in waiters:
+            if waiter.done():
                 continue
             if left:
                 left -= 1
                 self.counts["granted"] += 1
-                leave.set_result(grant)
+                waiter.set_result(grant)
             else:
                 self.counts["refused"] += 1
-                leave.set_exception(over_quota(reply.retry))
+                waiter.set_exception(over_quota(reply.retry))
         if reply.retry:
-            queue.refused_until = clock.now() + min(reply.retry, REFUSAL_MEMORY)
+            queue.refused_until = clock.now() + min(reply.retry, REFUSAL_CACHE_TIME)
         if left:
             self.give_back(grant, left)
 
-    def fail(self, batch: list[asyncio.Future], error: BaseException) -> None:
-        """Nobody is left waiting when the questions end, be it for a fault of this program."""
+    def fail_waiters(self, waiters: list[asyncio.Future], error: BaseException) -> None:
+        """Fail all waiting requests when the queue's task ends with an error, even with an internal one."""
         if not isinstance(error, asyncio.CancelledError):
             error = result.RequestError(result.ResultCode.INTERNAL, detail=repr(error))
-        for leave in batch:
-            if not leave.done():
-                leave.set_exception(error) if isinstance(error, Exception) else leave.cancel()
+        for waiter in waiters:
+            if not waiter.done():
+                waiter.set_exception(error) if isinstance(error, Exception) else waiter.cancel()
 
     def give_back(self, grant: Grant, count: int = 1) -> None:
-        """Requests that were granted did not run: the tenant may have others for them.
+        """Return granted requests that did not run to the tenant's quota.
 
-        It is sent once and may be lost. After half of the window it is too late, as the grant may be over by then.
+        The message is sent once and may be lost. After half of the window nothing is returned, as the grant may have
+        left the window by then.
         """
         window = self.node.settings.quota.window
-        if clock.now() + RETURN_WITHIN > grant.asked_at + window / 2:
+        if clock.now() + RETURN_TIMEOUT > grant.asked_at + window / 2:
             return
         record = self.node.failure_detector.records.get(grant.group_id)
         if record is None:
@@ -271,29 +274,29 @@
         task.add_done_callback(self.returns.discard)
 
     async def send_back(self, record, command: entry.ReturnRequests) -> None:
-        """Tell the group once."""
+        """Send the command to the group once, without a retry."""
         try:
-            await self.node.group_client.submit_once(record, command, RETURN_WITHIN)
+            await self.node.group_client.submit_once(record, command, RETURN_TIMEOUT)
         except result.RequestError:
             self.counts["not given back"] += 1
 
     def samples(self) -> list[sample.Sample]:
-        """The counts as metrics."""
+        """Return the counts as metrics."""
         return [
             sample.sample("aspencroft_quota_requests_total", count, outcome=name.replace(" ", "_"))
             for name, count in sorted(self.counts.items())
         ]
 
     def document(self) -> dict[str, int]:
-        """The counts, as ``/status`` shows them."""
+        """Return the counts as shown by ``/status``."""
         return dict(sorted(self.counts.items()))
 
 
-def is_granted(leave: asyncio.Future[Grant]) -> bool:
-    """Whether a request that waited for leave has it."""
-    return leave.done() and not leave.cancelled() and leave.exception() is None
+def is_granted(waiter: asyncio.Future[Grant]) -> bool:
+    """Whether a waiting request was granted."""
+    return waiter.done() and not waiter.cancelled() and waiter.exception() is None
 
 
 def over_quota(retry: datetime.timedelta) -> result.RequestError:
-    """The refusal of a request above its tenant's limit."""
+    """The error for a request above its tenant's limit."""
     return result.RequestError(result.ResultCode.OVER_QUOTA, retry=retry)
--- a/aspencroft/proxy/quota_client_test.py
+++ b/aspencroft/proxy/quota_client_test.py
@@ -139,7 +139,7 @@
         return await outcomes(client, 40)
 
     granted, refused = played(scenario)
-    assert granted == BOUNDS.allowed_error(50) // quota_client.RESERVE_PART
+    assert granted == BOUNDS.allowed_error(50) // quota_client.RESERVE_DIVISOR
     assert refused == {result.ResultCode.UNREACHABLE}
 
 
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1484,8 +1484,8 @@
     Mutation(
         "quota: the reserve is as large as the limit",
         "proxy/quota_client.py",
-        "self.ask_for_reserve(queue, error // RESERVE_PART, batch)",
-        "self.ask_for_reserve(queue, limit, batch)",
+        "self.grant_from_reserve(queue, error // RESERVE_DIVISOR, waiters)",
+        "self.grant_from_reserve(queue, limit, waiters)",
         ("simulation/quota_campaign_test.py::test_days_of_failures_break_none_of_the_rules",),
     ),
     Mutation(
