--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -768,9 +768,9 @@
 
     async def close_whole(self, source: StreamSource, pace_timer: stream_pace.Stopwatch) -> None:
         """Release the worker and the connection of a complete stream, and record its pace."""
-        seconds_an_event = pace_timer.pace()
-        if seconds_an_event:
-            self.instances.record_pace(source.chosen.name, seconds_an_event)
+        seconds_per_event = pace_timer.pace()
+        if seconds_per_event:
+            self.instances.record_pace(source.chosen.name, seconds_per_event)
         await source.response.close(True)
         source.is_open = False
         self.release(source.chosen)
--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -202,11 +202,11 @@
         known.failed_at = now
         known.suspect_until = now + min(MAX_SUSPECT_TIME, MIN_SUSPECT_TIME * 2 ** min(known.failures - 1, 16))
 
-    def record_pace(self, name: str, seconds_an_event: float) -> None:
+    def record_pace(self, name: str, seconds_per_event: float) -> None:
         """Record the pace of a worker's stream."""
         worker = self.listed.get(name)
         if worker is not None:
-            self.paces.of(worker.service).observe(name, worker.zone, seconds_an_event, clock.now())
+            self.paces.of(worker.service).observe(name, worker.zone, seconds_per_event, clock.now())
 
     def record_outcome(self, name: str, kind: str) -> None:
         """Record the outcome of a request at a worker for outlier detection."""
--- a/aspencroft/proxy/route_counts.py
+++ b/aspencroft/proxy/route_counts.py
@@ -1,4 +1,4 @@
-"""What became of calls by route: refusals and failed attempts by result, and the time that each stage took."""
+"""Counts of calls by route: rejected calls and failed attempts by result, and the time spent in each stage."""
 
 import collections
 import dataclasses
@@ -9,40 +9,40 @@
 from aspencroft.runtime import clock
 from aspencroft.tracing import sample
 
-MOST_ROUTES = 32
-"""Routes counted by name, so that the labels stay few; those that come later are counted together."""
+MAX_ROUTES = 32
+"""Most routes counted by name, to bound the number of metric labels; later ones are counted together."""
 OTHER_ROUTES = "other"
 
 
 class Stage(enum.StrEnum):
-    """A part of a call's way that it may be held up in."""
+    """A stage of a call in which it may be delayed."""
 
     BEGIN = "begin"
-    """The session group takes a turn in, or reserves a key."""
+    """The session group begins a turn or reserves a key."""
     CHOOSE = "choose"
-    """A worker with room is waited for."""
+    """The call waits for a worker with a free slot."""
     FIRST = "first"
-    """From the send to the first bytes of a stream, or to the whole of a plain answer."""
+    """From sending the request to the first bytes of a stream, or to the end of any other response."""
     END = "end"
-    """The session group takes the end of a turn in."""
+    """The session group ends a turn."""
 
 
 @dataclasses.dataclass
 class StageTime:
-    """How often a stage was passed, whatever its end, and the time that it took."""
+    """How often calls left a stage, with whatever outcome, and the time that they spent in it."""
 
     count: int = 0
     total: datetime.timedelta = clock.ZERO
     longest: datetime.timedelta = clock.ZERO
 
     def add(self, span: datetime.timedelta) -> None:
-        """A call left the stage after this time."""
+        """Record that a call left the stage after this time."""
         self.count += 1
         self.total += span
         self.longest = max(self.longest, span)
 
     def document(self) -> dict[str, int | float]:
-        """The figures as ``/status`` shows them; times in seconds."""
+        """Return the values as shown by ``/status``; times in seconds."""
         return {
             "count": self.count,
             "seconds": round(self.total.total_seconds(), 3),
@@ -51,7 +51,7 @@
 
 
 class RouteCount:
-    """The counts of one route; refusals and attempts by the number of the result."""
+    """The counts of one route; rejected calls and failed attempts by result number."""
 
     def __init__(self) -> None:
         self.refused: collections.Counter[int] = collections.Counter()
@@ -59,65 +59,67 @@
         self.stages = {stage: StageTime() for stage in Stage}
 
     def document(self) -> dict[str, dict]:
-        """The counts as ``/status`` shows them; stages that no call has left are omitted."""
+        """Return the counts as shown by ``/status``; stages that no call has left are omitted."""
         return {
             "refused": by_number(self.refused),
             "failed attempts": by_number(self.failed_attempts),
-            "stages": {str(stage): each.document() for stage, each in self.stages.items() if each.count},
+            "stages": {str(stage): spent.document() for stage, spent in self.stages.items() if spent.count},
         }
 
 
 class RouteCounts:
-    """The counts of an edge's routes, by name; at most ``most`` of them."""
+    """The counts of an edge's routes by name, for at most ``max_routes`` routes."""
 
-    def __init__(self, most: int = MOST_ROUTES) -> None:
-        self.most = most
+    def __init__(self, max_routes: int = MAX_ROUTES) -> None:
+        self.max_routes = max_routes
         self.routes: dict[str, RouteCount] = {}
 
     def of(self, route: str) -> RouteCount:
-        """A route's counts; those of all others together once there are as many as may be."""
-        if route not in self.routes and len(self.routes) >= self.most:
+        """The counts of a route; routes beyond the maximum share one entry."""
+        if route not in self.routes and len(self.routes) >= self.max_routes:
             route = OTHER_ROUTES
         return self.routes.setdefault(route, RouteCount())
 
-    def note_refused(self, route: str, refusal: result.RequestError) -> None:
-        """A call was admitted and then refused."""
-        self.of(route).refused[refusal.result.number] += 1
+    def note_refused(self, route: str, error: result.RequestError) -> None:
+        """Count a call that was admitted and then rejected."""
+        self.of(route).refused[error.result.number] += 1
 
-    def note_failed_attempt(self, route: str, refusal: result.RequestError) -> None:
-        """An attempt at a worker failed; another may follow."""
-        self.of(route).failed_attempts[refusal.result.number] += 1
+    def note_failed_attempt(self, route: str, error: result.RequestError) -> None:
+        """Count a failed attempt at a worker; another attempt may follow."""
+        self.of(route).failed_attempts[error.result.number] += 1
 
     def note_stage(self, route: str, stage: Stage, began: datetime.timedelta) -> None:
-        """A call left a stage that it came to at a time of the loop's clock."""
+        """Record that a call left a stage; ``began`` is when it entered, on the clock of the event loop."""
         self.of(route).stages[stage].add(clock.now() - began)
 
     def samples(self) -> list[sample.Sample]:
-        """The counts as metrics."""
-        found = []
+        """Return the counts as metrics."""
+        metrics = []
         for route, counts in self.routes.items():
-            found += [
+            metrics += [
                 sample.sample("aspencroft_route_refused_total", count, route=route, result=str(number))
                 for number, count in sorted(counts.refused.items())
             ]
-            found += [
+            metrics += [
                 sample.sample("aspencroft_route_failed_attempts_total", count, route=route, result=str(number))
                 for number, count in sorted(counts.failed_attempts.items())
             ]
-            for stage, each in counts.stages.items():
-                if each.count:
-                    seconds = each.total.total_seconds()
-                    found.append(sample.sample("aspencroft_route_stage_total", each.count, route=route, stage=stage))
-                    found.append(
+            for stage, stage_time in counts.stages.items():
+                if stage_time.count:
+                    seconds = stage_time.total.total_seconds()
+                    metrics.append(
+                        sample.sample("aspencroft_route_stage_total", stage_time.count, route=route, stage=stage)
+                    )
+                    metrics.append(
                         sample.sample("aspencroft_route_stage_seconds_total", seconds, route=route, stage=stage)
                     )
-        return found
+        return metrics
 
     def document(self) -> dict[str, dict]:
-        """The counts by route, as ``/status`` shows them."""
+        """Return the counts by route, as shown by ``/status``."""
         return {name: counts.document() for name, counts in self.routes.items()}
 
 
 def by_number(counts: collections.Counter[int]) -> dict[str, int]:
-    """Counts by the number of a result, in order, with keys as JSON has them."""
+    """Sort counts by result number and make the keys strings for JSON."""
     return {str(number): count for number, count in sorted(counts.items())}
--- a/aspencroft/proxy/route_counts_test.py
+++ b/aspencroft/proxy/route_counts_test.py
@@ -34,7 +34,7 @@
 
 
 def test_routes_beyond_the_bound_are_counted_together():
-    counts = route_counts.RouteCounts(most=2)
+    counts = route_counts.RouteCounts(max_routes=2)
     for number in range(100):
         counts.note_refused(f"r{number}", result.RequestError(result.ResultCode.OVERLOADED))
     assert set(counts.document()) == {"r0", "r1", route_counts.OTHER_ROUTES}
--- a/aspencroft/proxy/stream_pace_test.py
+++ b/aspencroft/proxy/stream_pace_test.py
@@ -37,7 +37,7 @@
         assert known.slowness("not seen yet", "elsewhere", clock.now()) == 1.0
         await asyncio.sleep(3)
         later = known.slowness("busy", "north", clock.now())
-        assert 1.0 < known.of_zone("north", clock.now()) < later < at_once
+        assert 1.0 < known.zone_slowness("north", clock.now()) < later < at_once
         await asyncio.sleep(60)
         assert known.slowness("busy", "north", clock.now()) < 1.001, "what was not tried lately is worth a try"
 
@@ -62,7 +62,7 @@
     async def scenario(known):
         known.observe("i-1", "north", 0.03, clock.now())
         known.observe("i-1", "north", 3000.0, clock.now())
-        assert known.slowness("i-1", "north", clock.now()) <= stream_pace.MOST_SLOWNESS
+        assert known.slowness("i-1", "north", clock.now()) <= stream_pace.MAX_SLOWNESS
 
     play(scenario)
 
--- a/aspencroft/proxy/turn_cache.py
+++ b/aspencroft/proxy/turn_cache.py
@@ -1,53 +1,53 @@
-"""Turns that an edge lately saw, so that their history need not be sent to it again; they never change."""
+"""A cache of turns that an edge saw recently, so that session groups need not send them again; turns are immutable."""
 
 import collections
 
 from aspencroft.sessions import entry
 
-MOST_BYTES = 24 << 20
+MAX_BYTES = 24 << 20
 
 
 class TurnCache:
-    """A bounded memory of turns by the id of their attempt; the longest unused go first."""
+    """A bounded LRU cache of turns by attempt id."""
 
-    def __init__(self, most: int = MOST_BYTES):
-        self.most = most
+    def __init__(self, max_bytes: int = MAX_BYTES):
+        self.max_bytes = max_bytes
         self.turns: collections.OrderedDict[str, entry.Turn] = collections.OrderedDict()
         self.size = 0
 
     def keep(self, turns: tuple[entry.Turn, ...]) -> None:
-        """Take turns in."""
-        for one in turns:
-            if one.attempt in self.turns:
-                self.turns.move_to_end(one.attempt)
+        """Add turns; the least recently used ones are evicted."""
+        for turn in turns:
+            if turn.attempt in self.turns:
+                self.turns.move_to_end(turn.attempt)
                 continue
-            self.turns[one.attempt] = one
-            self.size += len(one.input) + len(one.output)
-        while self.size > self.most and len(self.turns) > len(turns):
-            _, gone = self.turns.popitem(last=False)
-            self.size -= len(gone.input) + len(gone.output)
-
-    def line(self, attempt: str) -> list[entry.Turn] | None:
-        """A turn and those before it, the oldest first; none when one of them is not here."""
-        found: list[entry.Turn] = []
+            self.turns[turn.attempt] = turn
+            self.size += len(turn.input) + len(turn.output)
+        while self.size > self.max_bytes and len(self.turns) > len(turns):
+            _, evicted = self.turns.popitem(last=False)
+            self.size -= len(evicted.input) + len(evicted.output)
+
+    def history(self, attempt: str) -> list[entry.Turn] | None:
+        """Return a turn and its predecessors, the oldest first; none if one of them is not cached."""
+        history: list[entry.Turn] = []
         while attempt:
-            one = self.turns.get(attempt)
-            if one is None:
+            turn = self.turns.get(attempt)
+            if turn is None:
                 return None
-            found.append(one)
-            attempt = one.previous
-        found.reverse()
-        return found
+            history.append(turn)
+            attempt = turn.previous
+        history.reverse()
+        return history
 
     def holds(self, attempt: str) -> bool:
-        """Whether a turn's whole chain is here."""
-        return self.line(attempt) is not None
+        """Whether a turn and all its predecessors are cached."""
+        return self.history(attempt) is not None
 
     def bytes_of(self, attempt: str) -> bytes | None:
-        """The inputs and outputs of a turn's whole chain; none when a turn of it is not here."""
-        found = self.line(attempt)
-        if found is None:
+        """Return the inputs and outputs of a turn and its predecessors; none if one of them is not cached."""
+        history = self.history(attempt)
+        if history is None:
             return None
-        for one in found:
-            self.turns.move_to_end(one.attempt)
-        return b"".join(one.input + one.output for one in found)
+        for turn in history:
+            self.turns.move_to_end(turn.attempt)
+        return b"".join(turn.input + turn.output for turn in history)
--- a/aspencroft/proxy/waiting_calls.py
+++ b/aspencroft/proxy/waiting_calls.py
@@ -1,4 +1,4 @@
-"""The calls of an edge that wait for a worker, in the order of their ranks."""
+"""Priority order among the calls of an edge that wait for a worker."""
 
 import collections
 import collections.abc
@@ -8,37 +8,37 @@
 
 @dataclasses.dataclass(frozen=True)
 class WaitingCall:
-    """A call that waits: its rank, 0 the most urgent, and the services that may serve it."""
+    """A waiting call: its rank, 0 the most urgent, and the services that may serve it."""
 
     rank: int
     services: frozenset[str]
 
 
 class WaitingCalls:
-    """Tells whether a more urgent call waits for a service that another call could have.
+    """Tells whether a more urgent call waits for a service that a call could use.
 
-    It counts the calls of each rank, as all that wait ask each time when a place may be free: the cost of an answer
-    follows the number of ranks in use, not that of the calls.
+    Every waiting call checks this each time a slot may be free, so only the number of calls of each rank is kept: the
+    cost of a check depends on the number of ranks in use, not on the number of calls.
     """
 
     def __init__(self) -> None:
         self.counts: dict[str, collections.Counter[int]] = {}
-        """How many calls of each rank wait for a service; ranks and services without any are left out."""
+        """The number of waiting calls by service and rank; ranks and services without calls are omitted."""
 
     @contextlib.contextmanager
     def enter(self, rank: int, services: collections.abc.Iterable[str]) -> collections.abc.Iterator[WaitingCall]:
-        """Count a call among the waiting ones for as long as the context lasts."""
-        entered = WaitingCall(rank, frozenset(services))
-        for service in entered.services:
+        """Count a call as waiting while the context is open."""
+        waiting = WaitingCall(rank, frozenset(services))
+        for service in waiting.services:
             self.counts.setdefault(service, collections.Counter())[rank] += 1
         try:
-            yield entered
+            yield waiting
         finally:
-            for service in entered.services:
+            for service in waiting.services:
                 self.leave(rank, service)
 
     def leave(self, rank: int, service: str) -> None:
-        """A call waits no more for a service."""
+        """Remove a call that no longer waits for a service."""
         counts = self.counts[service]
         counts[rank] -= 1
         if not counts[rank]:
@@ -46,6 +46,6 @@
         if not counts:
             del self.counts[service]
 
-    def is_preceded(self, one: WaitingCall) -> bool:
-        """Whether a more urgent call waits for one of the services that this one could have."""
-        return any(min(self.counts[service]) < one.rank for service in one.services)
+    def is_preceded(self, waiting: WaitingCall) -> bool:
+        """Whether a more urgent call waits for one of the services that this call could use."""
+        return any(min(self.counts[service]) < waiting.rank for service in waiting.services)
