--- a/aspencroft/proxy/worker_selection.py
+++ b/aspencroft/proxy/worker_selection.py
@@ -1,4 +1,4 @@
-"""Which worker a request goes to: a pure choice, the same on every edge where that matters, with its reason."""
+"""Selects the worker of a request by pure functions; each edge prefers the same workers for a prompt segment."""
 
 import dataclasses
 import functools
@@ -8,16 +8,16 @@
 
 PREFERRED_UTILIZATION = 0.75
 ZONE_CROSSING_COST = 0.15
-LAST, HOME, SPILL, LEAST, NONE = "last", "home", "spill", "least", "none"
+PREVIOUS, PREFERRED, OVERFLOW, LEAST_LOADED, NONE = "last", "home", "spill", "least", "none"
 
 
 @dataclasses.dataclass(slots=True)
 class Candidate:
-    """A worker that a request may go to, as it is known at this moment.
+    """A worker that a request may be sent to, in its current state.
 
-    ``load`` is requests running and waiting there; ``warming_up`` and ``suspect`` workers are taken when no
-    other has room; a ``rejecting`` one rejected a request a moment ago. ``slowness`` is how many times as long as an
-    idle worker it takes for an event, as far as that is known.
+    ``load`` is the number of requests running and waiting there; ``warming_up`` and ``suspect`` workers are used if no
+    other has a free slot; a ``rejecting`` one has just rejected a request. ``slowness`` is the estimated time per event
+    relative to an idle worker.
     """
 
     name: str
@@ -30,25 +30,25 @@
     slowness: float = 1.0
 
     def utilization(self) -> float:
-        """How full the worker is: whole requests over slots.
+        """The load, rounded down to whole requests, divided by the slots.
 
         Example: ``Candidate("i-1", "north", 4, 2.0).utilization() == 0.5``
         """
         return math.floor(self.load + 1e-9) / max(1, self.slots)
 
     def cost(self) -> float:
-        """What orders workers that are equal otherwise: how slow, and how full as far as that is known.
+        """The order of workers that are otherwise equal: estimated slowness plus utilization.
 
         Example: ``Candidate("i-1", "north", 4, 2.0, slowness=1.2).cost() == 1.7``
         """
         return self.slowness + self.utilization()
 
     def has_capacity(self, share: float) -> bool:
-        """Whether one more request would stay within a share of the slots."""
+        """Whether the worker accepts requests and its load is below a share of its slots."""
         return not self.rejecting and self.load < share * max(1, self.slots)
 
     def rank(self) -> int:
-        """0 for a sound warm worker, more for those to be taken later.
+        """0 for a worker that is neither warming up nor suspect, more for those to be used later.
 
         Example: ``Candidate("i-1", "north", 4, 2.0, warming_up=True).rank() == 1``
         """
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Choice:
-    """The worker chosen and why; an empty name when there is none."""
+    """The chosen worker and the reason; the name is empty if there is none."""
 
     name: str
     kind: str
@@ -65,120 +65,129 @@
 
 
 @functools.lru_cache(maxsize=65536)
-def rendezvous_weight(part: str, name: str) -> bytes:
-    """A worker's lot for a part; the highest is the part's first home, on every edge.
+def rendezvous_weight(segment: str, name: str) -> bytes:
+    """The rendezvous hash of a worker for a prompt segment; on every edge the highest marks the preferred worker.
 
     Example: ``rendezvous_weight("5c1e", "i-1") == rendezvous_weight("5c1e", "i-1")``
     """
-    return hashlib.blake2b(f"{len(part)} {part} {name}".encode(), digest_size=16).digest()
+    return hashlib.blake2b(f"{len(segment)} {segment} {name}".encode(), digest_size=16).digest()
 
 
-def preferred_workers(part: str, instances: tuple[Candidate, ...]) -> list[Candidate]:
-    """The workers in the order in which they are a part's homes."""
-    return sorted(instances, key=lambda one: rendezvous_weight(part, one.name), reverse=True)
+def preferred_workers(segment: str, candidates: tuple[Candidate, ...]) -> list[Candidate]:
+    """The workers in the order in which they are preferred for a prompt segment."""
+    return sorted(candidates, key=lambda worker: rendezvous_weight(segment, worker.name), reverse=True)
 
 
 def choose(
-    instances: tuple[Candidate, ...],
-    parts: tuple[tuple[str, int], ...],
-    last: str,
+    candidates: tuple[Candidate, ...],
+    segments: tuple[tuple[str, int], ...],
+    previous_worker: str,
     zone: str,
     randomness: random.Random,
     share: float = PREFERRED_UTILIZATION,
     load_limit: float = math.inf,
     copies: int = 1,
 ) -> Choice:
-    """One worker: that of the turn before, else a home of the first shared part, else the lesser of two loads.
+    """Choose the worker of the previous turn, else a preferred one of the first segment, else the less loaded of two.
 
-    A part has ``copies`` homes, over all zones. A home takes requests up to ``share`` of its slots; no worker is
-    chosen whose load is ``load_limit`` times its slots.
+    A segment has ``copies`` preferred workers over all zones. A preferred worker takes requests up to ``share`` of its
+    slots; no worker is chosen whose load is at least ``load_limit`` times its slots.
     """
-    if not instances:
-        return Choice("", NONE, "no worker is there")
+    if not candidates:
+        return Choice("", NONE, "the service has no workers")
     if load_limit < math.inf:
-        instances = tuple(one for one in instances if one.load < load_limit * max(1, one.slots))
-        if not instances:
-            return Choice("", NONE, "all workers are full")
-    if last:
-        known = next((one for one in instances if one.name == last), None)
-        if known is not None and not known.suspect and known.has_capacity(1.0):
-            return Choice(last, LAST, f"{last} served the turn before, {known.load:.1f} of {known.slots} slots taken")
-    if parts:
-        found = choose_preferred(instances, parts[0][0], share, zone, randomness, copies)
-        if found is not None:
-            return found
-    return choose_least_loaded(instances, zone, randomness)
+        candidates = tuple(worker for worker in candidates if worker.load < load_limit * max(1, worker.slots))
+        if not candidates:
+            return Choice("", NONE, "all workers are at the load limit")
+    if previous_worker:
+        previous = next((worker for worker in candidates if worker.name == previous_worker), None)
+        if previous is not None and not previous.suspect and previous.has_capacity(1.0):
+            return Choice(
+                previous_worker,
+                PREVIOUS,
+                f"{previous_worker} served the previous turn, {previous.load:.1f} of {previous.slots} slots in use",
+            )
+    if segments:
+        preferred = choose_preferred(candidates, segments[0][0], share, zone, randomness, copies)
+        if preferred is not None:
+            return preferred
+    return choose_least_loaded(candidates, zone, randomness)
 
 
 def choose_preferred(
-    instances: tuple[Candidate, ...],
-    part: str,
+    candidates: tuple[Candidate, ...],
+    segment: str,
     share: float,
     zone: str,
     randomness: random.Random,
     copies: int,
 ) -> Choice | None:
-    """One of a part's homes that have room; none when all workers are full.
+    """Choose a preferred worker of a segment that has a free slot; none if all workers are full.
 
-    Each zone has its portion of a part's ``copies``. The homes of the own zone come first until half of the share is
-    taken there, as long prompts and answers cross no border then; then those elsewhere, then all up to the share.
-    Among equals the lesser cost of two drawn by lot is taken: an edge knows little of what others send. Homes elsewhere
-    that are clearly quicker come before those of the own zone: they hold the part for their own zone anyway.
+    Each zone has its portion of a segment's ``copies``. The preferred workers of the own zone come first up to half of
+    the share, so that long prompts and answers do not cross zones; then those of other zones, then all up to the share.
+    Among equals the cheaper of two drawn at random is taken, because an edge knows little of what others send.
+    Preferred workers of other zones that are clearly faster come before those of the own zone: they hold the segment
+    for their own zone anyway.
     """
-    order = preferred_workers(part, instances)
-    near = [one for one in order if one.zone == zone]
-    far = [one for one in order if one.zone != zone]
-    sides = [(order, copies, share), (order, copies, 1.0)]
-    if near:
-        near_copies = max(1, copies * len(near) // len(order))
-        far_copies = max(1, copies - near_copies)
-        both, all_copies = near + far, near_copies + far_copies
-        sides = [
-            (near, near_copies, share / 2),
-            (far, far_copies, share / 2),
-            (both, near_copies, share),
-            (both, all_copies, 1.0),
+    order = preferred_workers(segment, candidates)
+    local = [worker for worker in order if worker.zone == zone]
+    remote = [worker for worker in order if worker.zone != zone]
+    tiers = [(order, copies, share), (order, copies, 1.0)]
+    if local:
+        local_copies = max(1, copies * len(local) // len(order))
+        remote_copies = max(1, copies - local_copies)
+        local_first, all_copies = local + remote, local_copies + remote_copies
+        tiers = [
+            (local, local_copies, share / 2),
+            (remote, remote_copies, share / 2),
+            (local_first, local_copies, share),
+            (local_first, all_copies, 1.0),
         ]
-    first = sides[0][0][: sides[0][1]]
-    for side, width, limit in sides:
-        for rank in sorted({one.rank() for one in side}):
-            one = draw_preferred(side, width, limit, rank, randomness)
-            if one is None:
+    first = tiers[0][0][: tiers[0][1]]
+    for group, count, limit in tiers:
+        for rank in sorted({worker.rank() for worker in group}):
+            worker = draw_preferred(group, count, limit, rank, randomness)
+            if worker is None:
                 continue
-            if side is near and far:
-                other = draw_preferred(far, far_copies, limit, rank, randomness)
-                if other is not None and other.slowness + ZONE_CROSSING_COST < one.slowness:
-                    one = other
-            where = "its zone's" if one.zone == zone else "a"
-            taken = f"{one.load:.1f} of {one.slots} slots taken, {one.slowness:.2f} times as slow as idle"
-            why = f"{one.name} is {where} home {order.index(one) + 1} of part {part}, {taken}"
-            return Choice(one.name, HOME if one in first else SPILL, why)
+            if group is local and remote:
+                remote_worker = draw_preferred(remote, remote_copies, limit, rank, randomness)
+                if remote_worker is not None and remote_worker.slowness + ZONE_CROSSING_COST < worker.slowness:
+                    worker = remote_worker
+            where = "local" if worker.zone == zone else "remote"
+            usage = f"{worker.load:.1f} of {worker.slots} slots in use, {worker.slowness:.2f} times as slow as idle"
+            reason = (
+                f"{worker.name} is {where} preferred worker {order.index(worker) + 1} of segment {segment}, {usage}"
+            )
+            return Choice(worker.name, PREFERRED if worker in first else OVERFLOW, reason)
     return None
 
 
 def draw_preferred(
-    side: list[Candidate], width: int, limit: float, rank: int, randomness: random.Random
+    group: list[Candidate], count: int, limit: float, rank: int, randomness: random.Random
 ) -> Candidate | None:
-    """The lesser cost of two drawn among the first homes of a rank that have room; none when no home has."""
-    open_homes = [one for one in side if one.rank() == rank and one.has_capacity(limit)][:width]
-    if not open_homes:
+    """Draw two of the first workers of a rank that have a free slot and return the cheaper; none if none has one."""
+    available = [worker for worker in group if worker.rank() == rank and worker.has_capacity(limit)][:count]
+    if not available:
         return None
-    return min(randomness.sample(open_homes, min(2, len(open_homes))), key=Candidate.cost)
+    return min(randomness.sample(available, min(2, len(available))), key=Candidate.cost)
 
 
-def choose_least_loaded(instances: tuple[Candidate, ...], zone: str, randomness: random.Random) -> Choice:
-    """The less loaded of two workers drawn from each side of the zone's border.
+def choose_least_loaded(candidates: tuple[Candidate, ...], zone: str, randomness: random.Random) -> Choice:
+    """Choose the least loaded of two workers drawn from the own zone and two from the other zones.
 
-    The first drawn, the zone's own, at equal loads.
+    At equal load a worker of the own zone is chosen.
     """
-    best, near, far = 99, [], []
-    for one in instances:
-        late = 8 * one.rejecting + 4 * (one.load >= one.slots) + one.warming_up + 2 * one.suspect
-        if late < best:
-            best, near, far = late, [], []
-        if late == best:
-            (near if one.zone == zone else far).append(one)
-    drawn = [one for side in (near, far) for one in randomness.sample(side, min(2, len(side)))]
-    one = min(drawn, key=Candidate.utilization)
-    why = f"{one.name} has the least load of {len(drawn)} drawn, {one.load:.1f} of {one.slots} slots taken"
-    return Choice(one.name, LEAST, why)
+    lowest_penalty, local, remote = 99, [], []
+    for worker in candidates:
+        penalty = 8 * worker.rejecting + 4 * (worker.load >= worker.slots) + worker.warming_up + 2 * worker.suspect
+        if penalty < lowest_penalty:
+            lowest_penalty, local, remote = penalty, [], []
+        if penalty == lowest_penalty:
+            (local if worker.zone == zone else remote).append(worker)
+    drawn = [worker for group in (local, remote) for worker in randomness.sample(group, min(2, len(group)))]
+    worker = min(drawn, key=Candidate.utilization)
+    reason = (
+        f"{worker.name} is the least loaded of {len(drawn)} drawn, {worker.load:.1f} of {worker.slots} slots in use"
+    )
+    return Choice(worker.name, LEAST_LOADED, reason)
--- a/aspencroft/proxy/worker_selection_test.py
+++ b/aspencroft/proxy/worker_selection_test.py
@@ -73,11 +73,11 @@
         for place in range(1, 9):
             found = swap(found, order[place - 1], load=12.0)
             chosen = home_of(found, part, seed)
-            assert (chosen.name, chosen.kind) == (order[place], worker_selection.SPILL)
+            assert (chosen.name, chosen.kind) == (order[place], worker_selection.OVERFLOW)
         found = swap(found, order[8], load=12.0)
         assert home_of(found, part, seed).name == order[0], "homes are filled up once all have taken their share"
         found = tuple(dataclasses.replace(one, load=16.0 + (one.name != order[5])) for one in found)
-        assert home_of(found, part, seed).kind == worker_selection.LEAST
+        assert home_of(found, part, seed).kind == worker_selection.LEAST_LOADED
 
 
 def test_the_worker_of_the_turn_before_is_kept_while_it_has_room():
@@ -91,8 +91,8 @@
             ({"warming_up": True}, True),
         ):
             chosen = worker_selection.choose(swap(found, name, **named), (("x", 9),), name, "a", random.Random(1))
-            assert (chosen.kind == worker_selection.LAST) == kept, named
-    assert worker_selection.choose(found, (), "gone", "a", random.Random(1)).kind == worker_selection.LEAST
+            assert (chosen.kind == worker_selection.PREVIOUS) == kept, named
+    assert worker_selection.choose(found, (), "gone", "a", random.Random(1)).kind == worker_selection.LEAST_LOADED
 
 
 def test_plain_requests_stay_in_their_zone_while_loads_are_equal():
@@ -225,6 +225,6 @@
     found = tuple(dataclasses.replace(one, slowness=1.0 + place) for place, one in enumerate(workers(9)))
     for one in found:
         chosen = worker_selection.choose(found, (("x", 9), ("own", 2)), one.name, "a", random.Random(2), copies=9)
-        assert (chosen.name, chosen.kind) == (one.name, worker_selection.LAST), (
+        assert (chosen.name, chosen.kind) == (one.name, worker_selection.PREVIOUS), (
             "moving under overload reads all of it anew"
         )
--- a/aspencroft/proxy/working_set_test.py
+++ b/aspencroft/proxy/working_set_test.py
@@ -21,19 +21,19 @@
 
 def use(used: working_set.WorkingSet, parts, programs: int = 2) -> tuple[tuple[str, int], ...]:
     """Have several programs use parts; the parts that the last one finds its homes by."""
-    return [used.home_parts(parts, f"program {number}") for number in range(programs)][-1]
+    return [used.routing_segments(parts, f"program {number}") for number in range(programs)][-1]
 
 
 def test_what_one_program_uses_is_its_own_and_what_several_use_counts_once():
     async def scenario(used):
         for _ in range(5):
-            assert used.home_parts(prompt(1), "one") == prompt(1)
+            assert used.routing_segments(prompt(1), "one") == prompt(1)
         assert used.all_tokens() == math.inf, "nobody else shares it, as far as is known"
         for _ in range(5):
             use(used, prompt(1))
             use(used, prompt(2, 400))
         assert use(used, (("only its own", 9_000),)) == (("only its own", 9_000),)
-        assert used.tokens == used.all_tokens() == 13_000 and len(used.parts) == 2
+        assert used.tokens == used.all_tokens() == 13_000 and len(used.segments) == 2
         use(used, prompt(2, 500))
         assert used.tokens == 13_100, "a part whose size changed counts with its newest"
 
@@ -45,11 +45,11 @@
         def of_subject(subject: int, program: str):
             return (("system", 300), (f"subject {subject}", 9_000), (f"own {program}", 20))
 
-        assert used.home_parts(of_subject(1, "a"), "a") == of_subject(1, "a"), "nothing is known to be shared yet"
-        assert used.home_parts(of_subject(2, "b"), "b") == of_subject(2, "b")
-        assert used.home_parts(of_subject(1, "c"), "c") == of_subject(1, "c")[1:]
+        assert used.routing_segments(of_subject(1, "a"), "a") == of_subject(1, "a"), "nothing is known to be shared yet"
+        assert used.routing_segments(of_subject(2, "b"), "b") == of_subject(2, "b")
+        assert used.routing_segments(of_subject(1, "c"), "c") == of_subject(1, "c")[1:]
         helper = (*of_subject(1, "c"), ("helper's own", 5))
-        assert used.home_parts(helper, "c") == helper[1:], "with its parent, not with the parent's own part alone"
+        assert used.routing_segments(helper, "c") == helper[1:], "with its parent, not with the parent's own part alone"
 
     play(scenario)
 
@@ -74,7 +74,7 @@
         chance = random.Random(5)
         seen = []
         for number in range(200):
-            used.home_parts(prompt(int(40 * chance.random() ** 2)), f"program {number}")
+            used.routing_segments(prompt(int(40 * chance.random() ** 2)), f"program {number}")
             seen.append(used.all_tokens())
         assert seen[0] == math.inf and used.copies(28, 452_141, 0) > 1
         everything = 40 * 12_600
@@ -86,18 +86,18 @@
 
 def test_what_is_not_asked_for_any_more_is_forgotten_and_the_number_is_bounded():
     async def scenario(used):
-        for subject in range(working_set.MOST_PARTS + 100):
+        for subject in range(working_set.MAX_SEGMENTS + 100):
             use(used, prompt(subject, 1))
-        assert used.tokens == len(used.parts) == working_set.MOST_PARTS
-        await asyncio.sleep(working_set.IN_USE.total_seconds() + 1)
+        assert used.tokens == len(used.segments) == working_set.MAX_SEGMENTS
+        await asyncio.sleep(working_set.SEGMENT_TIMEOUT.total_seconds() + 1)
         use(used, prompt(1, 700))
-        assert used.tokens == 700 and len(used.parts) == 1
+        assert used.tokens == 700 and len(used.segments) == 1
 
     play(scenario)
 
 
 def test_services_that_are_not_used_any_more_are_forgotten():
-    used = working_set.WorkingSets(most=2)
+    used = working_set.WorkingSets(max_services=2)
     first = used.of("a")
     used.of("b")
     assert used.of("a") is first
