--- a/aspencroft/proxy/event_buffer.py
+++ b/aspencroft/proxy/event_buffer.py
@@ -40,7 +40,7 @@
         self.has_passed = False
         self.is_numbered = True
         self.is_consecutive = True
-        self.is_continued = False
+        self.is_resumed = False
 
     def feed(self, part: bytes) -> bytes:
         """Add bytes as they arrive; return the events that are now complete."""
@@ -66,7 +66,7 @@
 
         """
         event_id = id_of(event)
-        if self.is_continued and event_id:
+        if self.is_resumed and event_id:
             if self.is_repeated(event_id):
                 return False
             self.check_next(event_id)
@@ -95,13 +95,13 @@
             return int(event_id) <= int(self.last_id)
         return event_id == self.last_id
 
-    def can_continue(self) -> bool:
+    def can_resume(self) -> bool:
         """Whether another worker can be told where to resume: nothing was passed on, or each event had an id."""
         return not self.has_passed or self.is_numbered
 
-    def begin_again(self) -> None:
+    def start_resumed(self) -> None:
         """Drop an incomplete event: the next bytes come from the worker that resumes the stream."""
-        self.pending, self.is_continued = b"", True
+        self.pending, self.is_resumed = b"", True
 
     def rest(self) -> bytes:
         """Return the bytes that remain at the end of the stream."""
--- a/aspencroft/proxy/event_buffer_test.py
+++ b/aspencroft/proxy/event_buffer_test.py
@@ -28,9 +28,9 @@
     buffer, passed = event_buffer.EventBuffer(), b""
     for part in cut(stream[:broken_at], before):
         passed += buffer.feed(part)
-    assert stream.startswith(passed) and buffer.can_continue()
+    assert stream.startswith(passed) and buffer.can_resume()
     last = int(buffer.last_id or 0)
-    buffer.begin_again()
+    buffer.start_resumed()
     for part in cut(b"".join(event(number, end) for number in range(max(1, last + 1 - overlap), 7)), after):
         passed += buffer.feed(part)
     passed += buffer.rest()
@@ -41,7 +41,7 @@
 
 @hypothesis.settings(deadline=None, derandomize=True, database=None)
 @hypothesis.given(hypothesis.strategies.binary(max_size=300), PLACES)
-def test_any_bytes_pass_unchanged_while_nothing_is_continued(stream, places):
+def test_any_bytes_pass_unchanged_while_nothing_is_resumed(stream, places):
     buffer = event_buffer.EventBuffer()
     assert b"".join(buffer.feed(part) for part in cut(stream, places)) + buffer.rest() == stream
 
@@ -54,7 +54,7 @@
 def test_a_continued_stream_that_leaves_events_out_is_broken_off():
     buffer = event_buffer.EventBuffer()
     buffer.feed(event(1) + event(2))
-    buffer.begin_again()
+    buffer.start_resumed()
     with pytest.raises(result.RequestError):
         buffer.feed(event(4))
 
@@ -62,15 +62,15 @@
 def test_ids_that_do_not_count_up_one_by_one_are_taken_as_they_rise():
     buffer = event_buffer.EventBuffer()
     buffer.feed(event(10) + event(20))
-    buffer.begin_again()
+    buffer.start_resumed()
     assert buffer.feed(event(20) + event(40)) == event(40)
 
 
 @pytest.mark.parametrize("head", [b"data: x\n\n", b"id:\ndata: x\n\n"])
 def test_a_stream_with_an_event_that_has_no_id_is_not_continued(head):
     buffer = event_buffer.EventBuffer()
-    assert buffer.can_continue()
-    assert buffer.feed(head) == head and not buffer.can_continue()
+    assert buffer.can_resume()
+    assert buffer.feed(head) == head and not buffer.can_resume()
 
 
 def test_a_line_before_the_id_belongs_to_its_event():
@@ -82,4 +82,4 @@
 def test_an_event_without_end_is_held_back_within_bounds(monkeypatch):
     monkeypatch.setattr(event_buffer, "MAX_PENDING_BYTES", 100)
     buffer = event_buffer.EventBuffer()
-    assert buffer.feed(b"data: " + b"x" * 200) == b"data: " + b"x" * 200 and not buffer.can_continue()
+    assert buffer.feed(b"data: " + b"x" * 200) == b"data: " + b"x" * 200 and not buffer.can_resume()
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -103,7 +103,7 @@
 
     call: call.Call
     route: http_route.HttpRoute
-    end: datetime.timedelta
+    deadline: datetime.timedelta
     body: bytes
     program: str = ""
     turn_reserved: bool = False
@@ -128,7 +128,7 @@
         """The id of the previous turn, qualified by the tenant, so that no other tenant's turn can be named."""
         return self.call.within_tenant(self.call.previous)
 
-    def turn(self) -> bool:
+    def is_turn(self) -> bool:
         """Whether the call is a turn that a session group charges to a budget or stores."""
         return self.route.kind == http_route.STREAM and bool(self.call.budget or self.route.retained)
 
@@ -149,7 +149,7 @@
 class StreamSource:
     """The worker that currently sends a stream, and its response; the worker's slot is released once."""
 
-    chosen: instance.Instance
+    worker: instance.Instance
     response: pool.Response
     parts: collections.abc.AsyncIterator[bytes]
     first: bytes
@@ -175,12 +175,12 @@
         self.quotas = quota_client.QuotaClient(own)
         self.traces = trace.Traces(own.address)
         self.completions = completion_queue.CompletionQueue(own)
-        self.chains = turn_cache.TurnCache()
+        self.cached_turns = turn_cache.TurnCache()
         self.working_sets = working_set.WorkingSets()
         self.admission = admission_report.AdmissionReport(own.address)
         self.waiting_calls = waiting_calls.WaitingCalls()
         self.routes = route_counts.RouteCounts()
-        self.freed = asyncio.Event()
+        self.slot_freed = asyncio.Event()
         self.active = 0
         self.waiting = 0
         self.draining = False
@@ -218,11 +218,11 @@
                 )
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=request.path()[:200])
         request = self.access.identify(request, route)
-        end = min(request.end(), request.arrived + route.timeout)
-        if end <= clock.now():
+        deadline = min(request.end(), request.arrived + route.timeout)
+        if deadline <= clock.now():
             raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
         program = request.within_tenant(request.program or request.session or request.attempt)
-        return CallState(request, route, end, request.body, program=program)
+        return CallState(request, route, deadline, request.body, program=program)
 
     async def wait_for_configuration(self, request: call.Call) -> None:
         """Delay a call for a part of its time limit while a newly started edge has no configuration or workers.
@@ -256,7 +256,7 @@
         is_streaming = False
         try:
             await self.reserve_quota(state)
-            if state.turn():
+            if state.is_turn():
                 await self.begin_turn(state)
             elif state.route.kind == http_route.KEYED and request.key:
                 recorded = await self.reserve_key(state)
@@ -307,7 +307,7 @@
         time for a retry of its own. All waits of a call share one deadline, but each group gets a short minimum.
         """
         now = clock.now()
-        left = state.end - now
+        left = state.deadline - now
         if state.group_wait_end is None:
             state.group_wait_end = now + max(state.route.aim, left * WAIT_SHARE_OF_TIME_LIMIT)
         return max(min(max(state.group_wait_end - now, MIN_GROUP_WAIT), left), clock.ZERO)
@@ -332,7 +332,7 @@
         """Reserve the turn's output tokens and fetch its history, which the request body then begins with."""
         request, route = state.call, state.route
         previous = state.previous_turn() if route.retained else ""
-        have = previous if previous and self.chains.holds(previous) else ""
+        cached_turn = previous if previous and self.cached_turns.holds(previous) else ""
         keep = max(route.keep, MIN_RETENTION, request.program_within or clock.ZERO)
         command = entry.BeginTurn(
             state.program,
@@ -343,9 +343,9 @@
             request.budget,
             route.retained,
             keep,
-            state.end - clock.now(),
+            state.deadline - clock.now(),
             self.node.incarnation_id(),
-            have,
+            cached_turn,
             (),
         )
         state.turn_reserved = True
@@ -360,8 +360,8 @@
             reply = await self.submit_to_group(state, state.program, dataclasses.replace(command, base=chain, have=""))
         state.last_worker = reply.worker
         if previous:
-            self.chains.keep(reply.chain)
-            history = self.chains.bytes_of(previous)
+            self.cached_turns.keep(reply.chain)
+            history = self.cached_turns.bytes_of(previous)
             if history is None:
                 raise result.RequestError(result.ResultCode.INTERNAL, detail="the history of the turn is incomplete")
             state.body = history + request.body
@@ -406,7 +406,7 @@
             self.key_of(request),
             state.attempt_id(),
             digest,
-            state.end - clock.now(),
+            state.deadline - clock.now(),
             window,
             self.node.incarnation_id(),
         )
@@ -470,7 +470,7 @@
         calls are equal, so that none starves.
         """
         now = clock.now()
-        wait = min(state.route.aim or state.route.timeout, state.end - now) / WORKER_WAIT_AIM_DIVISOR
+        wait = min(state.route.aim or state.route.timeout, state.deadline - now) / WORKER_WAIT_AIM_DIVISOR
         limit, yields_until = now + wait, now + wait / 2
         with self.waiting_calls.enter(self.rank(state), state.route.services()) as entered:
             worker, reason = None, ""
@@ -493,10 +493,10 @@
 
     async def wait_for_place(self, limit: datetime.timedelta) -> None:
         """Wait until a slot may have become free, up to the poll interval."""
-        self.freed.clear()
+        self.slot_freed.clear()
         try:
             async with clock.limit(min(WAIT_POLL_INTERVAL, limit - clock.now())):
-                await self.freed.wait()
+                await self.slot_freed.wait()
         except TimeoutError:
             pass
 
@@ -550,44 +550,44 @@
                 state.tried_workers |= {worker.name}
                 if error.ran is not result.Ran.NOT_RUN and not (state.repeatable() or state.may_resume()):
                     raise
-                if state.hedged or state.exhausted() or clock.now() >= state.end:
+                if state.hedged or state.exhausted() or clock.now() >= state.deadline:
                     raise
         raise result.RequestError(result.ResultCode.PUT_BACK, retry=RETRY_SOON)
 
-    async def attempt(self, state: CallState, chosen: instance.Instance) -> call.Answer:
+    async def attempt(self, state: CallState, worker: instance.Instance) -> call.Answer:
         """Make one attempt at one worker; its outcome is recorded for the selection of workers for later calls."""
         request, began = state.call, clock.now()
-        self.instances.begin(chosen.name)
+        self.instances.begin(worker.name)
         state.attempts.in_flight += 1
         is_streaming = False
         try:
-            if self.instances.is_excluded(chosen.name):
+            if self.instances.is_excluded(worker.name):
                 raise result.RequestError(result.ResultCode.PUT_BACK, detail="the worker is draining or gone")
-            remaining = state.end - clock.now()
+            remaining = state.deadline - clock.now()
             if remaining <= clock.ZERO:
                 raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
-            service = self.node.relay.configuration.services.get(chosen.service)
+            service = self.node.relay.configuration.services.get(worker.service)
             max_connections = (
                 service.max_connections if service is not None and service.max_connections else MAX_CONNECTIONS
             )
-            headers = self.dialect.request_headers(request, chosen.name, remaining)
-            response = await self.send(state, chosen, headers, max_connections)
+            headers = self.dialect.request_headers(request, worker.name, remaining)
+            response = await self.send(state, worker, headers, max_connections)
             head = self.dialect.head(response.status, response.headers, request.attempt)
-            self.record_head(chosen, head)
+            self.record_head(worker, head)
             await self.check_head(state, response, head)
             if state.route.kind == http_route.STREAM and 200 <= head.status < 300:
-                answer = await self.begin_stream(state, chosen, response, head)
+                answer = await self.begin_stream(state, worker, response, head)
                 is_streaming = True
                 return answer
-            return await self.read_answer(state, chosen, response, head)
+            return await self.read_answer(state, worker, response, head)
         finally:
             self.routes.note_stage(state.route.name, route_counts.Stage.FIRST, began)
             state.attempts.in_flight -= 1
             if not is_streaming:
-                self.release(chosen)
+                self.release(worker)
 
     async def send(
-        self, state: CallState, chosen: instance.Instance, headers: call.Headers, max_connections: int
+        self, state: CallState, worker: instance.Instance, headers: call.Headers, max_connections: int
     ) -> pool.Response:
         """Send the call to a worker once and wait for the head of the response.
 
@@ -601,12 +601,12 @@
         attempts.possibly_run += 1
         try:
             return await self.pool.request(
-                chosen.address,
+                worker.address,
                 request.method,
                 request.target,
                 headers,
                 state.body,
-                state.end,
+                state.deadline,
                 max_connections,
                 self.dialect.accepts(request.attempt),
             )
@@ -614,7 +614,7 @@
             if error.ran is result.Ran.NOT_RUN:
                 attempts.sent -= 1
                 attempts.possibly_run -= 1
-            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(error))
+            self.instances.record_failure(worker.name, outlier_detection.outcome_of_error(error))
             raise
 
     async def check_head(self, state: CallState, response: pool.Response, head: call.Head) -> None:
@@ -635,10 +635,10 @@
             await response.close(False)
             raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, unclear)
 
-    def release(self, chosen: instance.Instance) -> None:
+    def release(self, worker: instance.Instance) -> None:
         """Release a worker's slot and wake the calls that wait for one."""
-        self.instances.end(chosen.name)
-        self.freed.set()
+        self.instances.end(worker.name)
+        self.slot_freed.set()
 
     async def discard_answer(self, response: pool.Response, reuse: bool) -> None:
         """Read the rest of a response that is not passed on, so that the connection can be reused if wanted."""
@@ -649,29 +649,29 @@
         finally:
             await response.close(reuse)
 
-    def record_head(self, chosen: instance.Instance, head: call.Head) -> None:
+    def record_head(self, worker: instance.Instance, head: call.Head) -> None:
         """Record what the head of a response says about its worker."""
         if head.load is not None:
-            self.instances.record_load(chosen.name, *head.load)
+            self.instances.record_load(worker.name, *head.load)
         if head.misdirected:
-            self.instances.record_misdirection(chosen.name)
+            self.instances.record_misdirection(worker.name)
         elif head.not_run:
-            self.instances.record_rejection(chosen.name)
+            self.instances.record_rejection(worker.name)
         else:
             self.instances.record_answer(
-                chosen.name, outlier_detection.FAILED if head.status >= 500 else outlier_detection.GOOD
+                worker.name, outlier_detection.FAILED if head.status >= 500 else outlier_detection.GOOD
             )
         if head.leaving:
-            self.instances.record_connection_close(chosen.name)
+            self.instances.record_connection_close(worker.name)
 
     async def read_answer(
-        self, state: CallState, chosen: instance.Instance, response: pool.Response, head: call.Head
+        self, state: CallState, worker: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
         """Read a response that is not a stream completely before any of it is passed on."""
         try:
             body = await response.read()
         except result.RequestError as error:
-            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(error))
+            self.instances.record_failure(worker.name, outlier_detection.outcome_of_error(error))
             raise
         except BaseException:
             await response.close(False)
@@ -689,36 +689,36 @@
         if state.turn_reserved:
             self.finish_turn_later(state, messages.UNKNOWN)
         self.counts["answered"] += 1
-        self.add_trace(state, "answered", f"{chosen.name}: {response.status}")
+        self.add_trace(state, "answered", f"{worker.name}: {response.status}")
         return answer
 
     # -- streams ---------------------------------------------------------------------------------
 
     async def begin_stream(
-        self, state: CallState, chosen: instance.Instance, response: pool.Response, head: call.Head
+        self, state: CallState, worker: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
         """Wait for the first bytes of the stream, then pass on the rest as it arrives."""
         parts = response.parts()
         try:
             first = await anext(parts, b"")
         except result.RequestError as error:
-            self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(error))
+            self.instances.record_failure(worker.name, outlier_detection.outcome_of_error(error))
             raise
         except BaseException:
             await response.close(False)
             raise
-        self.add_trace(state, "first bytes", chosen.name)
+        self.add_trace(state, "first bytes", worker.name)
         return call.Answer(
             response.status,
             self.dialect.answer_headers(response.headers),
             b"",
-            self.stream(state, chosen, response, parts, first),
+            self.stream(state, worker, response, parts, first),
         )
 
     async def stream(
         self,
         state: CallState,
-        chosen: instance.Instance,
+        worker: instance.Instance,
         response: pool.Response,
         parts: collections.abc.AsyncIterator[bytes],
         first: bytes,
@@ -729,7 +729,7 @@
         """
         reader, pace_timer = events.Reader(), stream_pace.Stopwatch()
         buffer = event_buffer.EventBuffer() if state.may_resume() else None
-        source, is_complete = StreamSource(chosen, response, parts, first), False
+        source, is_complete = StreamSource(worker, response, parts, first), False
         try:
             while not is_complete:
                 try:
@@ -747,11 +747,11 @@
             if buffer is not None and (rest := buffer.rest()):
                 reader.feed(rest)
                 yield rest
-            await self.close_whole(source, pace_timer)
+            await self.close_complete(source, pace_timer)
             if state.turn_reserved:
-                await self.end_turn(state, source.chosen, reader)
+                await self.end_turn(state, source.worker, reader)
             self.counts["answered"] += 1
-            self.add_trace(state, "answered", f"{source.chosen.name}: {reader.count} events")
+            self.add_trace(state, "answered", f"{source.worker.name}: {reader.count} events")
         except result.RequestError as error:
             self.counts["streams broken"] += 1
             self.routes.note_failed_attempt(state.route.name, error)
@@ -762,25 +762,25 @@
             if source.is_open:
                 source.is_open = False
                 await source.response.close(False)
-                self.release(source.chosen)
+                self.release(source.worker)
             if state.turn_reserved:
                 self.finish_turn_later(state, messages.UNKNOWN)
 
-    async def close_whole(self, source: StreamSource, pace_timer: stream_pace.Stopwatch) -> None:
+    async def close_complete(self, source: StreamSource, pace_timer: stream_pace.Stopwatch) -> None:
         """Release the worker and the connection of a complete stream, and record its pace."""
         seconds_per_event = pace_timer.pace()
         if seconds_per_event:
-            self.instances.record_pace(source.chosen.name, seconds_per_event)
+            self.instances.record_pace(source.worker.name, seconds_per_event)
         await source.response.close(True)
         source.is_open = False
-        self.release(source.chosen)
+        self.release(source.worker)
 
     async def close_broken(self, source: StreamSource, error: result.RequestError) -> None:
         """Release the worker of a broken stream and record the failure."""
-        self.instances.record_failure(source.chosen.name, outlier_detection.outcome_of_error(error))
+        self.instances.record_failure(source.worker.name, outlier_detection.outcome_of_error(error))
         source.is_open = False
         await source.response.close(False)
-        self.release(source.chosen)
+        self.release(source.worker)
 
     async def resume(
         self,
@@ -798,61 +798,61 @@
                 worker could resume it.
 
         """
-        if buffer is None or not buffer.can_continue():
+        if buffer is None or not buffer.can_resume():
             raise error
-        failed = broken.chosen
-        while not state.exhausted() and clock.now() < state.end:
+        failed = broken.worker
+        while not state.exhausted() and clock.now() < state.deadline:
             state.tried_workers |= {failed.name}
             self.add_trace(state, "stream broken, resuming", f"{failed.name}: {error}")
             failed = await self.wait_for_worker(state)
             try:
-                source = await self.continue_at(state, failed, buffer.last_id)
+                source = await self.resume_at(state, failed, buffer.last_id)
             except result.RequestError as next_error:
                 error = next_error
                 continue
-            buffer.begin_again()
+            buffer.start_resumed()
             self.counts["streams continued"] += 1
             self.add_trace(state, "stream resumed", f"{failed.name}, after event {buffer.last_id or 'none'}")
             return source
         raise error
 
-    async def continue_at(self, state: CallState, chosen: instance.Instance, last_event: str) -> StreamSource:
+    async def resume_at(self, state: CallState, worker: instance.Instance, last_event: str) -> StreamSource:
         """Ask one worker to resume a stream; the head of its response is checked here and not passed on.
 
         Raises:
             RequestError: the worker rejected the request, failed, or did not answer with a stream.
 
         """
-        self.instances.begin(chosen.name)
+        self.instances.begin(worker.name)
         response: pool.Response | None = None
         try:
-            if self.instances.is_excluded(chosen.name):
+            if self.instances.is_excluded(worker.name):
                 raise result.RequestError(result.ResultCode.PUT_BACK, detail="the worker is draining or gone")
-            service = self.node.relay.configuration.services.get(chosen.service)
+            service = self.node.relay.configuration.services.get(worker.service)
             max_connections = (
                 service.max_connections if service is not None and service.max_connections else MAX_CONNECTIONS
             )
-            headers = self.dialect.request_headers(state.call, chosen.name, state.end - clock.now())
-            response = await self.send(state, chosen, self.dialect.resume_headers(headers, last_event), max_connections)
+            headers = self.dialect.request_headers(state.call, worker.name, state.deadline - clock.now())
+            response = await self.send(state, worker, self.dialect.resume_headers(headers, last_event), max_connections)
             head = self.dialect.head(response.status, response.headers, state.call.attempt)
-            self.record_head(chosen, head)
+            self.record_head(worker, head)
             await self.check_head(state, response, head)
             if not 200 <= head.status < 300:
                 raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"status {head.status}")
             parts = response.parts()
-            return StreamSource(chosen, response, parts, await anext(parts, b""))
+            return StreamSource(worker, response, parts, await anext(parts, b""))
         except BaseException as error:
             if response is not None:
                 await response.close(False)
             if isinstance(error, result.RequestError) and response is not None:
-                self.instances.record_failure(chosen.name, outlier_detection.outcome_of_error(error))
-            self.release(chosen)
+                self.instances.record_failure(worker.name, outlier_detection.outcome_of_error(error))
+            self.release(worker)
             raise
 
-    async def end_turn(self, state: CallState, chosen: instance.Instance, reader: events.Reader) -> None:
+    async def end_turn(self, state: CallState, worker: instance.Instance, reader: events.Reader) -> None:
         """Have the session group store and charge the turn before the caller receives the end of the stream."""
         request, output = state.call, reader.output()
-        service = self.node.relay.configuration.services.get(chosen.service)
+        service = self.node.relay.configuration.services.get(worker.service)
         stride = service.engine.stride if service is not None and service.engine is not None else 1
         retained = state.route.retained
         command = entry.EndTurn(
@@ -863,10 +863,10 @@
             request.body if retained else b"",
             output if retained else b"",
             reader.count * stride,
-            chosen.name,
+            worker.name,
         )
         began = clock.now()
-        within = max(state.end - began, TURN_END_GRACE)
+        within = max(state.deadline - began, TURN_END_GRACE)
         try:
             await self.node.submit(self.group_of(state.program), command, within)
         except result.RequestError as error:
@@ -875,8 +875,8 @@
             self.routes.note_stage(state.route.name, route_counts.Stage.END, began)
         state.turn_reserved = False
         if retained:
-            turn = entry.Turn(state.attempt_id(), state.previous_turn(), request.body, output, chosen.name)
-            self.chains.keep((turn,))
+            turn = entry.Turn(state.attempt_id(), state.previous_turn(), request.body, output, worker.name)
+            self.cached_turns.keep((turn,))
 
     # -- completion ------------------------------------------------------------------------------
 
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -340,7 +340,7 @@
     for pause in pauses:
         await clock.sleep(clock.seconds(pause))
         places += 1
-        forwarding.freed.set()
+        forwarding.slot_freed.set()
     await asyncio.gather(*waiting)
     return order
 
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -538,8 +538,8 @@
     Mutation(
         "a turn that cannot be kept is held beyond its route's time",
         "proxy/forwarder.py",
-        "        within = max(state.end - began, TURN_END_GRACE)\n",
-        "        within = max(state.end - clock.now(), RETRY_LATER)\n",
+        "        within = max(state.deadline - began, TURN_END_GRACE)\n",
+        "        within = max(state.deadline - clock.now(), RETRY_LATER)\n",
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
@@ -1258,8 +1258,8 @@
     Mutation(
         "the rest of a broken event is joined with what another worker sends",
         "proxy/event_buffer.py",
-        '        self.pending, self.is_continued = b"", True\n',
-        "        self.is_continued = True\n",
+        '        self.pending, self.is_resumed = b"", True\n',
+        "        self.is_resumed = True\n",
         ("proxy/event_buffer_test.py", "simulation/call_troubles_test.py"),
     ),
     Mutation(
