--- a/aspencroft/errors/__init__.py
+++ b/aspencroft/errors/__init__.py
@@ -1,1 +1,1 @@
-"""Numbered result codes and the error that carries one."""
+"""Numbered result codes and the exception that carries one."""
--- a/aspencroft/errors/result.py
+++ b/aspencroft/errors/result.py
@@ -1,11 +1,11 @@
-"""Numbered result codes: every refusal says whether anything ran and when to come back."""
+"""Numbered result codes. Each error states whether the request was executed and when to retry it."""
 
 import datetime
 import enum
 
 
 class Ran(enum.Enum):
-    """Whether work was done for the request that the result is about."""
+    """Whether the request that a result belongs to was executed."""
 
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
@@ -13,7 +13,7 @@
 
 
 class ResultCode(enum.Enum):
-    """Number, HTTP status and meaning of each result; docs/result-codes.md is made from it."""
+    """Number, HTTP status and meaning of each result; the table in docs/result-codes.md is generated from it."""
 
     DONE = (0, 200, "done")
     MALFORMED = (1001, 400, "the request cannot be read: body, types or fields are wrong")
@@ -72,18 +72,19 @@
         self.meaning = meaning
 
 
-SOON = datetime.timedelta(seconds=1)
-COME_BACK = {
-    ResultCode.TURN_UNDER_WAY.number: SOON,
-    ResultCode.OPERATION_IN_PROGRESS.number: SOON,
+DEFAULT_RETRY_AFTER = datetime.timedelta(seconds=1)
+RETRY_AFTER = {
+    ResultCode.TURN_UNDER_WAY.number: DEFAULT_RETRY_AFTER,
+    ResultCode.OPERATION_IN_PROGRESS.number: DEFAULT_RETRY_AFTER,
     ResultCode.OPERATION_UNKNOWN.number: datetime.timedelta(minutes=1),
 }
 
 
 class RequestError(Exception):
-    """A result other than done, on its way to whoever asked.
+    """A request failed with a result other than DONE.
 
-    Whatever is given up names when to come back, if only by default; a fault of the asker's own does not.
+    A server-side failure (status 500 and above) always carries a retry delay, by default ``DEFAULT_RETRY_AFTER``. An
+    error of the caller carries none, unless ``RETRY_AFTER`` lists it or whoever raises it gives one.
     """
 
     def __init__(
@@ -97,10 +98,14 @@
         self.result = result
         self.ran = ran
         self.detail = detail
-        self.retry = COME_BACK.get(result.number, SOON if result.status >= 500 else None) if retry is None else retry
+        self.retry = (
+            RETRY_AFTER.get(result.number, DEFAULT_RETRY_AFTER if result.status >= 500 else None)
+            if retry is None
+            else retry
+        )
 
     def document(self) -> dict:
-        """The refusal as JSON for a caller."""
+        """Return the JSON document of the error that a caller receives."""
         return {
             "result": self.result.number,
             "meaning": self.result.meaning,
@@ -111,7 +116,7 @@
 
 
 def by_number(number: int) -> ResultCode:
-    """The result with a number; an unknown number is INTERNAL."""
+    """Return the result with the given number, or INTERNAL if there is none."""
     for result in ResultCode:
         if result.number == number:
             return result
@@ -119,6 +124,6 @@
 
 
 def table() -> str:
-    """The docs' table of results."""
+    """Return the Markdown table of docs/result-codes.md."""
     rows = [f"| {entry.number} | {entry.name} | {entry.status} | {entry.meaning} |" for entry in ResultCode]
     return "\n".join(["| number | name | HTTP | meaning |", "|---|---|---|---|", *rows]) + "\n"
--- a/aspencroft/errors/result_test.py
+++ b/aspencroft/errors/result_test.py
@@ -5,10 +5,10 @@
 from aspencroft.errors import result
 
 
-def test_what_is_given_up_names_when_to_come_back():
+def test_server_side_errors_and_listed_codes_carry_a_retry_delay():
     for entry in result.ResultCode:
-        given_up = entry.status >= 500 or entry.number in result.COME_BACK
-        assert (result.RequestError(entry).document()["retry_after"] is not None) == given_up, entry
+        is_retriable = entry.status >= 500 or entry.number in result.RETRY_AFTER
+        assert (result.RequestError(entry).document()["retry_after"] is not None) == is_retriable, entry
 
 
 def test_docs_hold_the_table():
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -1,4 +1,4 @@
-"""What edges and session group say to each other of opaque calls, and the events kept: turns, budgets, keys."""
+"""Messages between edges and session groups about opaque calls, and the logged events: turns, budgets, keys, quotas."""
 
 import dataclasses
 import datetime
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Turn:
-    """A kept turn of a chain; ``previous`` is the attempt it goes on from, empty at the start of the chain."""
+    """A retained turn of a chain; ``previous`` is the attempt it continues, empty for the first turn of the chain."""
 
     attempt: str
     previous: str
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Header:
-    """A header of a kept answer."""
+    """A header of a stored answer."""
 
     name: bytes
     value: bytes
@@ -31,12 +31,11 @@
 @codec.kind(141)
 @dataclasses.dataclass(frozen=True)
 class BeginTurn:
-    """Command: start the turn of an attempt behind the one named, under the program's budget (tokens).
+    """Command: start the turn of an attempt that continues ``previous``, within the program's token budget.
 
-    ``most`` is the most tokens it may put out; ``budget`` zero says nothing;
-    ``edge`` is the life of the asking edge; ``have``
-    names a turn whose chain the edge holds; ``base`` is the chain of ``previous``, found in another group,
-    oldest first.
+    ``most`` is the maximum number of tokens that the turn may generate. A ``budget`` of zero sets none. ``edge`` is the
+    incarnation of the requesting edge. ``have`` names a turn whose chain the edge already holds. ``base`` is the chain
+    of ``previous``, fetched from another group, oldest turn first.
     """
 
     program: str
@@ -56,9 +55,10 @@
 @codec.kind(142)
 @dataclasses.dataclass(frozen=True)
 class TurnBegun:
-    """Reply: the turns before it, oldest first, all of them if ``complete``, else those behind the one the edge holds.
+    """Reply: the earlier turns of the chain, oldest first.
 
-    ``worker`` ran the turn before, or the program's last one; it may be empty.
+    All of them if ``complete``, otherwise only those that follow the turn that the edge holds. ``worker`` ran the
+    previous turn, or else the program's last turn; it may be empty.
     """
 
     chain: tuple[Turn, ...]
@@ -69,7 +69,7 @@
 @codec.kind(143)
 @dataclasses.dataclass(frozen=True)
 class EndTurn:
-    """Command: how a turn ended; ``used`` are the tokens it put out."""
+    """Command: report the outcome of a turn; ``used`` is the number of tokens it generated."""
 
     program: str
     session: str
@@ -84,7 +84,7 @@
 @codec.kind(144)
 @dataclasses.dataclass(frozen=True)
 class FindTurn:
-    """Command that only reads: the chain that ends with a turn."""
+    """Read-only command: look up the chain that ends with a turn."""
 
     attempt: str
 
@@ -92,7 +92,7 @@
 @codec.kind(145)
 @dataclasses.dataclass(frozen=True)
 class TurnFound:
-    """Reply: whether the turn is kept here, and its chain, oldest first."""
+    """Reply: whether the group retains the turn, and its chain, oldest turn first."""
 
     found: bool
     chain: tuple[Turn, ...]
@@ -101,11 +101,10 @@
 @codec.kind(146)
 @dataclasses.dataclass(frozen=True)
 class ClaimKey:
-    """Command: be the one attempt that runs under a key, for a time of at most ``within``.
+    """Command: reserve an operation key for one attempt, which runs for at most ``within``.
 
-    The key is held until ``window`` beyond the last moment at which the work could run.
-    Whatever the digest, it is the same
-    operation.
+    The key is retained for ``window`` after the last moment at which the work could run. The digest is not compared:
+    requests with the same key are the same operation.
     """
 
     key: str
@@ -119,11 +118,10 @@
 @codec.kind(147)
 @dataclasses.dataclass(frozen=True)
 class KeyHeld:
-    """Reply: ``mine`` if the asking attempt is the one to run.
+    """Reply: ``mine`` if the requesting attempt holds the key and is to run.
 
-    Else the outcome, empty while it is at work, and the answer.
-
-    The outcome NOT_KEPT says that it is done and that its answer was too large to keep.
+    Otherwise the outcome of the attempt that holds it, empty while that is in flight, and its answer. The outcome
+    NOT_KEPT means that it is done and that its answer was too large to store.
     """
 
     mine: bool
@@ -136,7 +134,7 @@
 @codec.kind(148)
 @dataclasses.dataclass(frozen=True)
 class CloseKey:
-    """Command: how the attempt under a key ended; not run frees the key."""
+    """Command: report the outcome of the attempt that holds a key; NOT_RUN releases the key."""
 
     key: str
     attempt: str
@@ -149,11 +147,9 @@
 @codec.kind(149)
 @dataclasses.dataclass(frozen=True)
 class TurnBegan:
-    """Event: a turn is under way; with a budget (the one that stands) its most is reserved.
-
-    ``base`` is kept from now on.
+    """Event: a turn is in flight. If it has a budget (the one in force), ``most`` tokens are reserved.
 
-    It also is what a ledger holds of a turn under way, then without ``base``.
+    The turns of ``base`` are retained from now on. The same record, without ``base``, is the state of a turn in flight.
     """
 
     program: str
@@ -170,14 +166,14 @@
     base: tuple[Turn, ...]
 
     def reserved(self) -> int:
-        """Tokens that are kept free for it; none without a budget."""
+        """Return the tokens reserved for the turn; none without a budget."""
         return self.most if self.budget else 0
 
 
 @codec.kind(154)
 @dataclasses.dataclass(frozen=True)
 class TurnEnded:
-    """Event: a turn ended, or an attempt that never began must not begin any more."""
+    """Event: a turn ended, or an attempt that never began must not begin any longer."""
 
     attempt: str
     outcome: str
@@ -202,7 +198,7 @@
 @codec.kind(156)
 @dataclasses.dataclass(frozen=True)
 class KeyClosed:
-    """Event: how the attempt under a key ended; not run also keeps an attempt from claiming it any more."""
+    """Event: the attempt that holds a key ended; NOT_RUN also bars that attempt from reserving it later."""
 
     key: str
     attempt: str
@@ -215,9 +211,9 @@
 @codec.kind(157)
 @dataclasses.dataclass(frozen=True)
 class Forget:
-    """Clock event, command and event alike: keep times ran out.
+    """Timer command and event: retention periods expired.
 
-    Ended turns and freed keys are named by their attempt.
+    ``ended`` (finished attempts) and ``freed`` (attempts that released their key) hold names of attempts.
     """
 
     programs: tuple[str, ...]
@@ -230,14 +226,14 @@
 @codec.kind(187)
 @dataclasses.dataclass(frozen=True)
 class Tick:
-    """Clock event, command and event alike: so much time went by under one primary while turns were kept."""
+    """Timer command and event: ``span`` has passed under one primary while turns were retained."""
 
     span: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True)
 class CountedStep:
-    """Granted requests of about the same age."""
+    """Number of granted requests of about the same age."""
 
     age: datetime.timedelta
     count: int
@@ -246,10 +242,11 @@
 @codec.kind(189)
 @dataclasses.dataclass(frozen=True)
 class ReserveRequests:
-    """Command: count requests of a tenant, as far as no window of that length comes to hold more than ``limit``.
+    """Command: grant up to ``count`` requests of a tenant, so that no window of that length exceeds ``limit``.
 
-    ``run_ahead`` is how many granted requests may be on no record. ``edge`` is the run of the asking edge, and
-    ``question`` the number of its question about this tenant: asked again, it gets the same reply.
+    ``run_ahead`` is the maximum number of granted requests that may be missing from the log. ``edge`` is the
+    incarnation of the requesting edge, and ``question`` the number of its request about this tenant: a retry with the
+    same number gets the same reply.
     """
 
     tenant: str
@@ -264,9 +261,9 @@
 @codec.kind(190)
 @dataclasses.dataclass(frozen=True)
 class RequestsReserved:
-    """Reply: how many of the requests are granted, in which epoch, when, and after how long the next one may be.
+    """Reply: how many of the requests are granted, in which epoch, when, and the delay until the next one may be.
 
-    ``granted_at`` is a time of the primary's own clock, for the return of what was not used.
+    ``granted_at`` is a time of the primary's own clock; it is passed back when unused requests are returned.
     """
 
     granted: int
@@ -278,9 +275,10 @@
 @codec.kind(191)
 @dataclasses.dataclass(frozen=True)
 class ReturnRequests:
-    """Command: granted requests of a tenant did not run and never will; not idempotent, so it is sent once only.
+    """Command: return granted requests of a tenant that did not run and never will.
 
-    ``epoch`` and ``granted_at`` are those of the reply that granted them.
+    It is not idempotent and is therefore sent only once. ``epoch`` and ``granted_at`` are those of the reply that
+    granted the requests.
     """
 
     tenant: str
@@ -292,7 +290,7 @@
 @codec.kind(193)
 @dataclasses.dataclass(frozen=True)
 class RecordRequests:
-    """Command of the clock: put what a tenant was granted on record."""
+    """Timer command: write the grants of a tenant to the log."""
 
     tenant: str
 
@@ -300,7 +298,7 @@
 @codec.kind(192)
 @dataclasses.dataclass(frozen=True)
 class RequestsCounted:
-    """Event: what a tenant was granted within the window that ends now, oldest first; it replaces the one before."""
+    """Event: the grants of a tenant within the window that ends now, oldest first; it replaces the previous record."""
 
     tenant: str
     steps: tuple[CountedStep, ...]
@@ -308,16 +306,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class QuotaRecords:
-    """The newest record of each tenant, behind the ages of turns in a snapshot."""
+    """The newest record of each tenant; it follows the ages of turns in a snapshot."""
 
     counted: tuple[RequestsCounted, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class Account:
-    """A program: its budget (zero if none was said), tokens used and reserved, turns under way and kept.
+    """A program: its token budget (zero for none), tokens used and reserved, turns in flight and retained, last worker.
 
-    And its last worker.
+    ``keep`` is its retention period, the longest that any of its turns asked for.
     """
 
     program: str
@@ -332,7 +330,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RetainedTurn:
-    """A kept turn; ``size`` are the bytes of its whole chain."""
+    """A retained turn; ``size`` is the number of bytes of its whole chain."""
 
     turn: Turn
     program: str
@@ -342,7 +340,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class FinishedAttempt:
-    """An attempt that may not begin any more; what it was charged is put right should its outcome become known."""
+    """An attempt that must not begin again; its charge is corrected if its outcome becomes known later."""
 
     attempt: str
     outcome: str
@@ -356,7 +354,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Key:
-    """A key, the attempt that holds it, and what came of it."""
+    """An operation key, the attempt that holds it, and the outcome."""
 
     key: str
     attempt: str
@@ -371,7 +369,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LedgerSnapshot:
-    """All that a ledger holds."""
+    """The state of the opaque calls of a session group, without the ages of turns and the quotas."""
 
     accounts: tuple[Account, ...]
     turns: tuple[RetainedTurn, ...]
@@ -383,7 +381,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class TurnAges:
-    """The group's own time, and when by it each kept turn ended, in the order of the turns; behind a LedgerSnapshot."""
+    """The group's own time, and when each retained turn ended by it, in the order of the turns.
+
+    It follows the ``LedgerSnapshot`` in a snapshot.
+    """
 
     time: datetime.timedelta
     ended: tuple[datetime.timedelta, ...]
@@ -404,4 +405,4 @@
 Event = TurnBegan | TurnEnded | KeyClaimed | KeyClosed | RequestsCounted | Forget | Tick
 Reply = TurnBegun | TurnFound | KeyHeld | RequestsReserved | messages.Closed
 Decision = tuple[tuple[Event, ...], Reply]
-"""The events of a command, to be recorded before its reply goes out."""
+"""The events of a command, which must be committed to the log before the reply is sent, and the reply."""
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -1,4 +1,4 @@
-"""What edges and session groups say to each other, and the events kept: one family of records."""
+"""Messages between edges and session groups about the turns and operation keys of lanes, and the logged events."""
 
 import dataclasses
 import datetime
@@ -12,7 +12,7 @@
 @codec.kind(100)
 @dataclasses.dataclass(frozen=True)
 class Past:
-    """One finished turn of a chain."""
+    """A finished turn of a chain."""
 
     number: int
     go: str
@@ -24,7 +24,7 @@
 @codec.kind(101)
 @dataclasses.dataclass(frozen=True)
 class OpenTurn:
-    """Command: start a turn behind the one named, under the program's budget."""
+    """Command: start the turn that follows number ``after`` of its chain, within the program's token budget."""
 
     program: str
     helper: str
@@ -41,7 +41,7 @@
 @codec.kind(102)
 @dataclasses.dataclass(frozen=True)
 class TurnOpened:
-    """Event: a turn is under way and its output reserved."""
+    """Event: a turn is in flight and its output tokens are reserved."""
 
     program: str
     helper: str
@@ -58,7 +58,7 @@
 @codec.kind(103)
 @dataclasses.dataclass(frozen=True)
 class TurnGranted:
-    """Reply: the turn's number, its own earlier turns, and how much it may put out."""
+    """Reply: the turn's number, the earlier turns of its chain, and how many tokens it may generate."""
 
     number: int
     past: tuple[Past, ...]
@@ -68,7 +68,7 @@
 @codec.kind(104)
 @dataclasses.dataclass(frozen=True)
 class CloseTurn:
-    """Command: how a turn under way ended."""
+    """Command: report the outcome of a turn in flight."""
 
     program: str
     helper: str
@@ -82,7 +82,7 @@
 @codec.kind(105)
 @dataclasses.dataclass(frozen=True)
 class TurnClosed:
-    """Event: a turn ended; only a done one is kept as history, an unknown one is charged in full."""
+    """Event: a turn ended. Only the outcome DONE is retained as history; UNKNOWN is charged in full."""
 
     program: str
     helper: str
@@ -96,7 +96,7 @@
 @codec.kind(106)
 @dataclasses.dataclass(frozen=True)
 class ProgramForgotten:
-    """Event: the keep time ran out."""
+    """Event: a program's retention period expired."""
 
     program: str
 
@@ -104,7 +104,7 @@
 @codec.kind(107)
 @dataclasses.dataclass(frozen=True)
 class ForgetProgram:
-    """Clock event: the keep time ran out by the primary's clock."""
+    """Timer command: a program's retention period expired by the primary's clock."""
 
     program: str
 
@@ -112,7 +112,7 @@
 @codec.kind(110)
 @dataclasses.dataclass(frozen=True)
 class ClaimOperation:
-    """Command: be the one request that runs under this key; the digest tells what is asked."""
+    """Command: reserve an operation key for one attempt; ``digest`` identifies the content of the request."""
 
     key: str
     lane: str
@@ -125,7 +125,7 @@
 @codec.kind(111)
 @dataclasses.dataclass(frozen=True)
 class OperationClaimed:
-    """Event: a go holds the key."""
+    """Event: an attempt holds the key."""
 
     key: str
     lane: str
@@ -138,7 +138,7 @@
 @codec.kind(112)
 @dataclasses.dataclass(frozen=True)
 class CloseOperation:
-    """Command: how the go under the key ended; not run frees the key."""
+    """Command: report the outcome of the attempt that holds the key; NOT_RUN releases the key."""
 
     key: str
     go: str
@@ -149,7 +149,7 @@
 @codec.kind(113)
 @dataclasses.dataclass(frozen=True)
 class OperationClosed:
-    """Event: the key's outcome."""
+    """Event: the attempt that holds the key ended."""
 
     key: str
     go: str
@@ -160,7 +160,7 @@
 @codec.kind(114)
 @dataclasses.dataclass(frozen=True)
 class Operation:
-    """Reply: a key's state; ``mine`` when the asking go holds it and has not ended."""
+    """Reply: the state of a key; ``mine`` if the requesting attempt holds it and has not ended."""
 
     key: str
     lane: str
@@ -176,7 +176,7 @@
 @codec.kind(115)
 @dataclasses.dataclass(frozen=True)
 class ForgetOperation:
-    """Clock event: the key was remembered long enough."""
+    """Timer command: a key's retention period expired."""
 
     key: str
 
@@ -184,7 +184,7 @@
 @codec.kind(116)
 @dataclasses.dataclass(frozen=True)
 class OperationForgotten:
-    """Event: the key is free."""
+    """Event: a key is forgotten and can be reserved again."""
 
     key: str
 
@@ -192,7 +192,7 @@
 @codec.kind(117)
 @dataclasses.dataclass(frozen=True)
 class Closed:
-    """Reply: the turn's or operation's end is kept."""
+    """Reply: the outcome that is on record for the turn or operation."""
 
     outcome: str
 
@@ -200,7 +200,7 @@
 @codec.kind(118)
 @dataclasses.dataclass(frozen=True)
 class OpenGo:
-    """A turn under way, as a snapshot keeps it."""
+    """A turn in flight, as stored in a snapshot."""
 
     helper: str
     after: int
@@ -213,7 +213,7 @@
 @codec.kind(119)
 @dataclasses.dataclass(frozen=True)
 class Chain:
-    """The turns of a program's main line or of one helper."""
+    """The turns of one helper of a program; an empty name stands for the program's main chain."""
 
     helper: str
     past: tuple[Past, ...]
@@ -222,7 +222,7 @@
 @codec.kind(120)
 @dataclasses.dataclass(frozen=True)
 class Program:
-    """A program: its chains, what it used and what is under way."""
+    """A program: its chains, the tokens it used and its turns in flight."""
 
     name: str
     lane: str
@@ -233,15 +233,15 @@
     under_way: tuple[OpenGo, ...]
 
     def chain(self, helper: str) -> Chain:
-        """The chain of a helper; an empty one when it has no turns."""
-        for one in self.chains:
-            if one.helper == helper:
-                return one
+        """Return the chain of a helper, empty if it has no turns."""
+        for chain in self.chains:
+            if chain.helper == helper:
+                return chain
         return Chain(helper, ())
 
     def reserved(self) -> int:
-        """What turns under way may still put out."""
-        return sum(one.reserve for one in self.under_way)
+        """Return the tokens reserved by turns in flight."""
+        return sum(turn.reserve for turn in self.under_way)
 
 
 @codec.kind(121)
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -295,7 +295,7 @@
     Mutation(
         "refusals name no time",
         "errors/result.py",
-        "        self.retry = COME_BACK.get(result.number, SOON if result.status >= 500 else None) if retry is None else retry\n",
+        "        self.retry = (\n            RETRY_AFTER.get(result.number, DEFAULT_RETRY_AFTER if result.status >= 500 else None)\n            if retry is None\n            else retry\n        )\n",
         "        self.retry = None if retry is None else retry\n",
         ("simulation/calls_test.py::test_every_refusal_names_when_to_come_back",),
     ),
