--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -1,4 +1,4 @@
-"""The state machine of opaque calls in a session group: token budgets, turns with their history, operation keys."""
+"""Replicated state machine for the opaque calls of a session group: token budgets, turn history, operation keys."""
 
 import collections.abc
 import datetime
@@ -19,18 +19,19 @@
 )
 
 FIRST_TURN_SHARE = 0.9
-"""Of the bound of payload, for turns that begin a chain: what has begun may still go on when nothing new may begin."""
+"""Share of the payload limit up to which new chains may begin; the rest is left to continue existing chains."""
 MAX_PAYLOAD_BYTES = 24 << 20
-"""History and stored answers of a group, unless the machine's memory asks for less."""
+"""Limit on the history and stored answers of a group; a machine with little memory sets a lower one."""
 OVERLOADED_RETRY_AFTER = clock.seconds(5)
 
 
 class CallSessions:
-    """Budgets, turns and keys. A command is decided into events, and the state is what the events applied make it.
+    """Token budgets, turns, operation keys and request quotas of a session group.
 
-    Deciding changes nothing but clocks. Those count from when this primary first saw a thing, so that neither a
-    takeover nor a restart shortens a span. Replicas apply the same events in the same order and so hold the same
-    state, to the order of their tables.
+    A command is decided into events, and applying events is the only way to change the replicated state. Deciding
+    changes only the primary's local timers and its request counts. A timer starts when this primary first sees an
+    item, so that neither a takeover nor a restart shortens a retention period. Replicas apply the same events in the
+    same order and therefore hold the same state, including the order of their tables.
     """
 
     def __init__(self) -> None:
@@ -38,7 +39,7 @@
         self.load(session_snapshot.empty())
 
     def load(self, restored: session_snapshot.Restored) -> None:
-        """Hold what a snapshot shows and nothing else; the bound of payload stays, and clocks begin anew."""
+        """Replace the state with that of a snapshot and reset all timers; the payload limit stays."""
         snapshot, ages, quotas, _ = restored
         self.group_clock = retention.GroupClock(ages.time)
         self.budgets = token_budget.TokenBudgets(snapshot.accounts)
@@ -48,7 +49,7 @@
         self.scan = retention.RetentionScan()
 
     def reset_clocks(self) -> None:
-        """This node is the primary no more: what it saw when counts for nothing if it is one again."""
+        """Reset all timers when this node stops being the primary, so that a later tenure starts them anew."""
         self.budgets.reset_clocks()
         self.history.reset_clocks()
         self.keys.reset_clocks()
@@ -57,15 +58,15 @@
         self.scan.reset()
 
     def payload_bytes(self) -> int:
-        """Bytes of history and stored answers."""
+        """Return the bytes of history and stored answers."""
         return self.history.bytes + self.keys.bytes
 
     # -- commands ------------------------------------------------------------------------------
 
     def decide(self, command: entry.Command, now: datetime.timedelta, epoch: int = 0) -> entry.Decision:
-        """Events and reply for a command of COMMANDS.
+        """Decide a command: return its events and its reply.
 
-        :raises result.RequestError: when it is rejected; nothing changed then
+        :raises result.RequestError: if the command is rejected; nothing has changed then
         """
         if isinstance(command, entry.ReserveRequests):
             return self.quotas.decide_reserve(command, now, epoch)
@@ -74,9 +75,9 @@
         return COMMANDS[type(command)](self, command, now)
 
     def decide_at_once(self, command: object, now: datetime.timedelta, epoch: int) -> entry.Reply | None:
-        """The reply of a command about tenants' requests that needs no record; none of any other.
+        """Return the reply of a quota command that needs no log entry, or None for any other command.
 
-        :raises result.RequestError: when it is rejected
+        :raises result.RequestError: if the command is rejected
         """
         if isinstance(command, entry.ReserveRequests):
             return self.quotas.reserve_at_once(command, now, epoch)
@@ -85,31 +86,39 @@
         return None
 
     def is_command(self, command: object) -> bool:
-        """Whether a command is one of opaque calls."""
+        """Return whether a command belongs to opaque calls."""
         return type(command) in COMMANDS or isinstance(command, entry.ReserveRequests | entry.ReturnRequests)
 
     def begin_turn(self, command: entry.BeginTurn, now: datetime.timedelta) -> entry.Decision:
-        """A turn starts while used and reserved tokens are under the program's budget; once for each attempt.
+        """Start a turn, once for each attempt, while used plus reserved tokens are below the program's budget.
 
-        The order of the checks decides which result a caller gets: an attempt that ran is never told OUT_OF_BUDGET.
+        The order of the checks decides which result a caller gets: an attempt that ran never gets OUT_OF_BUDGET.
         """
         repeated = self.history.repeated_start(command)
         if repeated is not None:
             return (), repeated
         if not command.attempt or command.most < 0 or command.budget < 0:
-            raise result.RequestError(result.ResultCode.MALFORMED, detail="no attempt, or tokens below zero")
+            raise result.RequestError(
+                result.ResultCode.MALFORMED, detail="attempt is missing, or a token count is negative"
+            )
         budget = self.budgets.budget_in_force(command, now)
         imported, chain_bytes, worker = self.history.find_predecessor(command)
         if self.budgets.is_full_for(command.program) or self.history.count() + len(imported) >= turn_history.MAX_TURNS:
             raise result.RequestError(
-                result.ResultCode.OVERLOADED, detail="too many programs or turns", retry=OVERLOADED_RETRY_AFTER
+                result.ResultCode.OVERLOADED,
+                detail="the limit of programs or turns of the group is reached",
+                retry=OVERLOADED_RETRY_AFTER,
             )
         if command.retained and not self.has_room(command, imported):
             raise result.RequestError(
-                result.ResultCode.OVERLOADED, detail="no room for more history", retry=OVERLOADED_RETRY_AFTER
+                result.ResultCode.OVERLOADED,
+                detail="the history of the group is at its size limit",
+                retry=OVERLOADED_RETRY_AFTER,
             )
         if chain_bytes > turn_history.MAX_CHAIN_BYTES:
-            raise result.RequestError(result.ResultCode.TOO_LARGE, detail="the history is at its limit")
+            raise result.RequestError(
+                result.ResultCode.TOO_LARGE, detail="the history of the chain is at its size limit"
+            )
         worker = worker or self.budgets.last_worker(command.program)
         self.history.began_at[command.attempt] = now
         self.budgets.note_activity(command.program, now)
@@ -130,24 +139,24 @@
         return (event,), self.history.start_reply(command.previous, command.have, worker, imported)
 
     def has_room(self, command: entry.BeginTurn, imported: tuple[entry.Turn, ...]) -> bool:
-        """Whether there is room for a turn's history; less of it for the first one of a chain."""
+        """Return whether the payload limit has room for a turn's history; it is lower for the first turn of a chain."""
         added = sum(map(turn_history.turn_bytes, imported))
         share = 1.0 if command.previous else FIRST_TURN_SHARE
         return self.payload_bytes() + added < share * self.max_payload_bytes
 
     def find_turn(self, command: entry.FindTurn, now: datetime.timedelta) -> entry.Decision:
-        """Whether a turn is retained, and its chain."""
+        """Look up a retained turn and its chain."""
         return self.history.decide_find(command, now)
 
     def end_turn(self, command: entry.EndTurn, now: datetime.timedelta) -> entry.Decision:
-        """A turn ends once; only an unknown outcome may become known later.
+        """End a turn. Its outcome is final, except that UNKNOWN may be replaced by a known one later.
 
-        An attempt that did not run never begins any more.
+        An attempt that did not run can never begin afterwards.
 
-        :raises result.RequestError: MALFORMED, UNKNOWN_TURN, or STALE_TURN when the outcome came too late to count
+        :raises result.RequestError: MALFORMED, UNKNOWN_TURN, or STALE_TURN if the outcome arrived too late to count
         """
         if command.outcome not in messages.OUTCOMES or not command.attempt:
-            raise result.RequestError(result.ResultCode.MALFORMED, detail="no attempt or outcome")
+            raise result.RequestError(result.ResultCode.MALFORMED, detail="attempt or outcome is missing or invalid")
         is_done = command.outcome == messages.DONE
         known: entry.TurnBegan | entry.FinishedAttempt | None = self.history.in_flight.get(command.attempt)
         if known is None:
@@ -161,12 +170,12 @@
                     raise result.RequestError(
                         result.ResultCode.STALE_TURN,
                         result.Ran.UNKNOWN,
-                        "the attempt was told not to have run",
+                        "the attempt was already reported as not run",
                     )
                 return (), messages.Closed(finished.outcome)
             if is_done and finished.retained and finished.previous and finished.previous not in self.history.retained:
                 raise result.RequestError(
-                    result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the turn before is kept no more"
+                    result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the previous turn is no longer retained"
                 )
             known = finished
         is_retained = is_done and known.retained
@@ -183,37 +192,39 @@
         return (event,), messages.Closed(command.outcome)
 
     def end_unknown_attempt(self, command: entry.EndTurn, now: datetime.timedelta) -> entry.Decision:
-        """The end of an attempt that this group does not know: if it did not run, its start may still be on the way.
+        """End an attempt that this group does not know. If it did not run, its start command may still arrive.
 
-        :raises result.RequestError: UNKNOWN_TURN unless it did not run, OVERLOADED at a bound
+        :raises result.RequestError: UNKNOWN_TURN unless the attempt did not run, OVERLOADED at the limit of turns
         """
         if command.outcome != messages.NOT_RUN:
             raise result.RequestError(result.ResultCode.UNKNOWN_TURN, result.Ran.UNKNOWN, command.attempt)
         if self.history.count() >= turn_history.MAX_TURNS:
             raise result.RequestError(
-                result.ResultCode.OVERLOADED, detail="too many turns", retry=OVERLOADED_RETRY_AFTER
+                result.ResultCode.OVERLOADED,
+                detail="the limit of turns of the group is reached",
+                retry=OVERLOADED_RETRY_AFTER,
             )
         self.history.finished_at[command.attempt] = now
         return (entry.TurnEnded(command.attempt, messages.NOT_RUN, b"", b"", 0, ""),), messages.Closed(messages.NOT_RUN)
 
     def reserve_key(self, command: entry.ClaimKey, now: datetime.timedelta) -> entry.Decision:
-        """The first attempt reserves the key; others get its state and never run."""
+        """Reserve an operation key for the first attempt; all others get the key's state and never run."""
         return self.keys.decide_reserve(command, now, self.payload_bytes() >= self.max_payload_bytes)
 
     def finish_key(self, command: entry.CloseKey, now: datetime.timedelta) -> entry.Decision:
-        """The attempt that holds the key tells how it ended."""
+        """Record the outcome of the attempt that holds an operation key."""
         return self.keys.decide_finish(command, now)
 
     def record_requests(self, command: entry.RecordRequests, now: datetime.timedelta) -> entry.Decision:
-        """A tenant's granted requests are put on record."""
+        """Write the grants of a tenant to the log."""
         return self.quotas.decide_record(command, now)
 
     def tick(self, command: entry.Tick, now: datetime.timedelta) -> entry.Decision:
-        """The group's time goes on by one tick, if that much has passed."""
+        """Advance the group's time by one tick, if that much time has passed."""
         return self.group_clock.decide_tick(command, now)
 
     def forget(self, command: entry.Forget, now: datetime.timedelta) -> entry.Decision:
-        """Spans are over; looked at once more, as things may have changed since the scan."""
+        """Forget expired items. Each is checked again, as it may have changed since the scan."""
         event = entry.Forget(
             self.budgets.find_expired(command.programs, now),
             self.history.find_expired(command.turns, now),
@@ -227,22 +238,22 @@
     # -- events --------------------------------------------------------------------------------
 
     def apply(self, event: entry.Event) -> None:
-        """Take an event of EVENTS in."""
+        """Apply an event to the state."""
         EVENTS[type(event)](self, event)
 
     def apply_turn_began(self, event: entry.TurnBegan) -> None:
-        """A turn is in flight, and its program's tokens are reserved."""
+        """Add a turn in flight and reserve its tokens."""
         self.history.apply_began(event)
         self.budgets.reserve(event)
 
     def apply_turn_ended(self, event: entry.TurnEnded) -> None:
-        """A turn is over: charged, and retained or only remembered as finished."""
+        """End a turn: charge its program, and retain its history or only remember the attempt as finished."""
         started = self.history.take_in_flight(event.attempt)
         finished = self.history.take_finished(event.attempt)
         known = started or finished or entry.FinishedAttempt(event.attempt, "", "", "", 0, 0, False, clock.ZERO)
         charged, reserved = 0, started.reserved() if started else 0
         if known.budget and event.outcome != messages.NOT_RUN:
-            # An unknown outcome is charged in full: the turn may have put out all that was reserved for it.
+            # An unknown outcome is charged in full: the turn may have generated all the tokens reserved for it.
             charged = event.used if event.outcome == messages.DONE else max(reserved, event.used)
         is_retained = event.outcome == messages.DONE and known.retained
         has_account = self.budgets.settle(
@@ -272,19 +283,22 @@
                 )
             )
         if started:
-            # Only now: a retained turn has pinned its predecessor itself, so that it was pinned all the while.
+            # Unpin last: if the turn is retained, ``retain`` has pinned the predecessor, so it was never unpinned.
             self.history.unpin(started.previous)
 
     def apply_key_reserved(self, event: entry.KeyClaimed) -> None:
-        """A key is reserved."""
+        """Reserve an operation key."""
         self.keys.apply_reserved(event)
 
     def apply_key_finished(self, event: entry.KeyClosed) -> None:
-        """A key has an outcome, or is released."""
+        """Set the outcome of an operation key, or release it."""
         self.keys.apply_finished(event)
 
     def apply_requests_counted(self, event: entry.RequestsCounted) -> None:
-        """A tenant's requests were recorded; when this replica saw the record tells how old its counts are at least."""
+        """Store the record of a tenant's grants, with the time at which this replica saw it.
+
+        That time gives the minimum age of the grants after a takeover; it is unknown if no event loop is running.
+        """
         try:
             seen_at = clock.now()
         except RuntimeError:
@@ -292,11 +306,11 @@
         self.quotas.apply_counted(event, seen_at)
 
     def apply_tick(self, event: entry.Tick) -> None:
-        """A tick was recorded."""
+        """Advance the group's time."""
         self.group_clock.apply_tick(event)
 
     def apply_forget(self, event: entry.Forget) -> None:
-        """Spans are over. Turns go first: those with a short span become finished attempts."""
+        """Drop expired items. Turns go first, as those with a short retention period become finished attempts."""
         for name in event.turns:
             forgotten = self.history.forget(name)
             if forgotten is not None:
@@ -310,15 +324,16 @@
         for name in event.freed:
             self.keys.forget_released(name)
 
-    # -- clocks --------------------------------------------------------------------------------
+    # -- timers --------------------------------------------------------------------------------
 
     def due(
         self, now: datetime.timedelta, is_edge_gone: collections.abc.Callable[[str], bool]
     ) -> tuple[entry.Command, ...]:
-        """Commands of the clock: ends of what is in flight though its edge is gone or its time over; a tick; expiry.
+        """Return the timer commands that are due.
 
-        All that is in flight is looked at each time, the rest in bounded steps. The first look at a thing starts its
-        clock here.
+        They end work in flight whose edge is gone or whose time limit has passed, write quota records and a tick, and
+        forget expired items. All work in flight is checked on each call, the rest in bounded steps. The first check of
+        an item starts its timer.
         """
         is_gone = functools.cache(is_edge_gone)
         overdue: list[entry.Command] = [*self.history.find_overdue(now, is_gone)]
@@ -340,9 +355,9 @@
     # -- snapshots ------------------------------------------------------------------------------
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The snapshot of this moment in bounded chunks; history is shared, not copied.
+        """Return a snapshot of the current state in bounded chunks.
 
-        What changes meanwhile is not in it.
+        History is shared with the chunks, not copied. Changes made while they are read are not included.
         """
         tables: list[collections.abc.Sequence[object]] = [
             list(self.budgets.accounts.values()),
@@ -358,14 +373,14 @@
         return session_snapshot.encode_chunks(tables, list(self.keys.released), ages, quotas)
 
     def size(self) -> int:
-        """How much a snapshot holds, in entries."""
-        calls = len(self.budgets.accounts) + self.history.count()
-        return calls + len(self.keys.records) + len(self.keys.released) + len(self.quotas.records)
+        """Return the number of records in a snapshot."""
+        call_records = len(self.budgets.accounts) + self.history.count()
+        return call_records + len(self.keys.records) + len(self.keys.released) + len(self.quotas.records)
 
     def restore(self, body: bytes, start: int) -> int:
-        """Become what the snapshot shows that begins at an offset; the offset behind it.
+        """Replace the state with that of the snapshot at an offset; return the offset after it.
 
-        :raises codec.Broken: when the bytes are no snapshot; nothing changed then
+        :raises codec.CodecError: if the bytes are not a valid snapshot; nothing has changed then
         """
         restored = session_snapshot.decode(body, start)
         self.load(restored)
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -1,4 +1,4 @@
-"""The state machine of a session group: lanes' programs with history and budget, operation keys, and opaque calls."""
+"""Replicated state machine of a session group: history and budget of programs, operation keys, and opaque calls."""
 
 import collections
 import collections.abc
@@ -13,21 +13,21 @@
 from aspencroft.transport import codec
 
 MIN_KEY_RETENTION = clock.seconds(60)
-"""A key is remembered at least so long beyond the last moment at which its work could have run."""
+"""A key is retained at least this long after the last moment at which its work could have run."""
 RETENTION_MARGIN = clock.seconds(10)
-"""Added to each span: a message may be under way so long after its sender gave up on it."""
+"""Added to each retention period: a message may still arrive this long after its sender gave up on it."""
 UNFINISHED_KEY_MARGIN = clock.seconds(30)
-"""Added, with the time that the work may take, for a key of which it is not known that the work is done."""
+"""Added, together with the time limit of the work, to the retention of a key whose work is not known to be done."""
 OVERLOADED_RETRY_AFTER = clock.seconds(60)
 TURN_UNDER_WAY_RETRY_AFTER = clock.seconds(1)
 MAX_ANSWER_BYTES = 256 << 10
 MAX_HISTORY_CHARACTERS = 4 << 20
 SCAN_LIMIT = 4000
-"""Programs and keys that one step of the clock looks at, so that a large group never holds the event loop for long."""
+"""Programs and keys checked in one scan step, so that a large group never blocks the event loop for long."""
 DUE_LIMIT = 256
-"""A step of the scan stops once so many commands are due."""
+"""A scan step stops once this many commands are due."""
 RECORDS_PER_CHUNK = 200
-"""Records in one chunk of a snapshot."""
+"""Maximum number of records in one chunk of a snapshot."""
 MAX_PROGRAMS = 100_000
 MAX_OPERATIONS = 400_000
 Command = (
@@ -50,13 +50,13 @@
 )
 Reply = messages.TurnGranted | messages.Operation | messages.Closed | entry.Reply
 Decision = tuple[tuple[Event, ...], Reply]
-"""The events of a command, to be recorded before its reply goes out."""
+"""The events of a command, which must be committed to the log before the reply is sent, and the reply."""
 
 
 class SessionState:
-    """Programs, operation keys and opaque calls, as the events applied make them.
+    """Programs, operation keys and opaque calls of a session group; only applied events change them.
 
-    Times count from when this primary first saw a thing, so a takeover never shortens them.
+    Timers start when this primary first sees an item, so that a takeover never shortens a retention period.
     """
 
     def __init__(self) -> None:
@@ -70,9 +70,9 @@
         self.calls = call_sessions.CallSessions()
 
     def decide(self, command: Command, now: datetime.timedelta, epoch: int) -> Decision:
-        """Events and reply for a command.
+        """Decide a command: return its events and its reply.
 
-        :raises result.RequestError: when it is rejected; MALFORMED for what is no command
+        :raises result.RequestError: if the command is rejected; MALFORMED if it is of an unknown type
         """
         if self.calls.is_command(command):
             return self.calls.decide(typing.cast(entry.Command, command), now, epoch)
@@ -82,69 +82,77 @@
         return handler(self, command, now)
 
     def decide_at_once(self, command: Command, now: datetime.timedelta, epoch: int) -> Reply | None:
-        """The reply of a command that needs no record, if it can be given now.
+        """Return the reply of a command that needs no log entry, or None if it cannot be answered at once.
 
-        :raises result.RequestError: when it is rejected
+        :raises result.RequestError: if the command is rejected
         """
         return self.calls.decide_at_once(command, now, epoch)
 
     def note_committed(self) -> None:
-        """All events so far are on all members of the record."""
+        """Note that all events so far are committed on all members of the group."""
         self.calls.quotas.note_committed()
 
     def forget_program(self, command: messages.ForgetProgram, now: datetime.timedelta) -> Decision:
-        """A program's keep time is over; looked at once more, as a turn may have begun since the scan."""
+        """Forget an expired program. It is checked again, as a turn may have begun since the scan."""
         known = self.programs.get(command.program)
         is_due = known is not None and self.is_program_expired(known, now)
         return ((messages.ProgramForgotten(command.program),) if is_due else ()), messages.Closed("")
 
     def forget_operation(self, command: messages.ForgetOperation, now: datetime.timedelta) -> Decision:
-        """A key was remembered long enough; looked at once more, as it may have been closed since the scan."""
+        """Forget an expired key. It is checked again, as its outcome may have been recorded since the scan."""
         known = self.operations.get(command.key)
         is_due = known is not None and self.is_key_expired(known, now)
         return ((messages.OperationForgotten(command.key),) if is_due else ()), messages.Closed("")
 
     def is_program_expired(self, program: messages.Program, now: datetime.timedelta) -> bool:
-        """Whether no turn is in flight and the keep time since the last one ran out."""
+        """Return whether no turn is in flight and the retention period since the last one has passed."""
         if program.under_way:
             return False
         return now - self.program_active_at.setdefault(program.name, now) > program.keep
 
     def is_key_expired(self, operation: messages.Operation, now: datetime.timedelta) -> bool:
-        """Whether a key was held a full minute beyond the last moment in which its work could run."""
+        """Return whether a key was retained for at least a minute after the last moment at which its work could run."""
         span = max(MIN_KEY_RETENTION, operation.keep) + RETENTION_MARGIN
         if operation.outcome != messages.DONE:
             span += operation.within + UNFINISHED_KEY_MARGIN
         return now - self.key_noted_at.setdefault(operation.key, now) > span
 
     def open_turn(self, command: messages.OpenTurn, now: datetime.timedelta) -> Decision:
-        """A turn starts behind the last one of its chain while used plus reserved is under the budget."""
+        """Start a turn after the last one of its chain, while used plus reserved tokens are below the budget."""
         known = self.programs.get(command.program)
         if known is None:
             if command.after != 0:
                 raise result.RequestError(result.ResultCode.UNKNOWN_PROGRAM, detail=command.program)
             if len(self.programs) >= MAX_PROGRAMS:
                 raise result.RequestError(
-                    result.ResultCode.OVERLOADED, detail="too many programs", retry=OVERLOADED_RETRY_AFTER
+                    result.ResultCode.OVERLOADED,
+                    detail="the limit of programs of the group is reached",
+                    retry=OVERLOADED_RETRY_AFTER,
                 )
             known = messages.Program(command.program, command.lane, command.budget, 0, command.keep, (), ())
         past = known.chain(command.helper).past
         last = past[-1].number if past else 0
-        if any(one.go == command.go for one in known.under_way):
+        if any(turn.go == command.go for turn in known.under_way):
             return (), messages.TurnGranted(last + 1, past, command.reserve)
-        if any(one.helper == command.helper for one in known.under_way):
+        if any(turn.helper == command.helper for turn in known.under_way):
             raise result.RequestError(
-                result.ResultCode.TURN_UNDER_WAY, detail=f"after turn {last}", retry=TURN_UNDER_WAY_RETRY_AFTER
+                result.ResultCode.TURN_UNDER_WAY,
+                detail=f"a turn after turn {last} is in flight",
+                retry=TURN_UNDER_WAY_RETRY_AFTER,
             )
         if command.after != last:
-            raise result.RequestError(result.ResultCode.STALE_TURN, detail=f"the last turn is {last}")
+            raise result.RequestError(
+                result.ResultCode.STALE_TURN, detail=f"the last turn of the chain is number {last}"
+            )
         if known.used + known.reserved() >= known.budget:
             raise result.RequestError(
                 result.ResultCode.OUT_OF_BUDGET,
-                detail=f"{known.used} used, {known.reserved()} reserved of {known.budget}",
+                detail=f"{known.used} tokens used and {known.reserved()} reserved of a budget of {known.budget}",
+            )
+        if sum(len(turn.input) + len(turn.output) for turn in past) > MAX_HISTORY_CHARACTERS:
+            raise result.RequestError(
+                result.ResultCode.TOO_LARGE, detail="the history of the chain is at its size limit"
             )
-        if sum(len(one.input) + len(one.output) for one in past) > MAX_HISTORY_CHARACTERS:
-            raise result.RequestError(result.ResultCode.TOO_LARGE, detail="the history is at its limit")
         event = messages.TurnOpened(
             **{field.name: getattr(command, field.name) for field in dataclasses.fields(command)}
         )
@@ -153,14 +161,14 @@
         return (event,), messages.TurnGranted(last + 1, past, command.reserve)
 
     def close_turn(self, command: messages.CloseTurn, now: datetime.timedelta) -> Decision:
-        """A turn under way ends once; saying it again does no harm."""
+        """End a turn in flight; repeating the command has no further effect."""
         known = self.programs.get(command.program)
         if known is None:
             raise result.RequestError(result.ResultCode.UNKNOWN_PROGRAM, result.Ran.UNKNOWN, command.program)
-        if not any(one.go == command.go for one in known.under_way):
-            if any(one.go == command.go for one in known.chain(command.helper).past[-1:]):
+        if not any(turn.go == command.go for turn in known.under_way):
+            if any(turn.go == command.go for turn in known.chain(command.helper).past[-1:]):
                 return (), messages.Closed(messages.DONE)
-            raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the turn was closed before")
+            raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the turn has already ended")
         event = messages.TurnClosed(
             command.program,
             command.helper,
@@ -174,17 +182,21 @@
         return (event,), messages.Closed(command.outcome)
 
     def claim_operation(self, command: messages.ClaimOperation, now: datetime.timedelta) -> Decision:
-        """The first request takes the key; others get its state and never run."""
+        """Reserve an operation key for the first attempt; all others get the key's state and never run."""
         known = self.operations.get(command.key)
         if known is not None:
             if known.lane != command.lane:
-                raise result.RequestError(result.ResultCode.OPERATION_DIFFERS, detail=f"used for lane {known.lane}")
+                raise result.RequestError(
+                    result.ResultCode.OPERATION_DIFFERS, detail=f"the key is in use for lane {known.lane}"
+                )
             if known.digest != command.digest:
                 raise result.RequestError(result.ResultCode.OPERATION_MISMATCH)
             return (), dataclasses.replace(known, mine=known.go == command.go and not known.outcome)
         if len(self.operations) >= MAX_OPERATIONS:
             raise result.RequestError(
-                result.ResultCode.OVERLOADED, detail="too many operations", retry=OVERLOADED_RETRY_AFTER
+                result.ResultCode.OVERLOADED,
+                detail="the limit of operation keys of the group is reached",
+                retry=OVERLOADED_RETRY_AFTER,
             )
         event = messages.OperationClaimed(
             command.key, command.lane, command.go, command.digest, command.within, command.keep
@@ -195,7 +207,7 @@
         )
 
     def close_operation(self, command: messages.CloseOperation, now: datetime.timedelta) -> Decision:
-        """The go that holds the key tells how it ended."""
+        """Record the outcome of the attempt that holds an operation key."""
         known = self.operations.get(command.key)
         if known is None or known.go != command.go or known.outcome:
             return (), messages.Closed("" if known is None else known.outcome)
@@ -206,14 +218,14 @@
         )
 
     def apply(self, event: Event) -> None:
-        """Take an event in; one of no kind that is known here changes nothing."""
+        """Apply an event to the state; an event of an unknown type is ignored."""
         if type(event) in call_sessions.EVENTS:
             self.calls.apply(typing.cast(entry.Event, event))
         elif type(event) in EVENTS:
             EVENTS[type(event)](self, event)
 
     def apply_turn_opened(self, event: messages.TurnOpened) -> None:
-        """A turn is in flight."""
+        """Add a turn in flight."""
         known = self.programs.get(event.program) or messages.Program(
             event.program, event.lane, event.budget, 0, event.keep, (), ()
         )
@@ -224,24 +236,24 @@
         )
 
     def apply_turn_closed(self, event: messages.TurnClosed) -> None:
-        """A turn in flight ended."""
+        """End a turn in flight."""
         self.programs[event.program] = close_program_turn(self.programs[event.program], event)
         self.turn_opened_at.pop(event.go, None)
         self.program_of_open_turn.pop(event.go, None)
 
     def apply_program_forgotten(self, event: messages.ProgramForgotten) -> None:
-        """A program is dropped."""
+        """Drop a program."""
         self.programs.pop(event.program, None)
         self.program_active_at.pop(event.program, None)
 
     def apply_operation_claimed(self, event: messages.OperationClaimed) -> None:
-        """A key is reserved."""
+        """Reserve an operation key."""
         self.operations[event.key] = messages.Operation(
             event.key, event.lane, event.go, event.digest, False, "", b"", event.within, event.keep
         )
 
     def apply_operation_closed(self, event: messages.OperationClosed) -> None:
-        """A key has an outcome, or is free as its work did not run."""
+        """Set the outcome of an operation key, or release it if its work did not run."""
         if event.outcome == messages.NOT_RUN:
             self.drop_operation(event.key)
         elif event.key in self.operations:
@@ -250,28 +262,29 @@
             )
 
     def apply_operation_forgotten(self, event: messages.OperationForgotten) -> None:
-        """A key was remembered long enough."""
+        """Drop an expired operation key."""
         self.drop_operation(event.key)
 
     def drop_operation(self, key: str) -> None:
-        """Drop a key and its answer."""
+        """Drop an operation key and its answer."""
         self.operations.pop(key, None)
         self.key_noted_at.pop(key, None)
 
     def due(self, now: datetime.timedelta, is_edge_gone: collections.abc.Callable[[str], bool]) -> tuple[Command, ...]:
-        """Commands of the clock: turns whose edge is gone or never came back, programs and keys kept long enough.
+        """Return the timer commands that are due.
 
-        All turns in flight are looked at each time; of programs and keys a bounded number, round and round, so that a
-        large group never holds the loop for long. The first look at a thing starts its clock here.
+        They end turns whose edge is gone or whose time limit has passed, and forget expired programs and keys. All
+        turns in flight are checked on each call, programs and keys in turn and in bounded numbers, so that a large
+        group never blocks the event loop for long. The first check of an item starts its timer.
         """
-        found: list[Command] = []
-        for go, name in self.program_of_open_turn.items():
-            turn = next(each for each in self.programs[name].under_way if each.go == go)
+        commands: list[Command] = []
+        for attempt, name in self.program_of_open_turn.items():
+            turn = next(each for each in self.programs[name].under_way if each.go == attempt)
             if (
                 is_edge_gone(turn.edge)
-                or now - self.turn_opened_at.setdefault(go, now) > turn.within + RETENTION_MARGIN
+                or now - self.turn_opened_at.setdefault(attempt, now) > turn.within + RETENTION_MARGIN
             ):
-                found.append(messages.CloseTurn(name, turn.helper, go, messages.UNKNOWN, "", "", 0))
+                commands.append(messages.CloseTurn(name, turn.helper, attempt, messages.UNKNOWN, "", "", 0))
         for _ in range(SCAN_LIMIT):
             kind, name = next(self.scan, ("", ""))
             if not kind:
@@ -282,84 +295,86 @@
                 break
             program, operation = self.programs.get(name), self.operations.get(name)
             if kind == "program" and program is not None and self.is_program_expired(program, now):
-                found.append(messages.ForgetProgram(name))
+                commands.append(messages.ForgetProgram(name))
             elif kind == "key" and operation is not None and self.is_key_expired(operation, now):
-                found.append(messages.ForgetOperation(name))
-            if len(found) >= DUE_LIMIT:
+                commands.append(messages.ForgetOperation(name))
+            if len(commands) >= DUE_LIMIT:
                 break
-        return (*found, *self.calls.due(now, is_edge_gone))
+        return (*commands, *self.calls.due(now, is_edge_gone))
 
     def reset_clocks(self) -> None:
-        """This node is the primary no more: what it saw when counts for nothing if it is one again."""
+        """Reset all timers when this node stops being the primary, so that a later tenure starts them anew."""
         self.program_active_at, self.turn_opened_at, self.key_noted_at, self.scan = {}, {}, {}, iter(())
         self.calls.reset_clocks()
 
     def snapshot(self) -> bytes:
-        """All of it as bytes."""
+        """Return a snapshot of the current state as bytes."""
         return b"".join(self.snapshot_parts())
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The snapshot of this moment in bounded parts; what changes meanwhile is not in it."""
-        held = (list(self.programs.values()), list(self.operations.values()))
+        """Return a snapshot of the current state in bounded chunks; later changes are not included."""
+        tables = (list(self.programs.values()), list(self.operations.values()))
         call_parts = self.calls.snapshot_parts()
 
         def parts() -> collections.abc.Iterator[bytes]:
-            for row in held:
-                yield codec.LENGTH.pack(len(row))
-                for place in range(0, len(row), RECORDS_PER_CHUNK):
-                    yield b"".join(codec.pack(one) for one in row[place : place + RECORDS_PER_CHUNK])
+            for records in tables:
+                yield codec.LENGTH.pack(len(records))
+                for start in range(0, len(records), RECORDS_PER_CHUNK):
+                    yield b"".join(codec.pack(record) for record in records[start : start + RECORDS_PER_CHUNK])
             yield from call_parts
 
         return parts()
 
     def size(self) -> int:
-        """How much a snapshot holds, in programs, keys and entries of calls."""
+        """Return the number of records in a snapshot: programs, keys and records of opaque calls."""
         return len(self.programs) + len(self.operations) + self.calls.size()
 
     def payload_bytes(self) -> int:
-        """Bytes of history and kept answers that are held.
+        """Return the bytes of the history and stored answers of opaque calls.
 
         Example: ``SessionState().payload_bytes() == 0``
         """
         return self.calls.payload_bytes()
 
     def limit_payload(self, max_bytes: int) -> None:
-        """Bound the history and kept answers, in bytes; what is held already stays."""
+        """Limit the history and stored answers of opaque calls, in bytes; what is already stored stays."""
         self.calls.max_payload_bytes = max_bytes
 
     def restore(self, body: bytes) -> None:
-        """Become what a snapshot shows; one from before there were opaque calls ends behind the operations.
+        """Replace the state with that of a snapshot; one of a version without opaque calls ends after the operations.
 
-        :raises codec.CodecError: when the bytes are no snapshot; nothing changed then
+        :raises codec.CodecError: if the bytes are not a valid snapshot; nothing has changed then
         """
-        shown, place = codec.unpack_from(messages.SessionSnapshot, body, 0)
-        if place < len(body):
-            # All of it is read before any is taken: bytes that are no snapshot change nothing.
-            calls = session_snapshot.decode(body, place)
+        snapshot, offset = codec.unpack_from(messages.SessionSnapshot, body, 0)
+        if offset < len(body):
+            # Decode everything before changing anything, so that invalid bytes change nothing.
+            calls = session_snapshot.decode(body, offset)
             if calls.end != len(body):
-                raise codec.CodecError("bytes are left over")
+                raise codec.CodecError("trailing bytes after the snapshot")
             self.calls.load(calls)
-        self.programs = {one.name: one for one in shown.programs}
-        self.operations = {one.key: one for one in shown.operations}
-        self.program_of_open_turn = {go.go: one.name for one in shown.programs for go in one.under_way}
+        self.programs = {program.name: program for program in snapshot.programs}
+        self.operations = {operation.key: operation for operation in snapshot.operations}
+        self.program_of_open_turn = {
+            turn.go: program.name for program in snapshot.programs for turn in program.under_way
+        }
 
 
 def close_program_turn(program: messages.Program, event: messages.TurnClosed) -> messages.Program:
-    """A program once a turn of it ended."""
-    ended = next(one for one in program.under_way if one.go == event.go)
-    under_way = tuple(one for one in program.under_way if one.go != event.go)
+    """Return a program after a turn of it ended."""
+    ended = next(turn for turn in program.under_way if turn.go == event.go)
+    under_way = tuple(turn for turn in program.under_way if turn.go != event.go)
     if event.outcome == messages.NOT_RUN:
         return dataclasses.replace(program, under_way=under_way)
     if event.outcome == messages.UNKNOWN:
         return dataclasses.replace(program, under_way=under_way, used=program.used + ended.reserve)
     chain = program.chain(event.helper)
-    turn = messages.Past(ended.after + 1, event.go, event.input, event.output, event.used)
-    chains = tuple(one for one in program.chains if one.helper != event.helper)
+    finished = messages.Past(ended.after + 1, event.go, event.input, event.output, event.used)
+    chains = tuple(other for other in program.chains if other.helper != event.helper)
     return dataclasses.replace(
         program,
         under_way=under_way,
         used=program.used + event.used,
-        chains=chains + (messages.Chain(event.helper, chain.past + (turn,)),),
+        chains=chains + (messages.Chain(event.helper, chain.past + (finished,)),),
     )
 
 
--- a/aspencroft/sessions/request_quota.py
+++ b/aspencroft/sessions/request_quota.py
@@ -1,9 +1,9 @@
-"""Requests of tenants, counted over a sliding window: how many a tenant may still make, over all edges together.
+"""Request quotas of tenants: sliding-window rate limits that apply to all edges together.
 
-The group's primary counts in memory what it grants. So that a successor knows of it, the counts of a tenant are
-recorded in the group's log, though not for each grant: the primary may run ahead of its last record by a bounded number
-of requests. After a takeover at most so many are forgotten. Its first record presumes that so many were, so that those
-that several takeovers within one window forget do not add up.
+The group's primary counts the requests it grants in memory. For a successor, the counts of a tenant are written to the
+group's log, but not for each grant: the primary may run ahead of the newest record by a bounded number of requests
+(``run_ahead``). A takeover loses at most that many grants. The first record of the new primary presumes that this many
+were lost, so that the losses of several takeovers within one window do not add up.
 """
 
 import collections
@@ -18,28 +18,28 @@
 from aspencroft.sessions import entry, messages
 
 STEPS_PER_WINDOW = 100
-"""Grants within one such step of a window are counted together, at the time of the last."""
+"""Number of steps in a window; the grants of one step are counted together, at the time of the last one."""
 RECORDED_STEPS = 10
-"""Steps of a window in a record: it says for how many of them a grant is gone already, rounded down."""
+"""Number of steps in a window of a record, which gives the age of a grant in whole steps, rounded down."""
 MAX_TENANTS = 50_000
 MAX_WINDOW = clock.seconds(3600)
 EXPIRED_AT_ONCE = 8
-"""Remembered replies that one look forgets at most: more than one question adds."""
+"""Maximum number of remembered replies checked for expiry on each request, which is more than one request adds."""
 IDLE_LOOKED_AT = 16
-"""Windows that one step of the clock looks at."""
+"""Windows checked in one scan step."""
 JUST_BEFORE = datetime.timedelta(microseconds=1)
 SHORTEST_RETRY = clock.seconds(0.01)
 
 
 class GrantedStep(typing.NamedTuple):
-    """Requests that were granted at nearly the same time, by this primary's clock."""
+    """Requests granted within one step of a window; ``at`` is a time of this primary's clock."""
 
     at: datetime.timedelta
     requests: int
 
 
 class AnsweredQuestion(typing.NamedTuple):
-    """The newest question of an edge about a tenant, and the reply that it got."""
+    """The newest reservation request of an edge for a tenant, and the reply to it."""
 
     number: int
     at: datetime.timedelta
@@ -47,7 +47,7 @@
 
 
 class Presumption(enum.Enum):
-    """Whether a record tells what an earlier primary may have granted on none."""
+    """Whether presumed grants of an earlier primary are in the log: not yet, in a record being sent, or committed."""
 
     UNRECORDED = enum.auto()
     IN_RECORD = enum.auto()
@@ -55,7 +55,7 @@
 
 
 class TenantWindow:
-    """What a tenant was granted within the window that ends now."""
+    """The grants of a tenant within the window that ends now."""
 
     __slots__ = (
         "answered",
@@ -74,27 +74,30 @@
         self.steps: collections.deque[GrantedStep] = collections.deque()
         self.total = 0
         self.unrecorded: collections.deque[GrantedStep] = collections.deque()
-        """The steps that no record holds."""
+        """The steps that are not in any record."""
         self.answered: dict[str, AnsweredQuestion] = {}
-        """By the edge that asked, those asked longest ago first."""
+        """By requesting edge, oldest request first."""
         self.presumed = GrantedStep(clock.ZERO, 0)
-        """What an earlier primary may have granted on no record; not in ``total``, as the allowed error covers it."""
+        """Grants that an earlier primary may have made without a record.
+
+        They are not in ``total``: the allowed error of the quota covers them.
+        """
         self.presumption = Presumption.RECORDED
         self.in_record: list[GrantedStep] = []
-        """The steps whose record is not known to be with all members."""
+        """The steps whose record is not yet known to be committed on all members."""
         self.run_ahead = 0
-        """How many granted requests may be on no record, as the newest question says."""
+        """Maximum number of granted requests without a record, as given by the newest request."""
         self.length = clock.ZERO
         self.expired_until = datetime.timedelta.min
-        """Grants of this time and before are forgotten already."""
+        """Grants made at or before this time have already been dropped."""
 
     def presume(self, now: datetime.timedelta, count: int) -> None:
-        """Hold it for possible that an earlier primary granted so many requests just now that no record shows."""
+        """Presume that an earlier primary granted this many requests at this time without a record."""
         self.presumed = GrantedStep(now, count)
         self.presumption = Presumption.UNRECORDED if count else Presumption.RECORDED
 
     def expire(self, now: datetime.timedelta, window: datetime.timedelta) -> None:
-        """Forget what was granted before the window."""
+        """Drop the grants and remembered replies that are older than the window."""
         while self.steps and now - self.steps[0].at > window:
             oldest = self.steps.popleft()
             self.total -= oldest.requests
@@ -108,32 +111,32 @@
             self.presume(now, 0)
 
     def known_reply(self, command: entry.ReserveRequests) -> entry.RequestsReserved | None:
-        """The reply that the very question got before."""
+        """Return the earlier reply if the command is a retry of the edge's newest request, otherwise None."""
         answered = self.answered.get(command.edge)
         return answered.reply if answered is not None and answered.number == command.question else None
 
     def remember(self, command: entry.ReserveRequests, now: datetime.timedelta, reply: entry.RequestsReserved) -> None:
-        """Keep a reply, in case that it is lost on its way."""
+        """Remember a reply, so that a retry after its loss gets the same one."""
         self.answered.pop(command.edge, None)
         self.answered[command.edge] = AnsweredQuestion(command.question, now, reply)
 
     def add(self, now: datetime.timedelta, count: int, window: datetime.timedelta) -> None:
-        """Count a grant; all of one step count as granted with the last of them."""
+        """Count a grant; all grants within one step count as made at the time of the last one."""
         self.total += count
         step_length = window / STEPS_PER_WINDOW
         for steps in (self.steps, self.unrecorded):
             is_same_step = steps and steps[-1].at // step_length == now // step_length
-            before = steps.pop().requests if is_same_step else 0
-            steps.append(GrantedStep(now, before + count))
+            earlier = steps.pop().requests if is_same_step else 0
+            steps.append(GrantedStep(now, earlier + count))
 
     def room_for(self, command: entry.ReserveRequests) -> int:
-        """How many of the requests that are asked for may be granted."""
+        """Return how many of the requested requests may be granted."""
         return max(0, min(command.count, command.limit - self.total))
 
     def grant(
         self, command: entry.ReserveRequests, granted: int, now: datetime.timedelta, epoch: int
     ) -> entry.RequestsReserved:
-        """Count a grant, or none, and keep the reply."""
+        """Count the granted requests, if any, and remember the reply."""
         retry = clock.ZERO if granted == command.count else self.time_until_free(now, command.window)
         reply = entry.RequestsReserved(granted, retry, epoch, now)
         self.remember(command, now, reply)
@@ -142,9 +145,10 @@
         return reply
 
     def take_back(self, count: int) -> None:
-        """Count requests no more that did not run and whose grants are not forgotten yet.
+        """Stop counting granted requests that did not run and have not expired.
 
-        The oldest grants go: whichever grant was not used, what remains expires no earlier than what was used.
+        The oldest grants are dropped: whichever grants were unused, the remaining ones expire no earlier than those
+        that were used.
         """
         while count > 0 and self.steps:
             oldest = self.steps.popleft()
@@ -155,88 +159,95 @@
                 self.steps.appendleft(GrantedStep(oldest.at, oldest.requests - taken))
 
     def unrecorded_count(self) -> int:
-        """How many of the granted requests no record holds."""
+        """Return the number of granted requests that are not in any record."""
         return sum(step.requests for step in self.unrecorded)
 
     def is_record_due(self, granted: int) -> bool:
-        """Whether a record has to go before the reply to so many more: too many are on none, or what is presumed is."""
+        """Return whether a record must be committed before the reply that grants this many more requests.
+
+        That is so if the unrecorded grants would exceed ``run_ahead``, or if the presumed grants are unrecorded.
+        """
         return self.presumption is Presumption.UNRECORDED or self.unrecorded_count() + granted > self.run_ahead
 
     def may_answer_at_once(self, granted: int) -> bool:
-        """Whether so many more may be granted while the newest record may not be with all members yet."""
-        ahead = self.unrecorded_count() + sum(step.requests for step in self.in_record) + granted
-        return self.presumption is Presumption.RECORDED and ahead <= self.run_ahead
+        """Return whether this many more may be granted though the newest record may not be committed on all members."""
+        uncommitted = self.unrecorded_count() + sum(step.requests for step in self.in_record) + granted
+        return self.presumption is Presumption.RECORDED and uncommitted <= self.run_ahead
 
     def note_record(self) -> None:
-        """All that is counted or presumed stands in a record that is on its way to the members."""
+        """Note that all counted and presumed grants are in a record that is being sent to the members."""
         self.in_record.extend(self.unrecorded)
         self.unrecorded.clear()
         if self.presumption is Presumption.UNRECORDED:
             self.presumption = Presumption.IN_RECORD
 
     def note_committed(self) -> None:
-        """The records are with all members."""
+        """Note that the record of this window is committed on all members."""
         self.in_record.clear()
         if self.presumption is Presumption.IN_RECORD:
             self.presumption = Presumption.RECORDED
 
     def time_until_free(self, now: datetime.timedelta, window: datetime.timedelta) -> datetime.timedelta:
-        """How long until a granted request leaves the window."""
+        """Return the time until the oldest grants leave the window."""
         if not self.steps:
             return SHORTEST_RETRY
         return max(SHORTEST_RETRY, self.steps[0].at + window - now)
 
 
 class RecordedWindow(typing.NamedTuple):
-    """The newest record of a tenant's grants, and when this replica first saw it (not before it was written)."""
+    """The newest record of a tenant's grants, and when this replica first saw it (never before it was written)."""
 
     event: entry.RequestsCounted
     seen_at: datetime.timedelta | None
 
 
 class RequestQuotas:
-    """Counts of all tenants whose requests this group counts.
+    """The request quotas of all tenants of a group.
 
-    The records are the replicated state; windows belong to one tenure as primary and begin with what is recorded.
+    The records are the replicated state. The windows belong to one tenure as primary and start from the records.
     """
 
     def __init__(self, records: collections.abc.Iterable[entry.RequestsCounted] = ()):
         self.records = {event.tenant: RecordedWindow(event, None) for event in records}
         self.windows: dict[str, TenantWindow] = {}
         self.first_asked_at: datetime.timedelta | None = None
-        """When this primary was first asked: those before it granted nothing later."""
+        """Time of the first request to this primary; earlier primaries granted nothing after it."""
         self.recording: dict[str, TenantWindow] = {}
-        """Windows whose record is not known to be with all members."""
+        """Windows whose record is not yet known to be committed on all members."""
         self.to_record: dict[str, None] = {}
-        """Tenants whose grants are to be recorded ahead of need."""
+        """Tenants whose grants are to be recorded before a reply has to wait for it."""
 
     def reset_clocks(self) -> None:
-        """This primary's counts are over; the records stay."""
+        """Drop the windows when this node stops being the primary; the records stay."""
         self.windows, self.recording, self.to_record = {}, {}, {}
         self.first_asked_at = None
 
     def window_of(self, command: entry.ReserveRequests, now: datetime.timedelta) -> TenantWindow:
-        """A tenant's window up to now; one that this primary has not used yet begins with what is recorded.
+        """Return a tenant's window, without expired grants; a window new to this primary starts from the record.
 
-        :raises result.RequestError: MALFORMED for counts below zero or a window out of bounds, OVERLOADED at a bound
+        :raises result.RequestError: MALFORMED for a negative count or a window out of range, OVERLOADED at MAX_TENANTS
         """
         if min(command.count, command.limit, command.run_ahead) < 0 or not clock.ZERO < command.window <= MAX_WINDOW:
-            raise result.RequestError(result.ResultCode.MALFORMED, detail="counts below zero, or no window")
+            raise result.RequestError(
+                result.ResultCode.MALFORMED, detail="a count is negative, or the window is out of range"
+            )
         if command.tenant not in self.windows and len(self.windows) >= MAX_TENANTS:
-            raise result.RequestError(result.ResultCode.OVERLOADED, detail="too many tenants")
+            raise result.RequestError(
+                result.ResultCode.OVERLOADED, detail="the limit of tenants of the group is reached"
+            )
         if self.first_asked_at is None:
             self.first_asked_at = now
-        found = self.windows.get(command.tenant)
-        if found is None:
-            found = self.windows[command.tenant] = self.recorded_window(command.tenant, now)
-            found.presume(self.first_asked_at, command.run_ahead)
-            found.expired_until = now - JUST_BEFORE
-        found.run_ahead, found.length = command.run_ahead, command.window
-        found.expire(now, command.window)
-        return found
+        window = self.windows.get(command.tenant)
+        if window is None:
+            window = self.windows[command.tenant] = self.recorded_window(command.tenant, now)
+            window.presume(self.first_asked_at, command.run_ahead)
+            window.expired_until = now - JUST_BEFORE
+        window.run_ahead, window.length = command.run_ahead, command.window
+        window.expire(now, command.window)
+        return window
 
     def recorded_window(self, tenant: str, now: datetime.timedelta) -> TenantWindow:
-        """The window that a record shows; what it holds is taken for no older than is certain."""
+        """Return the window that a tenant's record shows, with the minimum age that is certain for each grant."""
         restored = TenantWindow()
         record = self.records.get(tenant)
         if record is None:
@@ -248,9 +259,9 @@
         return restored
 
     def decide_reserve(self, command: entry.ReserveRequests, now: datetime.timedelta, epoch: int) -> entry.Decision:
-        """Grant as many of the requests as the window has room for; a record is due once too much is unrecorded.
+        """Grant as many of the requests as the window has room for, with a record if too many grants have none.
 
-        :raises result.RequestError: MALFORMED for counts below zero or a window out of bounds, OVERLOADED at a bound
+        :raises result.RequestError: MALFORMED for a negative count or a window out of range, OVERLOADED at MAX_TENANTS
         """
         window = self.window_of(command, now)
         known = window.known_reply(command)
@@ -264,7 +275,7 @@
     def reserve_at_once(
         self, command: entry.ReserveRequests, now: datetime.timedelta, epoch: int
     ) -> entry.RequestsReserved | None:
-        """The reply, if it needs no record and may go out before the newest record is with all members.
+        """Return the reply if it needs no record and need not wait until the newest record is committed, else None.
 
         :raises result.RequestError: as ``decide_reserve``
         """
@@ -281,12 +292,12 @@
         return reply
 
     def due_records(self, now: datetime.timedelta) -> list[entry.RecordRequests]:
-        """Records that are written ahead of need, so that grants seldom wait for one."""
+        """Return the commands that record grants early, so that replies seldom have to wait for a record."""
         self.forget_idle_windows(now)
         return [entry.RecordRequests(tenant) for tenant in self.to_record]
 
     def forget_idle_windows(self, now: datetime.timedelta) -> None:
-        """Drop some windows that hold nothing; whoever asks again begins with what is recorded."""
+        """Check some windows and drop the idle ones; a later request of their tenant starts from the record."""
         for tenant in list(itertools.islice(self.windows, IDLE_LOOKED_AT)):
             window = self.windows.pop(tenant)
             window.expire(now, window.length)
@@ -294,7 +305,7 @@
                 self.windows[tenant] = window
 
     def decide_record(self, command: entry.RecordRequests, now: datetime.timedelta) -> entry.Decision:
-        """Put a tenant's window on record."""
+        """Record a tenant's window, if it has unrecorded grants."""
         window = self.windows.get(command.tenant)
         self.to_record.pop(command.tenant, None)
         if window is None or not window.unrecorded:
@@ -302,22 +313,23 @@
         return self.record(command.tenant, window, now), messages.Closed("")
 
     def record(self, tenant: str, window: TenantWindow, now: datetime.timedelta) -> tuple[entry.RequestsCounted, ...]:
-        """The event that records a tenant's window."""
+        """Return the event that records a tenant's window."""
         window.expire(now, window.length)
         window.note_record()
         self.recording[tenant] = window
         return (record_of(tenant, window, now, window.length),)
 
     def note_committed(self) -> None:
-        """The records are with all members."""
+        """Note that all records so far are committed on all members."""
         for window in self.recording.values():
             window.note_committed()
         self.recording.clear()
 
     def decide_return(self, command: entry.ReturnRequests, epoch: int) -> entry.Decision:
-        """Requests that were granted in this tenure did not run; those granted by an earlier primary stay counted.
+        """Stop counting requests that were granted in this tenure and did not run.
 
-        A return that was held up on its way is too late once its grants left the window: it would take others for them.
+        Grants of an earlier primary stay counted. A delayed return is ignored once its grants have left the window, as
+        it would remove other grants instead.
         """
         window = self.windows.get(command.tenant)
         if window is not None and command.epoch == epoch and command.granted_at > window.expired_until:
@@ -325,21 +337,21 @@
         return (), entry.RequestsReserved(0, clock.ZERO, epoch, command.granted_at)
 
     def apply_counted(self, event: entry.RequestsCounted, now: datetime.timedelta | None) -> None:
-        """A tenant's counts were recorded; the tenant that was recorded longest ago gives way at a bound."""
+        """Store a tenant's record; at MAX_TENANTS the least recently recorded tenant is dropped."""
         self.records.pop(event.tenant, None)
         if len(self.records) >= MAX_TENANTS:
             self.records.pop(next(iter(self.records)))
         self.records[event.tenant] = RecordedWindow(event, now)
 
     def snapshot(self) -> tuple[entry.RequestsCounted, ...]:
-        """All records, those that were recorded longest ago first."""
+        """Return all records, least recently recorded first."""
         return tuple(record.event for record in self.records.values())
 
 
 def record_of(
     tenant: str, window: TenantWindow, now: datetime.timedelta, length: datetime.timedelta
 ) -> entry.RequestsCounted:
-    """The record of a tenant's window, in coarser steps; for a successor, what is presumed counts as granted."""
+    """Return the record of a tenant's window, in coarser steps; presumed grants are included for a successor."""
     step_length = length / RECORDED_STEPS
     counts: collections.Counter[int] = collections.Counter()
     for step in (*window.steps, window.presumed):
--- a/aspencroft/sessions/session_snapshot.py
+++ b/aspencroft/sessions/session_snapshot.py
@@ -1,4 +1,4 @@
-"""The bytes of a group's call sessions in bounded chunks, and back."""
+"""Snapshots of the opaque calls of a session group: encoding in bounded chunks, and decoding."""
 
 import collections.abc
 import typing
@@ -8,16 +8,16 @@
 from aspencroft.transport import codec
 
 SHARED_PIECE_BYTES = 512
-"""A piece of a record so large is a chunk of its own: history is shared with the snapshot, not copied into it."""
+"""A piece of at least this size becomes its own chunk, so that history is shared with the snapshot, not copied."""
 CHUNK_BYTES = 64 << 10
-"""Smaller pieces are gathered until they take so much."""
+"""Smaller pieces are collected into chunks of about this size."""
 
 
 NO_QUOTAS = entry.QuotaRecords(())
 
 
 class Restored(typing.NamedTuple):
-    """A snapshot that was read, and the offset of the first byte behind it."""
+    """A decoded snapshot, and the offset of the first byte after it."""
 
     snapshot: entry.LedgerSnapshot
     ages: entry.TurnAges
@@ -26,7 +26,7 @@
 
 
 def empty() -> Restored:
-    """A snapshot of a group that holds nothing."""
+    """Return the snapshot of an empty group."""
     return Restored(entry.LedgerSnapshot((), (), (), (), (), ()), entry.TurnAges(clock.ZERO, ()), NO_QUOTAS, 0)
 
 
@@ -36,53 +36,53 @@
     ages: entry.TurnAges,
     quotas: entry.QuotaRecords = NO_QUOTAS,
 ) -> collections.abc.Iterator[bytes]:
-    """An ``entry.LedgerSnapshot`` as bytes, behind it the ages of turns, and the records of quotas if there are any.
+    """Encode an ``entry.LedgerSnapshot``, then the ages of turns, then the quota records if there are any.
 
-    :param tables: records of the fields of the snapshot but the last, in their order
+    :param tables: the records of all fields of the snapshot but the last, in the order of the fields
     :param released: the last field
     """
-    waiting: list[bytes] = []
+    pending: list[bytes] = []
     size = 0
-    for row in (*tables, released):
-        waiting.append(codec.LENGTH.pack(len(row)))
-        for record in row:
-            if row is released:
-                written = bytearray()
-                codec.write(str, record, written)
-                pieces = [bytes(written)]
+    for table in (*tables, released):
+        pending.append(codec.LENGTH.pack(len(table)))
+        for record in table:
+            if table is released:
+                buffer = bytearray()
+                codec.write(str, record, buffer)
+                pieces = [bytes(buffer)]
             else:
                 pieces = codec.pieces(record)
             for piece in pieces:
                 if len(piece) >= SHARED_PIECE_BYTES:
-                    if waiting:
-                        yield b"".join(waiting)
+                    if pending:
+                        yield b"".join(pending)
                     yield piece
-                    waiting, size = [], 0
+                    pending, size = [], 0
                 else:
-                    waiting.append(piece)
+                    pending.append(piece)
                     size += len(piece)
             if size >= CHUNK_BYTES:
-                yield b"".join(waiting)
-                waiting, size = [], 0
-    yield b"".join(waiting)
+                yield b"".join(pending)
+                pending, size = [], 0
+    yield b"".join(pending)
     yield codec.pack(ages)
     if quotas.counted:
         yield codec.pack(quotas)
 
 
 def decode(body: bytes, start: int) -> Restored:
-    """Read the snapshot that begins at an offset.
+    """Decode the snapshot that starts at an offset.
 
-    In one of an earlier version the ages of turns are missing: they count as new.
+    Snapshots of earlier versions lack the ages of turns; their turns count as new.
 
-    :raises codec.Broken: when the bytes are no snapshot
+    :raises codec.CodecError: if the bytes are not a valid snapshot
     """
     snapshot, end = codec.unpack_from(entry.LedgerSnapshot, body, start)
     ages = entry.TurnAges(clock.ZERO, (clock.ZERO,) * len(snapshot.turns))
     if end < len(body):
         ages, end = codec.unpack_from(entry.TurnAges, body, end)
     if len(ages.ended) != len(snapshot.turns):
-        raise codec.CodecError("as many ages as turns were expected")
+        raise codec.CodecError(f"snapshot has {len(snapshot.turns)} retained turns but {len(ages.ended)} ages")
     quotas = NO_QUOTAS
     if end < len(body):
         quotas, end = codec.unpack_from(entry.QuotaRecords, body, end)
--- a/aspencroft/sessions/token_budget.py
+++ b/aspencroft/sessions/token_budget.py
@@ -1,4 +1,4 @@
-"""Token budgets of programs: what is used and reserved, and which program may be forgotten."""
+"""Token budgets of programs: tokens used and reserved, and which programs may be forgotten."""
 
 import collections.abc
 import dataclasses
@@ -11,37 +11,37 @@
 
 
 class TokenBudgets:
-    """An account for each program. A turn begins only while ``used + reserved < budget``."""
+    """One account for each program. A turn begins only while ``used + reserved < budget``."""
 
     def __init__(self, accounts: collections.abc.Iterable[entry.Account] = ()):
         self.accounts: dict[str, entry.Account] = {account.program: account for account in accounts}
         self.reset_clocks()
 
     def reset_clocks(self) -> None:
-        """Forget when this primary saw each program active."""
+        """Reset the activity timers of all programs."""
         self.last_active_at: dict[str, datetime.timedelta] = {}
 
     def note_activity(self, program: str, now: datetime.timedelta) -> None:
-        """A turn of a program began or ended; calls without a program have no account."""
+        """Restart a program's activity timer; calls without a program have no account."""
         if program:
             self.last_active_at[program] = now
 
     def is_full_for(self, program: str) -> bool:
-        """Whether a program is new and there is no place for one more."""
+        """Return whether a program is new and the limit of programs is reached."""
         return bool(program) and program not in self.accounts and len(self.accounts) >= MAX_PROGRAMS
 
     def last_worker(self, program: str) -> str:
-        """The worker that last ran a turn of the program; empty when none is known."""
+        """Return the worker that last ran a turn of the program, empty if none is known."""
         account = self.accounts.get(program)
         return "" if account is None else account.worker
 
     def budget_in_force(self, command: entry.BeginTurn, now: datetime.timedelta) -> int:
-        """The budget in tokens that a turn begins under, zero when none was given.
+        """Return the token budget that applies to a turn, zero if the program has none.
 
-        The first one given stands and is only lowered. A rejection counts as the program's activity: the account of
-        one that goes on asking is not forgotten, and its budget with it.
+        The first budget given stays in force and can only be lowered. A rejection counts as activity of the program:
+        otherwise a program that keeps retrying would have its account forgotten, and its budget with it.
 
-        :raises result.RequestError: OUT_OF_BUDGET when it is used up or reserved
+        :raises result.RequestError: OUT_OF_BUDGET if the budget is used up or reserved
         """
         account = self.accounts.get(command.program)
         if account is None:
@@ -55,16 +55,16 @@
             self.last_active_at[command.program] = now
             raise result.RequestError(
                 result.ResultCode.OUT_OF_BUDGET,
-                detail=f"{account.used} used, {account.reserved} reserved of {budget}",
+                detail=f"{account.used} tokens used and {account.reserved} reserved of a budget of {budget}",
             )
         return budget
 
     def reserve(self, event: entry.TurnBegan) -> None:
-        """A turn is in flight: the most it may put out is reserved."""
+        """Reserve the maximum number of tokens that a turn may generate."""
         if not event.program:
             return
         known = self.accounts.get(event.program) or entry.Account(event.program, 0, 0, 0, event.keep, 0, 0, "")
-        # Built field by field: ``dataclasses.replace`` costs several times as much, and this runs for each turn.
+        # Built field by field, as ``dataclasses.replace`` is several times slower and this runs for each turn.
         self.accounts[event.program] = entry.Account(
             event.program,
             event.budget,
@@ -77,7 +77,7 @@
         )
 
     def settle(self, program: str, settlement: "Settlement", worker: str) -> bool:
-        """A turn ended: its reservation is released and it is charged; whether the program has an account."""
+        """Release the reservation of an ended turn and charge it; return whether the program has an account."""
         account = self.accounts.get(program)
         if account is None:
             return False
@@ -94,7 +94,7 @@
         return True
 
     def release_retained_turn(self, program: str) -> None:
-        """A retained turn of the program was forgotten."""
+        """Count one retained turn of the program less."""
         account = self.accounts.get(program)
         if account is not None:
             self.accounts[program] = entry.Account(
@@ -109,7 +109,7 @@
             )
 
     def find_expired(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those programs that were quiet for long, with no turn in flight or retained."""
+        """Return those of the given programs whose retention period has passed and that have no turns left."""
         expired = []
         for name in names:
             account = self.accounts.get(name)
@@ -129,9 +129,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Settlement:
-    """What a turn's end does to its program's account, in tokens.
+    """The effect of a turn's end on its program's account; ``charged`` and ``released`` are numbers of tokens.
 
-    ``charged`` is below zero where a late outcome is less than what was charged while it was unknown.
+    ``charged`` is negative if a late outcome costs less than what was charged while the outcome was unknown.
     """
 
     charged: int
--- a/aspencroft/sessions/turn_history.py
+++ b/aspencroft/sessions/turn_history.py
@@ -1,4 +1,4 @@
-"""Turns: those in flight, those retained with their history, and the attempts that may not begin again."""
+"""Turns in flight, retained turns with their history, and finished attempts that must not begin again."""
 
 import collections
 import collections.abc
@@ -12,9 +12,9 @@
 
 MAX_CHAIN_BYTES = 16 << 20
 MAX_TURNS = 100_000
-"""Turns in flight, retained turns and finished attempts of a group together."""
+"""Limit on the sum of turns in flight, retained turns and finished attempts of a group."""
 TURN_NOT_ENDED_RETRY_AFTER = clock.seconds(0.3)
-"""The turn before is about to end: its caller has the answer already."""
+"""Short, as the previous turn is about to end: its caller has the answer already."""
 RAN_BY_OUTCOME = {
     messages.DONE: result.Ran.RAN,
     messages.NOT_RUN: result.Ran.NOT_RUN,
@@ -23,7 +23,7 @@
 
 
 class Predecessor(typing.NamedTuple):
-    """What a turn goes on from: the turns to import, the bytes of the whole chain, the worker of its last turn."""
+    """The chain that a turn continues: its turns to import, its size in bytes, and the worker of its last turn."""
 
     imported: tuple[entry.Turn, ...]
     chain_bytes: int
@@ -34,11 +34,11 @@
 
 
 class TurnHistory:
-    """Turns by their attempt. History is held once and shared by all chains through it.
+    """Turns by attempt. The history of a turn is stored once and shared by all chains that contain it.
 
-    A turn is retained as long as a turn that goes on from it is retained or in flight. Clocks count from when this
-    primary first saw a thing, so that neither a takeover nor a restart shortens a span; how old retained turns were by
-    then is known by the group's own time.
+    A turn is retained as long as a turn that continues it is retained or in flight. Timers start when this primary
+    first sees an item, so that neither a takeover nor a restart shortens a retention period. The age that a retained
+    turn has by then is known from the group's own time.
     """
 
     def __init__(self, group_clock: retention.GroupClock, snapshot: entry.LedgerSnapshot, ages: entry.TurnAges):
@@ -47,9 +47,9 @@
         self.in_flight = {started.attempt: started for started in snapshot.in_flight}
         self.finished = {finished.attempt: finished for finished in snapshot.finished}
         self.ended_at = dict(zip(self.retained, ages.ended, strict=True))
-        """When each retained turn ended, by the group's time."""
+        """When each retained turn ended, in the group's time."""
         self.successors: dict[str, int] = {}
-        """How many turns, retained or in flight, go on from a turn; only turns that have any."""
+        """For each turn that has any: the number of retained or in-flight turns that continue it."""
         self.bytes = 0
         for retained in snapshot.turns:
             self.pin(retained.turn.previous)
@@ -59,21 +59,21 @@
         self.reset_clocks()
 
     def reset_clocks(self) -> None:
-        """Forget when this primary first saw each turn and attempt."""
+        """Reset the timers of all turns and finished attempts."""
         self.began_at: dict[str, datetime.timedelta] = {}
         self.answered_at: dict[str, datetime.timedelta] = {}
         self.finished_at: dict[str, datetime.timedelta] = {}
 
     def count(self) -> int:
-        """How many turns and finished attempts are held."""
+        """Return the number of turns and finished attempts."""
         return len(self.retained) + len(self.in_flight) + len(self.finished)
 
     # -- starting a turn ------------------------------------------------------------------------
 
     def repeated_start(self, command: entry.BeginTurn) -> entry.TurnBegun | None:
-        """The reply to the start of an attempt that is in flight; none when the attempt is new.
+        """Return the reply to a repeated start of an attempt in flight, or None if the attempt is new.
 
-        :raises result.RequestError: TURN_UNDER_WAY when it is in flight as another turn, STALE_TURN when it ended
+        :raises result.RequestError: TURN_UNDER_WAY if it is in flight as a different turn, STALE_TURN if it has ended
         """
         known = self.in_flight.get(command.attempt)
         if known is not None:
@@ -84,22 +84,22 @@
                 command.edge,
             ):
                 raise result.RequestError(
-                    result.ResultCode.TURN_UNDER_WAY, detail="the attempt is under way as another turn"
+                    result.ResultCode.TURN_UNDER_WAY, detail="the attempt is in flight as a different turn"
                 )
             return self.start_reply(known.previous, command.have, known.worker, ())
         if command.attempt in self.retained:
-            raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.RAN, "the attempt ended before")
+            raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.RAN, "the attempt has already ended")
         if command.attempt in self.finished:
             outcome = self.finished[command.attempt].outcome
             raise result.RequestError(
-                result.ResultCode.STALE_TURN, RAN_BY_OUTCOME[outcome], f"the attempt ended before: {outcome}"
+                result.ResultCode.STALE_TURN, RAN_BY_OUTCOME[outcome], f"the attempt has already ended: {outcome}"
             )
         return None
 
     def find_predecessor(self, command: entry.BeginTurn) -> Predecessor:
-        """What a turn goes on from; of a chain given with it, the turns that are not retained here yet.
+        """Return the chain that a turn continues; if the command brings it, with those turns that are not retained yet.
 
-        :raises result.RequestError: TURN_NOT_ENDED, UNKNOWN_TURN, or MALFORMED for a base that is no chain
+        :raises result.RequestError: TURN_NOT_ENDED, UNKNOWN_TURN, or MALFORMED if the base is not a valid chain
         """
         if not command.previous:
             return NO_PREDECESSOR
@@ -109,14 +109,14 @@
         self.check_end_is_known(command.previous)
         if not command.base:
             raise result.RequestError(result.ResultCode.UNKNOWN_TURN, detail=command.previous)
-        before, attempts = "", {command.attempt, ""}
+        last, attempts = "", {command.attempt, ""}
         for turn in command.base:
-            if turn.previous != before or turn.attempt in attempts or turn.attempt in self.in_flight:
-                raise result.RequestError(result.ResultCode.MALFORMED, detail="the base is no chain")
+            if turn.previous != last or turn.attempt in attempts or turn.attempt in self.in_flight:
+                raise result.RequestError(result.ResultCode.MALFORMED, detail="the turns of base do not form a chain")
             attempts.add(turn.attempt)
-            before = turn.attempt
-        if before != command.previous:
-            raise result.RequestError(result.ResultCode.MALFORMED, detail="the base does not end with the turn before")
+            last = turn.attempt
+        if last != command.previous:
+            raise result.RequestError(result.ResultCode.MALFORMED, detail="base does not end with the previous turn")
         return Predecessor(
             tuple(turn for turn in command.base if turn.attempt not in self.retained),
             sum(map(turn_bytes, command.base)),
@@ -124,7 +124,7 @@
         )
 
     def check_end_is_known(self, attempt: str) -> None:
-        """Refuse to say that there is no such turn while it may still become a retained one.
+        """Raise if a turn is not retained yet but may still become so, as it must not be reported as unknown then.
 
         :raises result.RequestError: TURN_NOT_ENDED
         """
@@ -137,7 +137,7 @@
             )
 
     def start_reply(self, previous: str, have: str, worker: str, imported: tuple[entry.Turn, ...]) -> entry.TurnBegun:
-        """The reply to a turn's start: the chain up to ``previous``, or what of it lies behind ``have``."""
+        """Return the reply to a turn's start: the chain up to ``previous``, or only the part of it after ``have``."""
         new = {turn.attempt: turn for turn in imported}
         chain, attempt = [], previous
         while attempt and attempt != have:
@@ -148,9 +148,9 @@
         return entry.TurnBegun(tuple(chain), worker, not attempt)
 
     def decide_find(self, command: entry.FindTurn, now: datetime.timedelta) -> entry.Decision:
-        """Whether a turn is retained, and its chain.
+        """Look up a retained turn and its chain.
 
-        :raises result.RequestError: TURN_NOT_ENDED while it may still become so
+        :raises result.RequestError: TURN_NOT_ENDED while the turn may still become retained
         """
         if command.attempt not in self.retained:
             self.check_end_is_known(command.attempt)
@@ -158,7 +158,7 @@
         return (), entry.TurnFound(True, self.start_reply(command.attempt, "", "", ()).chain)
 
     def apply_began(self, event: entry.TurnBegan) -> None:
-        """A turn is in flight; the chain that came with it is retained."""
+        """Add a turn in flight, and retain the chain that came with it."""
         for turn in event.base:
             self.retain(turn, "", event.keep)
         self.in_flight[event.attempt] = dataclasses.replace(event, base=()) if event.base else event
@@ -167,23 +167,23 @@
     # -- ending a turn --------------------------------------------------------------------------
 
     def take_in_flight(self, attempt: str) -> entry.TurnBegan | None:
-        """Take a turn out of those in flight. Its predecessor stays pinned: the caller unpins it when all is done."""
+        """Remove a turn from those in flight. Its predecessor stays pinned until the caller unpins it."""
         started = self.in_flight.pop(attempt, None)
         self.began_at.pop(attempt, None)
         return started
 
     def take_finished(self, attempt: str) -> entry.FinishedAttempt | None:
-        """Take a finished attempt out, as its outcome becomes known late."""
+        """Remove a finished attempt whose outcome becomes known late."""
         return self.finished.pop(attempt, None)
 
     def add_finished(self, finished: entry.FinishedAttempt) -> None:
-        """Remember an attempt that may not begin any more."""
+        """Remember an attempt that must not begin again."""
         self.finished[finished.attempt] = finished
 
     def retain(self, turn: entry.Turn, program: str, keep: datetime.timedelta) -> None:
-        """Hold a turn's history, if it is not held yet.
+        """Retain a turn's history, unless it is retained already.
 
-        It counts as ended at the next tick, so that what has passed since the last one makes it no older.
+        The turn counts as ended at the next tick, so that the time since the last tick does not add to its age.
         """
         if turn.attempt in self.retained:
             return
@@ -191,18 +191,20 @@
         self.finished_at.pop(turn.attempt, None)
         self.ended_at[turn.attempt] = self.group_clock.time + retention.TICK_SPAN
         added = turn_bytes(turn)
-        before = self.retained.get(turn.previous)
-        self.retained[turn.attempt] = entry.RetainedTurn(turn, program, keep, added + (before.size if before else 0))
+        previous = self.retained.get(turn.previous)
+        self.retained[turn.attempt] = entry.RetainedTurn(
+            turn, program, keep, added + (previous.size if previous else 0)
+        )
         self.bytes += added
         self.pin(turn.previous)
 
     def pin(self, attempt: str) -> None:
-        """A turn that goes on from this one is retained or in flight."""
+        """Count a turn, retained or in flight, that continues this one."""
         if attempt:
             self.successors[attempt] = self.successors.get(attempt, 0) + 1
 
     def unpin(self, attempt: str) -> None:
-        """A turn that went on from this one is no more."""
+        """Count one turn less that continues this one."""
         if attempt:
             left = self.successors.pop(attempt, 0) - 1
             if left > 0:
@@ -213,29 +215,29 @@
     def find_overdue(
         self, now: datetime.timedelta, is_gone: collections.abc.Callable[[str], bool]
     ) -> list[entry.EndTurn]:
-        """Ends, as unknown, of the turns in flight whose edge is gone or whose time is over."""
-        found = []
+        """Return commands that end, as UNKNOWN, the turns whose edge is gone or whose time limit has passed."""
+        overdue = []
         for attempt, started in self.in_flight.items():
             is_edge_gone = is_gone(started.edge)
             if (
                 now - self.began_at.setdefault(attempt, now) > started.within + retention.RETENTION_MARGIN
                 or is_edge_gone
             ):
-                found.append(
+                overdue.append(
                     entry.EndTurn(started.program, started.session, attempt, messages.UNKNOWN, b"", b"", 0, "")
                 )
-        return found
+        return overdue
 
     def age(self, attempt: str) -> datetime.timedelta:
-        """For how long a turn has been retained at least, by the group's time."""
+        """Return the minimum time for which a turn has been retained, by the group's time."""
         time = self.group_clock.time
         return max(clock.ZERO, time - self.ended_at.get(attempt, time))
 
     def find_expired(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those turns, and turns before them, whose span is over and that nothing goes on from any more."""
+        """Return the given turns, and their predecessors, that have expired and that no remaining turn continues."""
         expired: dict[str, None] = {}
         unpinned: collections.Counter[str] = collections.Counter()
-        """How many successors of a turn are among the expired ones."""
+        """For each turn, the number of its successors among the expired ones."""
         for name in names:
             attempt = name
             known = self.retained.get(attempt)
@@ -253,16 +255,16 @@
         return tuple(expired)
 
     def find_expired_finished(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
-        """Those finished attempts whose start can no longer arrive late."""
+        """Return those of the given finished attempts whose start can no longer arrive late."""
         span = retention.MIN_RETENTION + retention.RETENTION_MARGIN
         return tuple(
             name for name in names if name in self.finished and now - self.finished_at.setdefault(name, now) > span
         )
 
     def forget(self, attempt: str) -> entry.RetainedTurn | None:
-        """Let a turn's history go; what it was.
+        """Drop a turn's history and return it.
 
-        One with a short span is still remembered as finished, lest a late start begin it again.
+        A turn with a short retention period is still remembered as finished, so that a late start cannot run it again.
         """
         known = self.retained.pop(attempt, None)
         self.ended_at.pop(attempt, None)
@@ -278,13 +280,13 @@
         return known
 
     def forget_finished(self, attempt: str) -> None:
-        """Drop the memory of a finished attempt."""
+        """Drop the record of a finished attempt."""
         self.finished.pop(attempt, None)
         self.finished_at.pop(attempt, None)
 
 
 def turn_bytes(turn: entry.Turn) -> int:
-    """Bytes of a turn's own history.
+    """Return the size of a turn's own history in bytes.
 
     Example: ``turn_bytes(entry.Turn("a", "", b"in", b"out", "")) == 5``
     """
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -496,8 +496,8 @@
     Mutation(
         "a key whose edge is gone is free",
         "sessions/operation_keys.py",
-        '                found.append(entry.CloseKey(key, held.attempt, messages.UNKNOWN, 0, (), b""))\n',
-        '                found.append(entry.CloseKey(key, held.attempt, messages.NOT_RUN, 0, (), b""))\n',
+        '                overdue.append(entry.CloseKey(key, record.attempt, messages.UNKNOWN, 0, (), b""))\n',
+        '                overdue.append(entry.CloseKey(key, record.attempt, messages.NOT_RUN, 0, (), b""))\n',
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
@@ -1384,7 +1384,7 @@
     Mutation(
         "quota: a successor does not presume what the primary before it may have granted",
         "sessions/request_quota.py",
-        "            found.presume(self.first_asked_at, command.run_ahead)\n",
+        "            window.presume(self.first_asked_at, command.run_ahead)\n",
         "",
         ("sessions/request_quota_test.py::test_takeovers_one_after_the_other_forget_no_more_together_than_one_alone",),
     ),
@@ -1477,8 +1477,8 @@
     Mutation(
         "quota: a step counts as granted with its first request",
         "sessions/request_quota.py",
-        "            steps.append(GrantedStep(now, before + count))\n",
-        "            steps.append(GrantedStep(now // step_length * step_length, before + count))\n",
+        "            steps.append(GrantedStep(now, earlier + count))\n",
+        "            steps.append(GrantedStep(now // step_length * step_length, earlier + count))\n",
         ("sessions/request_quota_test.py",),
     ),
     Mutation(
