--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -1,4 +1,7 @@
-"""Sessions of opaque calls against a slow plain model over many seeds, and each of its rules by itself."""
+"""Tests of ``aspencroft.sessions.call_sessions`` against a simple reference model over many seeds.
+
+The helpers at the top are shared by the other tests of this package.
+"""
 
 import dataclasses
 import datetime
@@ -16,7 +19,7 @@
 )
 from aspencroft.transport import codec
 
-MINUTE, BEYOND = clock.seconds(60), clock.seconds(10)
+MINUTE, MARGIN = clock.seconds(60), clock.seconds(10)
 START = clock.seconds(1000)
 WITHIN = clock.seconds(3)
 KEEP = clock.seconds(60)
@@ -24,86 +27,88 @@
 
 
 def begin(attempt: str, previous: str = "", **changes) -> entry.BeginTurn:
-    """A turn of program p at edge e, without a budget, kept for a minute."""
+    """Build the start of a turn of program p at edge e, without a budget, retained for a minute."""
     return dataclasses.replace(
         entry.BeginTurn("p", "s", attempt, previous, 10, 0, True, KEEP, WITHIN, "e", "", ()), **changes
     )
 
 
 def end(attempt: str, outcome: str = messages.DONE, **changes) -> entry.EndTurn:
-    """The end of a turn of program p."""
-    given = entry.EndTurn("p", "s", attempt, outcome, f"in {attempt}\n".encode(), f"out {attempt}\n".encode(), 7, "i-1")
-    return dataclasses.replace(given, **changes)
+    """Build the end of a turn of program p."""
+    command = entry.EndTurn(
+        "p", "s", attempt, outcome, f"in {attempt}\n".encode(), f"out {attempt}\n".encode(), 7, "i-1"
+    )
+    return dataclasses.replace(command, **changes)
 
 
 def claim(attempt: str, **changes) -> entry.ClaimKey:
-    """A claim of key k at edge e."""
+    """Build the reservation of key k at edge e."""
     return dataclasses.replace(entry.ClaimKey("k", attempt, b"d", WITHIN, MINUTE, "e"), **changes)
 
 
 def close(attempt: str, outcome: str = messages.DONE, **changes) -> entry.CloseKey:
-    """The end of the attempt under key k."""
-    given = entry.CloseKey("k", attempt, outcome, 200, (entry.Header(b"Seal", b"1"),), b"body")
-    return dataclasses.replace(given, **changes)
+    """Build the end of the attempt that holds key k."""
+    command = entry.CloseKey("k", attempt, outcome, 200, (entry.Header(b"Seal", b"1"),), b"body")
+    return dataclasses.replace(command, **changes)
 
 
-def take(book: call_sessions.CallSessions, command, now: datetime.timedelta):
-    """Decide and fold a command; its reply."""
-    events, reply = book.decide(command, now)
+def execute(calls: call_sessions.CallSessions, command, now: datetime.timedelta):
+    """Decide a command and apply its events, both through the codec; return its reply."""
+    events, reply = calls.decide(command, now)
     for event in events:
-        book.apply(codec.untagged(codec.tagged(event)))
+        calls.apply(codec.untagged(codec.tagged(event)))
     return codec.untagged(codec.tagged(reply))
 
 
-def refused(book: call_sessions.CallSessions, command, now: datetime.timedelta) -> result.RequestError:
-    """The refusal of a command."""
+def rejection_of(calls: call_sessions.CallSessions, command, now: datetime.timedelta) -> result.RequestError:
+    """Return the error with which a command is rejected."""
     with pytest.raises(result.RequestError) as caught:
-        book.decide(command, now)
+        calls.decide(command, now)
     return caught.value
 
 
-def due(book: call_sessions.CallSessions, now: datetime.timedelta, gone=lambda edge: False) -> list:
-    """What the clock calls for; ticks of the group's own time among it are recorded and left out."""
-    commands = book.due(now, gone)
+def due_commands(calls: call_sessions.CallSessions, now: datetime.timedelta, is_gone=lambda edge: False) -> list:
+    """Return the timer commands that are due; ticks of the group's time are executed and left out."""
+    commands = calls.due(now, is_gone)
     for command in commands:
         if isinstance(command, entry.Tick):
-            take(book, command, now)
+            execute(calls, command, now)
     return [command for command in commands if not isinstance(command, entry.Tick)]
 
 
-def settle(book: call_sessions.CallSessions, now: datetime.timedelta, gone=lambda edge: False) -> list:
-    """Have the clock's commands decided until there are no more; what they were, but for ticks."""
-    found = []
-    for _ in range(2 * (book.size() + 10)):
-        book.scan.next_scan_at = clock.ZERO
-        commands = due(book, now, gone)
+def run_due_commands(calls: call_sessions.CallSessions, now: datetime.timedelta, is_gone=lambda edge: False) -> list:
+    """Execute the timer commands until none are due; return them, without ticks."""
+    executed = []
+    for _ in range(2 * (calls.size() + 10)):
+        calls.scan.next_scan_at = clock.ZERO
+        commands = due_commands(calls, now, is_gone)
         for command in commands:
-            take(book, command, now)
-        found.extend(commands)
-        if not commands and not book.scan.remaining:
+            execute(calls, command, now)
+        executed.extend(commands)
+        if not commands and not calls.scan.remaining:
             break
-    return found
+    return executed
 
 
-def taken_over(book: call_sessions.CallSessions) -> call_sessions.CallSessions:
-    """What a backup holds that becomes the primary."""
+def successor_of(calls: call_sessions.CallSessions) -> call_sessions.CallSessions:
+    """Return the state of a backup that takes over, restored from a snapshot."""
     other = call_sessions.CallSessions()
-    body = b"".join(book.snapshot_parts())
+    body = b"".join(calls.snapshot_parts())
     assert other.restore(body, 0) == len(body)
     assert b"".join(other.snapshot_parts()) == body
     assert (other.payload_bytes(), other.history.successors, set(other.keys.in_flight)) == (
-        book.payload_bytes(),
-        book.history.successors,
-        set(book.keys.in_flight),
+        calls.payload_bytes(),
+        calls.history.successors,
+        set(calls.keys.in_flight),
     )
     return other
 
 
-# -- the model ---------------------------------------------------------------------------------------
+# -- reference model ---------------------------------------------------------------------------------
 
 
-class Plain:
-    """What the state machine should do, by scanning lists: one row an attempt, one a program, one a key."""
+class ReferenceModel:
+    """Expected behaviour of the state machine, found by scanning lists of rows for attempts, programs and keys."""
 
     def __init__(self):
         self.rows: list[dict] = []
@@ -111,50 +116,50 @@
         self.keys: list[dict] = []
         self.freed: list[dict] = []
 
-    def one(self, rows: list[dict], **wanted) -> dict | None:
-        """The row in which these fields stand."""
+    def find_row(self, rows: list[dict], **fields) -> dict | None:
+        """Return the first row with the given values."""
         for row in rows:
-            if all(row[name] == value for name, value in wanted.items()):
+            if all(row[name] == value for name, value in fields.items()):
                 return row
         return None
 
     def chain(self, attempt: str) -> list[dict]:
-        """Kept rows up to one, oldest first."""
-        found = []
+        """Return the retained rows of the chain that ends with an attempt, oldest first."""
+        chain = []
         while attempt:
-            row = self.one(self.rows, attempt=attempt, state="kept")
-            found.insert(0, row)
+            row = self.find_row(self.rows, attempt=attempt, state="kept")
+            chain.insert(0, row)
             attempt = row["previous"]
-        return found
+        return chain
 
     def turns(self, rows: list[dict]) -> tuple[entry.Turn, ...]:
-        """Rows as replies show them."""
+        """Convert rows to the turns of a reply."""
         return tuple(
-            entry.Turn(one["attempt"], one["previous"], one["input"], one["output"], one["worker"]) for one in rows
+            entry.Turn(row["attempt"], row["previous"], row["input"], row["output"], row["worker"]) for row in rows
         )
 
     def begin(self, command: entry.BeginTurn, now) -> object:
-        """The outcome of a turn's start."""
-        row = self.one(self.rows, attempt=command.attempt)
+        """Return the expected reply or error of a turn's start."""
+        row = self.find_row(self.rows, attempt=command.attempt)
         if row is not None and row["state"] == "running":
             if any(row[name] != getattr(command, name) for name in ("program", "session", "previous", "edge")):
                 return result.ResultCode.TURN_UNDER_WAY
             return self.begun(command, row["hint"])
         if row is not None:
             return result.ResultCode.STALE_TURN
-        program = self.one(self.programs, name=command.program)
-        said = [budget for budget in (program["budget"] if program else 0, command.budget) if budget]
-        budget = min(said, default=0)
+        program = self.find_row(self.programs, name=command.program)
+        budgets = [budget for budget in (program["budget"] if program else 0, command.budget) if budget]
+        budget = min(budgets, default=0)
         if program is not None and budget:
             reserved = sum(
-                one["most"]
-                for one in self.rows
-                if one["state"] == "running" and one["program"] == command.program and one["counted"]
+                other["most"]
+                for other in self.rows
+                if other["state"] == "running" and other["program"] == command.program and other["counted"]
             )
             if program["used"] + reserved >= budget:
                 program["since"] = now
                 return result.ResultCode.OUT_OF_BUDGET
-        before = self.one(self.rows, attempt=command.previous) if command.previous else None
+        before = self.find_row(self.rows, attempt=command.previous) if command.previous else None
         if command.previous and (before is None or before["state"] != "kept"):
             if before is not None and (
                 before["state"] == "running" or (before["retained"] and before["outcome"] == messages.UNKNOWN)
@@ -163,7 +168,7 @@
             if not command.base:
                 return result.ResultCode.UNKNOWN_TURN
             for turn in command.base:
-                known = self.one(self.rows, attempt=turn.attempt)
+                known = self.find_row(self.rows, attempt=turn.attempt)
                 if known is None or known["state"] != "kept":
                     self.rows = [row for row in self.rows if row is not known]
                     self.rows.append(
@@ -179,7 +184,7 @@
                             charged=0,
                         )
                     )
-            before = self.one(self.rows, attempt=command.previous)
+            before = self.find_row(self.rows, attempt=command.previous)
         if program is None:
             program = dict(name=command.program, budget=0, used=0, keep=command.keep, worker="", since=now)
             self.programs.append(program)
@@ -207,7 +212,7 @@
         return self.begun(command, hint)
 
     def begun(self, command: entry.BeginTurn, hint: str) -> entry.TurnBegun:
-        """The reply to a turn's start."""
+        """Return the expected reply to the start of a turn that is granted."""
         chain = self.chain(command.previous)
         names = [row["attempt"] for row in chain]
         if command.have in names:
@@ -215,8 +220,8 @@
         return entry.TurnBegun(self.turns(chain), hint, True)
 
     def end(self, command: entry.EndTurn, now) -> object:
-        """The outcome of a turn's end."""
-        row = self.one(self.rows, attempt=command.attempt)
+        """Return the expected reply or error of a turn's end."""
+        row = self.find_row(self.rows, attempt=command.attempt)
         if row is None:
             if command.outcome != messages.NOT_RUN:
                 return result.ResultCode.UNKNOWN_TURN
@@ -244,10 +249,10 @@
                 command.outcome == messages.DONE
                 and row["retained"]
                 and row["previous"]
-                and self.one(self.rows, attempt=row["previous"], state="kept") is None
+                and self.find_row(self.rows, attempt=row["previous"], state="kept") is None
             ):
                 return result.ResultCode.STALE_TURN
-        program = self.one(self.programs, name=row["program"])
+        program = self.find_row(self.programs, name=row["program"])
         charge = {messages.DONE: command.used, messages.NOT_RUN: 0, messages.UNKNOWN: row["most"]}[command.outcome]
         charge = charge if row["counted"] else 0
         if program is not None:
@@ -261,8 +266,8 @@
         return messages.Closed(command.outcome)
 
     def find(self, command: entry.FindTurn, now) -> object:
-        """The outcome of looking a turn up."""
-        row = self.one(self.rows, attempt=command.attempt)
+        """Return the expected reply or error of a turn's look-up."""
+        row = self.find_row(self.rows, attempt=command.attempt)
         if row is None or (row["state"] == "ended" and not (row["retained"] and row["outcome"] == messages.UNKNOWN)):
             return entry.TurnFound(False, ())
         if row["state"] != "kept":
@@ -270,8 +275,8 @@
         return entry.TurnFound(True, self.turns(self.chain(command.attempt)))
 
     def claim(self, command: entry.ClaimKey, now) -> object:
-        """The outcome of a claim."""
-        row = self.one(self.keys, key=command.key)
+        """Return the expected reply or error of a key's reservation."""
+        row = self.find_row(self.keys, key=command.key)
         if row is not None:
             return entry.KeyHeld(
                 not row["outcome"] and row["attempt"] == command.attempt,
@@ -280,7 +285,7 @@
                 row["headers"],
                 row["body"],
             )
-        if self.one(self.freed, attempt=command.attempt):
+        if self.find_row(self.freed, attempt=command.attempt):
             return result.ResultCode.STALE_TURN
         self.keys.append(
             dict(
@@ -300,12 +305,12 @@
         return entry.KeyHeld(True, "", 0, (), b"")
 
     def close(self, command: entry.CloseKey, now) -> object:
-        """The outcome of a key's end."""
-        row = self.one(self.keys, key=command.key, attempt=command.attempt)
+        """Return the expected reply or error of a key's end."""
+        row = self.find_row(self.keys, key=command.key, attempt=command.attempt)
         if command.outcome == messages.NOT_RUN and (row is None or not row["outcome"]):
             if row is not None:
                 self.keys.remove(row)
-            if self.one(self.freed, attempt=command.attempt) is None:
+            if self.find_row(self.freed, attempt=command.attempt) is None:
                 self.freed.append(dict(attempt=command.attempt, since=now))
             return messages.Closed(messages.NOT_RUN)
         if row is None:
@@ -318,53 +323,57 @@
         return messages.Closed(command.outcome)
 
     def expect(self, command, now) -> object:
-        """The reply to a command, or the result of its refusal."""
-        ways = {
+        """Return the expected reply to a command, or the result code of its rejection."""
+        handlers = {
             entry.BeginTurn: self.begin,
             entry.EndTurn: self.end,
             entry.FindTurn: self.find,
             entry.ClaimKey: self.claim,
             entry.CloseKey: self.close,
         }
-        return ways[type(command)](command, now)
+        return handlers[type(command)](command, now)
 
     def forget(self, event: entry.Forget, now) -> None:
-        """Check that what is forgotten was kept long enough, then drop it."""
+        """Check that the forgotten items were retained long enough, and drop them."""
         for attempt in event.turns:
-            row = self.one(self.rows, attempt=attempt, state="kept")
-            assert now - row["since"] > row["keep"] + BEYOND, row
-            assert not any(one["previous"] == attempt and one["state"] in ("kept", "running") for one in self.rows)
+            row = self.find_row(self.rows, attempt=attempt, state="kept")
+            assert now - row["since"] > row["keep"] + MARGIN, row
+            assert not any(
+                other["previous"] == attempt and other["state"] in ("kept", "running") for other in self.rows
+            )
             if row["keep"] < MINUTE:
                 row.update(state="ended", retained=False, since=now)
             else:
                 self.rows.remove(row)
         for attempt in event.ended:
-            row = self.one(self.rows, attempt=attempt, state="ended")
+            row = self.find_row(self.rows, attempt=attempt, state="ended")
             assert now - row["since"] > MINUTE
             self.rows.remove(row)
         for name in event.programs:
-            row = self.one(self.programs, name=name)
-            assert now - row["since"] > max(MINUTE, row["keep"]) + BEYOND
-            assert not any(one["program"] == name and one["state"] in ("kept", "running") for one in self.rows)
+            row = self.find_row(self.programs, name=name)
+            assert now - row["since"] > max(MINUTE, row["keep"]) + MARGIN
+            assert not any(other["program"] == name and other["state"] in ("kept", "running") for other in self.rows)
             self.programs.remove(row)
         for key in event.keys:
-            row = self.one(self.keys, key=key)
+            row = self.find_row(self.keys, key=key)
             assert row["outcome"] and now - row["since"] > row["within"] + row["window"]
             assert now - row["closed"] > row["window"]
             self.keys.remove(row)
         for attempt in event.freed:
-            row = self.one(self.freed, attempt=attempt)
+            row = self.find_row(self.freed, attempt=attempt)
             assert now - row["since"] > MINUTE
             self.freed.remove(row)
 
-    def overdue(self, now, gone) -> set[str]:
-        """What is under way though its edge is gone or its time over."""
+    def overdue(self, now, is_gone) -> set[str]:
+        """Return the work in flight whose edge is gone or whose time limit has passed."""
         running = [("attempt", row) for row in self.rows if row["state"] == "running"]
         running += [("key", row) for row in self.keys if not row["outcome"]]
-        return {row[name] for name, row in running if gone(row["edge"]) or now - row["since"] > row["within"] + BEYOND}
+        return {
+            row[name] for name, row in running if is_gone(row["edge"]) or now - row["since"] > row["within"] + MARGIN
+        }
 
-    def start_clocks(self, now) -> None:
-        """A new primary: all times count from here on, but for kept turns, whose age the group knows."""
+    def restart_timers(self, now) -> None:
+        """Restart all timers, as a new primary does, except for retained turns, whose age the group knows."""
         for row in (*self.rows, *self.programs, *self.keys, *self.freed):
             if row.get("state") == "kept":
                 continue
@@ -373,162 +382,166 @@
                 row["closed"] = now
 
 
-def random_command(chance: random.Random, issued: list, foreign: dict[str, tuple], number: int):
-    """A command, often one about attempts of before, sometimes an old one once more."""
-    if issued and chance.random() < 0.2:
-        return chance.choice(issued[-30:])
-    begun = [one for one in issued[-60:] if isinstance(one, entry.BeginTurn)]
-    claimed = [one for one in issued[-60:] if isinstance(one, entry.ClaimKey)]
-    turn = chance.random()
-    names = [one.attempt for one in begun] + list(foreign)
-    outcome = chance.choice([messages.DONE, messages.DONE, messages.DONE, messages.NOT_RUN, messages.UNKNOWN])
-    if turn < 0.35 or not begun:
-        previous = chance.choice(["", *names[-12:], "nobody"] if names else [""])
-        base = foreign[previous] if previous in foreign and chance.random() < 0.7 else ()
+def random_command(rng: random.Random, issued: list, foreign: dict[str, tuple], number: int):
+    """Return a random command, often about earlier attempts, sometimes a repetition of an earlier command."""
+    if issued and rng.random() < 0.2:
+        return rng.choice(issued[-30:])
+    begun = [command for command in issued[-60:] if isinstance(command, entry.BeginTurn)]
+    claimed = [command for command in issued[-60:] if isinstance(command, entry.ClaimKey)]
+    draw = rng.random()
+    names = [command.attempt for command in begun] + list(foreign)
+    outcome = rng.choice([messages.DONE, messages.DONE, messages.DONE, messages.NOT_RUN, messages.UNKNOWN])
+    if draw < 0.35 or not begun:
+        previous = rng.choice(["", *names[-12:], "nobody"] if names else [""])
+        base = foreign[previous] if previous in foreign and rng.random() < 0.7 else ()
         return entry.BeginTurn(
-            chance.choice(["p", "q", "r"]),
-            chance.choice(["", "h"]),
+            rng.choice(["p", "q", "r"]),
+            rng.choice(["", "h"]),
             f"t{number}",
             previous,
             10,
-            chance.choice([0, 80, 80, 60, 300]),
-            chance.random() < 0.85,
-            clock.seconds(chance.choice([20, 60, 90])),
-            clock.seconds(chance.choice([1, 30])),
-            chance.choice(["e1", "e2", "e3"]),
-            chance.choice(["", *names[-5:]]),
+            rng.choice([0, 80, 80, 60, 300]),
+            rng.random() < 0.85,
+            clock.seconds(rng.choice([20, 60, 90])),
+            clock.seconds(rng.choice([1, 30])),
+            rng.choice(["e1", "e2", "e3"]),
+            rng.choice(["", *names[-5:]]),
             base,
         )
-    if turn < 0.7:
-        one = chance.choice(begun[-12:])
-        attempt = one.attempt if chance.random() < 0.95 else f"n{number}"
+    if draw < 0.7:
+        start = rng.choice(begun[-12:])
+        attempt = start.attempt if rng.random() < 0.95 else f"n{number}"
         return entry.EndTurn(
-            one.program,
-            one.session,
+            start.program,
+            start.session,
             attempt,
             outcome,
-            f"in {attempt}".encode() * chance.choice([1, 100]),
+            f"in {attempt}".encode() * rng.choice([1, 100]),
             f"out {attempt}".encode(),
-            chance.randrange(11),
-            chance.choice(["", "w1", "w2"]),
+            rng.randrange(11),
+            rng.choice(["", "w1", "w2"]),
         )
-    if turn < 0.78:
-        return entry.FindTurn(chance.choice([*names[-20:], "nobody"]))
-    if turn < 0.9 or not claimed:
+    if draw < 0.78:
+        return entry.FindTurn(rng.choice([*names[-20:], "nobody"]))
+    if draw < 0.9 or not claimed:
         return entry.ClaimKey(
-            f"k{chance.randrange(number // 20 + 2)}",
+            f"k{rng.randrange(number // 20 + 2)}",
             f"c{number}",
-            chance.randbytes(1),
-            clock.seconds(chance.choice([1, 20])),
-            clock.seconds(chance.choice([30, 60])),
-            chance.choice(["e1", "e2", "e3"]),
+            rng.randbytes(1),
+            clock.seconds(rng.choice([1, 20])),
+            clock.seconds(rng.choice([30, 60])),
+            rng.choice(["e1", "e2", "e3"]),
         )
-    one = chance.choice(claimed[-8:])
-    return entry.CloseKey(one.key, one.attempt, outcome, 200, (entry.Header(b"a", b"b"),), chance.randbytes(3))
+    reservation = rng.choice(claimed[-8:])
+    return entry.CloseKey(
+        reservation.key, reservation.attempt, outcome, 200, (entry.Header(b"a", b"b"),), rng.randbytes(3)
+    )
 
 
 @pytest.mark.parametrize("first", range(0, 120, 20))
 def test_call_sessions_agree_with_a_plain_model(first):
-    """Duplicates, reordering, takeovers, branches, imports, an advancing clock: replies and what is forgotten agree."""
-    seen = {"grants": 0, "refusals": 0, "imports": 0, "forgotten": 0, "takeovers": 0, "overdue": 0, "ticks": 0}
+    """Replies and forgotten items agree under duplicates, reordering, takeovers, branches, imports and elapsed time."""
+    counts = {"grants": 0, "refusals": 0, "imports": 0, "forgotten": 0, "takeovers": 0, "overdue": 0, "ticks": 0}
     for seed in range(first, first + 20):
-        chance, book, follower, plain, now = (
+        rng, calls, follower, model, now = (
             random.Random(seed),
             call_sessions.CallSessions(),
             call_sessions.CallSessions(),
-            Plain(),
+            ReferenceModel(),
             START,
         )
         issued: list = []
         foreign: dict[str, tuple] = {}
         for name in ("f", "g"):
-            line = tuple(
+            chain = tuple(
                 entry.Turn(f"{name}{place}", f"{name}{place - 1}" if place else "", b"in" * place, b"out", "w9")
                 for place in range(4)
             )
-            foreign.update({turn.attempt: line[: place + 1] for place, turn in enumerate(line)})
+            foreign.update({turn.attempt: chain[: place + 1] for place, turn in enumerate(chain)})
         gone_edges: set[str] = set()
 
         def apply(command):
             try:
-                events, reply = book.decide(command, now)
+                events, reply = calls.decide(command, now)
             except result.RequestError as refusal:
                 return refusal.result
             for event in events:
                 if isinstance(event, entry.Forget):
-                    plain.forget(event, now)
-                    seen["forgotten"] += 1
-                book.apply(event)
+                    model.forget(event, now)
+                    counts["forgotten"] += 1
+                calls.apply(event)
                 follower.apply(codec.untagged(codec.tagged(event)))
             return reply
 
         for step in range(400):
-            now += clock.seconds(chance.choice([0, 0.1, 0.5, 0.5, 2, 2, 30 if chance.random() < 0.1 else 1]))
-            if chance.random() < 0.15:
-                gone_edges = {edge for edge in ("e1", "e2", "e3") if chance.random() < 0.1}
-                commands = book.due(now, gone_edges.__contains__)
+            now += clock.seconds(rng.choice([0, 0.1, 0.5, 0.5, 2, 2, 30 if rng.random() < 0.1 else 1]))
+            if rng.random() < 0.15:
+                gone_edges = {edge for edge in ("e1", "e2", "e3") if rng.random() < 0.1}
+                commands = calls.due(now, gone_edges.__contains__)
                 for command in commands:
                     if isinstance(command, entry.Tick):
                         apply(command)
-                        seen["ticks"] += 1
-                commands = [one for one in commands if not isinstance(one, entry.Tick)]
-                ends = [one for one in commands if not isinstance(one, entry.Forget)]
-                assert {getattr(one, "key", one.attempt) for one in ends} == plain.overdue(now, gone_edges.__contains__)
+                        counts["ticks"] += 1
+                commands = [command for command in commands if not isinstance(command, entry.Tick)]
+                ends = [command for command in commands if not isinstance(command, entry.Forget)]
+                assert {getattr(command, "key", command.attempt) for command in ends} == model.overdue(
+                    now, gone_edges.__contains__
+                )
                 for command in commands:
                     answer = apply(command)
                     if not isinstance(command, entry.Forget):
-                        assert answer == plain.expect(command, now)
-                        seen["overdue"] += 1
-            elif chance.random() < 0.03:
-                assert b"".join(book.snapshot_parts()) == b"".join(follower.snapshot_parts())
-                if chance.random() < 0.5:
-                    book = taken_over(book)
+                        assert answer == model.expect(command, now)
+                        counts["overdue"] += 1
+            elif rng.random() < 0.03:
+                assert b"".join(calls.snapshot_parts()) == b"".join(follower.snapshot_parts())
+                if rng.random() < 0.5:
+                    calls = successor_of(calls)
                 else:
-                    book.reset_clocks()
-                book.due(now, lambda edge: False)
-                plain.start_clocks(now)
-                seen["takeovers"] += 1
+                    calls.reset_clocks()
+                calls.due(now, lambda edge: False)
+                model.restart_timers(now)
+                counts["takeovers"] += 1
             else:
-                command = random_command(chance, issued, foreign, step)
+                command = random_command(rng, issued, foreign, step)
                 issued.append(command)
-                answer, expected = apply(command), plain.expect(command, now)
+                answer, expected = apply(command), model.expect(command, now)
                 assert answer == expected, (seed, step, command)
-                seen["grants" if not isinstance(answer, result.ResultCode) else "refusals"] += 1
-                seen["imports"] += bool(isinstance(answer, entry.TurnBegun) and getattr(command, "base", ()))
-            assert len(book.history.retained) == sum(row["state"] == "kept" for row in plain.rows)
-            for program in plain.programs:
-                known = book.budgets.accounts[program["name"]]
+                counts["grants" if not isinstance(answer, result.ResultCode) else "refusals"] += 1
+                counts["imports"] += bool(isinstance(answer, entry.TurnBegun) and getattr(command, "base", ()))
+            assert len(calls.history.retained) == sum(row["state"] == "kept" for row in model.rows)
+            for program in model.programs:
+                known = calls.budgets.accounts[program["name"]]
                 assert (known.used, known.budget) == (program["used"], program["budget"])
         for _ in range(40):
             now += clock.seconds(50)
-            for command in due(book, now, lambda edge: True):
+            for command in due_commands(calls, now, lambda edge: True):
                 answer = apply(command)
-                assert isinstance(command, entry.Forget) or answer == plain.expect(command, now)
-        assert book.size() == follower.size() == 0 and book.payload_bytes() == follower.payload_bytes() == 0
-        assert not book.history.successors and not book.keys.in_flight
+                assert isinstance(command, entry.Forget) or answer == model.expect(command, now)
+        assert calls.size() == follower.size() == 0 and calls.payload_bytes() == follower.payload_bytes() == 0
+        assert not calls.history.successors and not calls.keys.in_flight
         assert not any(
             (
-                book.budgets.last_active_at,
-                book.history.answered_at,
-                book.history.began_at,
-                book.history.finished_at,
-                book.keys.reserved_at,
-                book.keys.released_at,
+                calls.budgets.last_active_at,
+                calls.history.answered_at,
+                calls.history.began_at,
+                calls.history.finished_at,
+                calls.keys.reserved_at,
+                calls.keys.released_at,
             )
         )
-    assert all(seen.values()), seen
+    assert all(counts.values()), counts
 
 
-# -- budgets -----------------------------------------------------------------------------------------
+# -- within a session group --------------------------------------------------------------------------
 
 
-def test_a_talk_group_hands_the_ledger_its_commands_events_and_clocks():
-    view = lane_sessions.SessionState()
+def test_a_session_group_passes_commands_events_and_timers_on_to_its_call_sessions():
+    state = lane_sessions.SessionState()
     for command in (begin("a", edge="lost"), claim("c")):
-        events, _ = view.decide(command, START, 1)
+        events, _ = state.decide(command, START, 1)
         for event in events:
-            view.apply(event)
-    assert view.size() == 3
-    assert [type(one) for one in view.due(START, lambda edge: edge == "lost")] == [entry.EndTurn]
-    view.reset_clocks()
-    assert not view.calls.history.began_at and not view.calls.keys.reserved_at
+            state.apply(event)
+    assert state.size() == 3
+    assert [type(command) for command in state.due(START, lambda edge: edge == "lost")] == [entry.EndTurn]
+    state.reset_clocks()
+    assert not state.calls.history.began_at and not state.calls.keys.reserved_at
--- a/aspencroft/sessions/lane_sessions_test.py
+++ b/aspencroft/sessions/lane_sessions_test.py
@@ -12,44 +12,44 @@
 
 def test_budget_and_history_agree_with_a_plain_model():
     for seed in range(200):
-        chance, state, now = random.Random(seed), lane_sessions.SessionState(), clock.ZERO
-        plain = collections.defaultdict(list)
-        put_out, under_way = 0, {}
+        rng, state, now = random.Random(seed), lane_sessions.SessionState(), clock.ZERO
+        history = collections.defaultdict(list)
+        charged, in_flight = 0, {}
         for step in range(60):
             now += clock.seconds(0.1)
-            helper = chance.choice(["", "one", "two"])
-            if helper in under_way and chance.random() < 0.7:
-                go, turn_input = under_way.pop(helper)
-                outcome = chance.choice([messages.DONE, messages.DONE, messages.NOT_RUN, messages.UNKNOWN])
-                used = chance.randrange(11)
+            helper = rng.choice(["", "one", "two"])
+            if helper in in_flight and rng.random() < 0.7:
+                go, turn_input = in_flight.pop(helper)
+                outcome = rng.choice([messages.DONE, messages.DONE, messages.NOT_RUN, messages.UNKNOWN])
+                used = rng.randrange(11)
                 command = messages.CloseTurn("p", helper, go, outcome, turn_input, f"out {go}", used)
                 if outcome == messages.DONE:
-                    plain[helper].append((turn_input, f"out {go}"))
-                put_out += {messages.DONE: used, messages.NOT_RUN: 0, messages.UNKNOWN: 10}[outcome]
+                    history[helper].append((turn_input, f"out {go}"))
+                charged += {messages.DONE: used, messages.NOT_RUN: 0, messages.UNKNOWN: 10}[outcome]
             else:
                 go = f"go {step}"
-                after = len(plain[helper]) + chance.choice([0, 0, 0, 1])
+                after = len(history[helper]) + rng.choice([0, 0, 0, 1])
                 command = messages.OpenTurn(
                     "p", helper, after, "chat", go, 10, 60, clock.seconds(9), clock.seconds(5), "edge"
                 )
             try:
                 events, reply = state.decide(command, now, 1)
             except result.RequestError as refusal:
-                expected = helper in under_way or after != len(plain[helper]) or put_out + 10 * len(under_way) >= 60
+                expected = helper in in_flight or after != len(history[helper]) or charged + 10 * len(in_flight) >= 60
                 assert expected, refusal
                 continue
             if isinstance(command, messages.OpenTurn):
-                assert after == len(plain[helper]) and put_out + 10 * len(under_way) < 60
-                assert [(one.input, one.output) for one in reply.past] == plain[helper]
-                under_way[helper] = (go, f"in {go}")
+                assert after == len(history[helper]) and charged + 10 * len(in_flight) < 60
+                assert [(turn.input, turn.output) for turn in reply.past] == history[helper]
+                in_flight[helper] = (go, f"in {go}")
             for event in events:
                 state.apply(event)
-            if chance.random() < 0.2:
-                again = lane_sessions.SessionState()
-                again.restore(state.snapshot())
-                assert again.snapshot() == state.snapshot()
-        assert put_out <= 60 + 10
-        assert not state.programs or state.programs["p"].used == put_out
+            if rng.random() < 0.2:
+                restored = lane_sessions.SessionState()
+                restored.restore(state.snapshot())
+                assert restored.snapshot() == state.snapshot()
+        assert charged <= 60 + 10
+        assert not state.programs or state.programs["p"].used == charged
 
 
 def test_a_key_runs_once_and_is_free_only_after_a_minute_beyond():
@@ -62,18 +62,18 @@
     assert not second.mine and second.outcome == ""
     try:
         state.decide(dataclasses.replace(claim, go="go 3", digest=b"e"), now, 1)
-        raise AssertionError("another request took the key's answer")
+        raise AssertionError("a different request was answered under the key")
     except result.RequestError as refusal:
         assert refusal.result is result.ResultCode.OPERATION_MISMATCH
-    later = lane_sessions.SessionState()
-    later.restore(state.snapshot())
+    successor = lane_sessions.SessionState()
+    successor.restore(state.snapshot())
     for span in (0, 1, 2, 60, 61):
-        assert later.due(now + clock.seconds(1000 + span), bool) == ()
+        assert successor.due(now + clock.seconds(1000 + span), bool) == ()
     late = now + clock.seconds(1001) + 2 * lane_sessions.MIN_KEY_RETENTION
-    assert (later.due(late, bool), later.due(late, bool))[1] != ()
+    assert (successor.due(late, bool), successor.due(late, bool))[1] != ()
 
 
-def test_the_looks_at_a_large_pair_are_bounded_and_reach_everything():
+def test_scan_steps_of_a_large_group_are_bounded_and_reach_everything():
     state, now = lane_sessions.SessionState(), clock.seconds(5)
     for number in range(3 * lane_sessions.SCAN_LIMIT):
         state.apply(messages.OperationClaimed(f"k{number}", "void", "go", b"", clock.seconds(1), clock.ZERO))
@@ -82,12 +82,12 @@
     for _ in range(9):
         assert len(state.due(now, lambda edge: False)) == 0
     assert len(state.key_noted_at) == 3 * lane_sessions.SCAN_LIMIT
-    late, seen = now + 10 * lane_sessions.MIN_KEY_RETENTION, set()
+    late, forgotten = now + 10 * lane_sessions.MIN_KEY_RETENTION, set()
     for _ in range(3 * lane_sessions.SCAN_LIMIT // lane_sessions.DUE_LIMIT + 20):
-        due = state.due(late, lambda edge: False)
-        assert len(due) <= lane_sessions.DUE_LIMIT + 1
-        for command in due:
+        due_commands = state.due(late, lambda edge: False)
+        assert len(due_commands) <= lane_sessions.DUE_LIMIT + 1
+        for command in due_commands:
             if isinstance(command, messages.ForgetOperation):
-                seen.add(command.key)
+                forgotten.add(command.key)
                 state.apply(messages.OperationForgotten(command.key))
-    assert len(seen) == 3 * lane_sessions.SCAN_LIMIT
+    assert len(forgotten) == 3 * lane_sessions.SCAN_LIMIT
--- a/aspencroft/sessions/request_quota_test.py
+++ b/aspencroft/sessions/request_quota_test.py
@@ -1,4 +1,4 @@
-"""Requests of tenants over sliding windows: what the users saw as QUOTA, judged by a count of its own."""
+"""Tests of ``aspencroft.sessions.request_quota``: the limits are checked with an independent count of the grants."""
 
 import dataclasses
 import itertools
@@ -15,15 +15,15 @@
 START = clock.seconds(100)
 
 
-QUESTIONS = itertools.count(1)
+REQUEST_NUMBERS = itertools.count(1)
 
 
 def reserve(count=1, limit=10, run_ahead=1000, tenant="t", question=0):
-    return entry.ReserveRequests(tenant, "edge", question or next(QUESTIONS), count, limit, run_ahead, WINDOW)
+    return entry.ReserveRequests(tenant, "edge", question or next(REQUEST_NUMBERS), count, limit, run_ahead, WINDOW)
 
 
 def most_in_a_window(times) -> int:
-    """The most of some sorted times that lie within any span of a window's length."""
+    """Return the maximum number of the sorted times that lie within any interval of a window's length."""
     first, most = 0, 0
     for place, time in enumerate(times):
         while time - times[first] > WINDOW:
@@ -33,7 +33,7 @@
 
 
 class Replicas:
-    """One group's primary and what its backups have been told, with takeovers; all times are those of one clock."""
+    """The primary of a group, and the records that its backups hold; all members share one clock."""
 
     def __init__(self):
         self.quotas = request_quota.RequestQuotas()
@@ -41,7 +41,7 @@
         self.epoch = 1
 
     def ask(self, command, now):
-        """The primary's reply; its events are with all backups before it is given."""
+        """Return the primary's reply, after its events have reached all backups."""
         events, reply = (
             self.quotas.decide_reserve(command, now, self.epoch)
             if isinstance(command, entry.ReserveRequests)
@@ -53,7 +53,7 @@
         return reply
 
     def take_over(self, reads_snapshot=False):
-        """A backup becomes the primary: it has the records, told one by one or as a snapshot, and no more."""
+        """Make a backup the primary: it knows only the records, received one by one or as a snapshot."""
         self.epoch += 1
         backup = request_quota.RequestQuotas()
         for event, seen_at in self.records:
@@ -63,10 +63,10 @@
 
 def test_no_window_holds_more_than_the_limit_and_all_within_it_is_granted():
     for seed in range(40):
-        chance, replicas, now, granted, limit = random.Random(seed), Replicas(), START, [], 1 + seed
+        rng, replicas, now, granted, limit = random.Random(seed), Replicas(), START, [], 1 + seed
         for _ in range(600):
-            now += clock.seconds(chance.expovariate(limit / 5 * chance.choice((0.3, 1.0, 4.0))))
-            count = chance.choice((1, 1, 1, 5))
+            now += clock.seconds(rng.expovariate(limit / 5 * rng.choice((0.3, 1.0, 4.0))))
+            count = rng.choice((1, 1, 1, 5))
             held = sum(now - time <= WINDOW + WINDOW / request_quota.STEPS_PER_WINDOW for time in granted)
             reply = replicas.ask(reserve(count, limit), now)
             granted.extend([now] * reply.granted)
@@ -87,17 +87,17 @@
 def test_a_successor_forgets_no_more_than_the_primary_may_run_ahead():
     forgotten = 0
     for seed in range(60):
-        chance, replicas, now, granted = random.Random(seed), Replicas(), START, []
-        limit, run_ahead = 40, chance.choice((0, 3, 9))
+        rng, replicas, now, granted = random.Random(seed), Replicas(), START, []
+        limit, run_ahead = 40, rng.choice((0, 3, 9))
         for _ in range(900):
-            now += clock.seconds(chance.expovariate(30.0))
-            if chance.random() < 0.01:
-                now += clock.seconds(chance.choice((0.3, 1.6)))
-                replicas.take_over(reads_snapshot=chance.random() < 0.5)
+            now += clock.seconds(rng.expovariate(30.0))
+            if rng.random() < 0.01:
+                now += clock.seconds(rng.choice((0.3, 1.6)))
+                replicas.take_over(reads_snapshot=rng.random() < 0.5)
             granted.extend([now] * replicas.ask(reserve(1, limit, run_ahead), now).granted)
         assert most_in_a_window(granted) <= limit + run_ahead
         forgotten = max(forgotten, most_in_a_window(granted) - limit)
-    assert forgotten > 0, "no seed shows what a takeover may cost: the bound was not tried"
+    assert forgotten > 0, "no seed lost a grant in a takeover, so the bound was not tested"
 
 
 @pytest.mark.parametrize("reads_snapshot", [False, True])
@@ -159,19 +159,19 @@
 
 def test_requests_that_did_not_run_may_be_made_by_others_and_no_window_holds_more_that_ran():
     for seed in range(40):
-        chance, replicas, now, ran, given_back = random.Random(seed), Replicas(), START, [], 0
+        rng, replicas, now, ran, returned = random.Random(seed), Replicas(), START, [], 0
         for _ in range(600):
-            now += clock.seconds(chance.expovariate(8.0))
+            now += clock.seconds(rng.expovariate(8.0))
             reply = replicas.ask(reserve(1, 10), now)
             if not reply.granted:
                 continue
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 replicas.ask(entry.ReturnRequests("t", 1, reply.epoch, reply.granted_at), now + clock.seconds(0.001))
-                given_back += 1
+                returned += 1
             else:
                 ran.append(now)
         assert most_in_a_window(ran) <= 10
-        assert given_back > 50
+        assert returned > 50
 
 
 def test_a_request_given_back_late_frees_no_grant_that_was_used():
@@ -200,11 +200,11 @@
     assert replicas.ask(reserve(10, 15), START).granted == 5
 
 
-def test_a_question_asked_again_is_counted_once():
+def test_a_repeated_reservation_is_counted_once():
     replicas = Replicas()
     first = replicas.ask(reserve(4, 10, question=-1), START)
-    again = [replicas.ask(reserve(4, 10, question=-1), START + clock.seconds(0.1 * number)) for number in range(5)]
-    assert again == [first] * 5
+    repeated = [replicas.ask(reserve(4, 10, question=-1), START + clock.seconds(0.1 * number)) for number in range(5)]
+    assert repeated == [first] * 5
     assert replicas.ask(reserve(10, 10), START + clock.seconds(1)).granted == 6
 
 
@@ -217,11 +217,11 @@
 
 
 class BusyReplicas(Replicas):
-    """Replicas whose primary answers at once where it may; records ahead of need take a while to reach the backups."""
+    """Replicas whose primary answers at once where it may; its early records reach the backups with a delay."""
 
     def __init__(self):
         super().__init__()
-        self.on_the_way = []
+        self.in_transit = []
         self.waited = self.asked = 0
 
     def ask(self, command, now):
@@ -236,56 +236,56 @@
         return reply
 
     def record_ahead(self, now):
-        """What the clock asks for is decided; its events are on their way."""
+        """Decide the timer commands that are due; their events are in transit to the backups."""
         for command in self.quotas.due_records(now):
             events, _ = self.quotas.decide_record(command, now)
             for event in events:
                 self.quotas.apply_counted(event, now)
-                self.on_the_way.append((event, now))
+                self.in_transit.append((event, now))
 
     def commit(self):
-        """What was on its way has reached the backups."""
-        self.records.extend(self.on_the_way)
-        self.on_the_way = []
+        """Deliver the events in transit to the backups."""
+        self.records.extend(self.in_transit)
+        self.in_transit = []
         self.quotas.note_committed()
 
     def take_over(self, reads_snapshot=False):
-        self.on_the_way = []
+        self.in_transit = []
         super().take_over(reads_snapshot)
 
 
 def test_a_primary_that_answers_at_once_runs_no_further_ahead_of_its_backups():
     forgotten, waited, asked = 0, 0, 0
     for seed in range(60):
-        chance, replicas, now, granted = random.Random(seed), BusyReplicas(), START, []
-        limit, run_ahead = 40, chance.choice((0, 4, 9))
+        rng, replicas, now, granted = random.Random(seed), BusyReplicas(), START, []
+        limit, run_ahead = 40, rng.choice((0, 4, 9))
         for _ in range(900):
-            now += clock.seconds(chance.expovariate(chance.choice((8.0, 30.0))))
-            if chance.random() < 0.3:
+            now += clock.seconds(rng.expovariate(rng.choice((8.0, 30.0))))
+            if rng.random() < 0.3:
                 replicas.commit()
-            if chance.random() < 0.1:
+            if rng.random() < 0.1:
                 replicas.record_ahead(now)
-            if chance.random() < 0.01:
-                now += clock.seconds(chance.choice((0.3, 1.6)))
-                replicas.take_over(reads_snapshot=chance.random() < 0.5)
+            if rng.random() < 0.01:
+                now += clock.seconds(rng.choice((0.3, 1.6)))
+                replicas.take_over(reads_snapshot=rng.random() < 0.5)
             granted.extend([now] * replicas.ask(reserve(1, limit, run_ahead), now).granted)
         assert most_in_a_window(granted) <= limit + run_ahead
         forgotten = max(forgotten, most_in_a_window(granted) - limit)
         waited, asked = waited + replicas.waited * (run_ahead == 9), asked + replicas.asked * (run_ahead == 9)
-    assert forgotten > 0, "no seed shows what a takeover may cost: the bound was not tried"
+    assert forgotten > 0, "no seed lost a grant in a takeover, so the bound was not tested"
     assert waited < 0.2 * asked
 
 
 def test_a_grant_that_needs_no_record_is_answered_at_once_and_one_that_does_is_not():
     quotas = request_quota.RequestQuotas()
     quotas.decide_reserve(reserve(1, 100, 4), START, 1)
-    assert quotas.reserve_at_once(reserve(1, 100, 4), START, 1) is None, "what is presumed is not with all members yet"
+    assert quotas.reserve_at_once(reserve(1, 100, 4), START, 1) is None, "the presumed grants are not committed yet"
     quotas.note_committed()
     assert [quotas.reserve_at_once(reserve(1, 100, 4), START, 1).granted for _ in range(4)] == [1] * 4
     assert quotas.reserve_at_once(reserve(1, 100, 4), START, 1) is None
     assert quotas.due_records(START) == [entry.RecordRequests("t")]
     (event,), _ = quotas.decide_record(entry.RecordRequests("t"), START)
-    assert sum(step.count for step in event.steps) == 9, "five that were granted and four that are presumed"
+    assert sum(step.count for step in event.steps) == 9, "five granted and four presumed requests"
     assert quotas.reserve_at_once(reserve(1, 100, 4), START, 1) is None
     quotas.note_committed()
     assert quotas.reserve_at_once(reserve(1, 100, 4), START, 1).granted == 1
@@ -314,20 +314,20 @@
     assert quotas.decide_reserve(reserve(1, 10, 4), START + WINDOW - clock.seconds(0.05), 1)[1].granted == 0
 
 
-def test_tenants_are_counted_apart():
+def test_tenants_are_counted_separately():
     replicas = Replicas()
     assert replicas.ask(reserve(10, 10, tenant="a"), START).granted == 10
     assert replicas.ask(reserve(10, 10, tenant="b"), START).granted == 10
 
 
 @pytest.mark.parametrize("fields", [{"count": -1}, {"limit": -1}, {"run_ahead": -1}, {"window": clock.ZERO}])
-def test_questions_that_make_no_sense_are_refused(fields):
+def test_invalid_reservations_are_rejected(fields):
     with pytest.raises(result.RequestError) as caught:
         Replicas().ask(dataclasses.replace(reserve(), **fields), START)
     assert caught.value.result is result.ResultCode.MALFORMED
 
 
-def test_the_oldest_records_give_way_at_the_bound(monkeypatch):
+def test_the_oldest_records_are_dropped_at_the_limit_of_tenants(monkeypatch):
     monkeypatch.setattr(request_quota, "MAX_TENANTS", 3)
     quotas = request_quota.RequestQuotas()
     for name in ("a", "b", "c", "a", "d"):
@@ -368,15 +368,15 @@
 
 def test_returns_that_come_at_any_time_never_let_a_window_hold_more_that_ran():
     for seed in range(60):
-        chance, replicas, now, ran, late = random.Random(seed), Replicas(), START, [], []
+        rng, replicas, now, ran, pending_returns = random.Random(seed), Replicas(), START, [], []
         for _ in range(600):
-            now += clock.seconds(chance.expovariate(8.0))
-            for due, reply in [one for one in late if one[0] <= now]:
+            now += clock.seconds(rng.expovariate(8.0))
+            for due, reply in [pending for pending in pending_returns if pending[0] <= now]:
                 replicas.ask(entry.ReturnRequests("t", 1, reply.epoch, reply.granted_at), now)
-                late.remove((due, reply))
+                pending_returns.remove((due, reply))
             reply = replicas.ask(reserve(1, 10), now)
-            if reply.granted and chance.random() < 0.5:
-                late.append((now + clock.seconds(chance.expovariate(0.3)), reply))
+            if reply.granted and rng.random() < 0.5:
+                pending_returns.append((now + clock.seconds(rng.expovariate(0.3)), reply))
             elif reply.granted:
                 ran.append(now)
         assert most_in_a_window(ran) <= 10
--- a/aspencroft/sessions/turn_history_test.py
+++ b/aspencroft/sessions/turn_history_test.py
@@ -17,36 +17,36 @@
     turn_history,
 )
 from aspencroft.sessions.call_sessions_test import (
-    BEYOND,
     KEEP,
+    MARGIN,
     START,
     WITHIN,
     begin,
     claim,
     close,
     end,
-    refused,
-    settle,
-    take,
-    taken_over,
+    execute,
+    rejection_of,
+    run_due_commands,
+    successor_of,
 )
 
 
-def line(book: call_sessions.CallSessions, names: str, now: datetime.timedelta, **changes) -> None:
-    """A chain of kept turns, one a letter."""
+def add_chain(calls: call_sessions.CallSessions, names: str, now: datetime.timedelta, **changes) -> None:
+    """Add a chain of retained turns, one for each letter of ``names``."""
     for previous, attempt in itertools.pairwise(["", *names]):
-        take(book, begin(attempt, previous, **changes), now)
-        take(book, end(attempt), now)
+        execute(calls, begin(attempt, previous, **changes), now)
+        execute(calls, end(attempt), now)
 
 
 def test_a_turn_gets_the_whole_chain_or_what_is_behind_the_one_that_the_edge_holds():
-    book = call_sessions.CallSessions()
-    line(book, "abcd", START)
-    take(book, begin("x", "b"), START)
-    take(book, end("x", worker="i-7"), START)
-    whole = take(book, begin("e", "d"), START)
-    assert [one.attempt for one in whole.chain] == list("abcd") and whole.complete and whole.worker == "i-1"
-    assert b"".join(one.input + one.output for one in whole.chain).decode() == "".join(
+    calls = call_sessions.CallSessions()
+    add_chain(calls, "abcd", START)
+    execute(calls, begin("x", "b"), START)
+    execute(calls, end("x", worker="i-7"), START)
+    whole = execute(calls, begin("e", "d"), START)
+    assert [turn.attempt for turn in whole.chain] == list("abcd") and whole.complete and whole.worker == "i-1"
+    assert b"".join(turn.input + turn.output for turn in whole.chain).decode() == "".join(
         f"in {name}\nout {name}\n" for name in "abcd"
     )
     for have, names, complete in (
@@ -55,146 +55,147 @@
         ("x", "abcd", True),
         ("nobody", "abcd", True),
     ):
-        reply = take(book, begin("e", "d", have=have), START)
-        assert ("".join(one.attempt for one in reply.chain), reply.complete) == (names, complete)
-    branch = take(book, begin("y", "x"), START)
-    assert ("".join(one.attempt for one in branch.chain), branch.worker) == ("abx", "i-7")
-    assert take(book, begin("z"), START) == entry.TurnBegun((), "i-7", True)
+        reply = execute(calls, begin("e", "d", have=have), START)
+        assert ("".join(turn.attempt for turn in reply.chain), reply.complete) == (names, complete)
+    branch = execute(calls, begin("y", "x"), START)
+    assert ("".join(turn.attempt for turn in branch.chain), branch.worker) == ("abx", "i-7")
+    assert execute(calls, begin("z"), START) == entry.TurnBegun((), "i-7", True)
 
 
 def test_the_same_start_gives_the_same_reply_and_reserves_once():
-    book = call_sessions.CallSessions()
-    line(book, "ab", START)
-    first = take(book, begin("c", "b", budget=50), START)
-    take(book, begin("other", budget=50, edge="e2"), START)
-    take(book, end("other", worker="i-9"), START)
-    assert take(book, begin("c", "b", budget=50), START) == first
-    assert book.budgets.accounts["p"].reserved == 10
+    calls = call_sessions.CallSessions()
+    add_chain(calls, "ab", START)
+    first = execute(calls, begin("c", "b", budget=50), START)
+    execute(calls, begin("other", budget=50, edge="e2"), START)
+    execute(calls, end("other", worker="i-9"), START)
+    assert execute(calls, begin("c", "b", budget=50), START) == first
+    assert calls.budgets.accounts["p"].reserved == 10
     for change in (dict(previous="a"), dict(edge="e2"), dict(program="q"), dict(session="t")):
         assert (
-            refused(book, begin("c", **{"previous": "b", **change}), START).result is result.ResultCode.TURN_UNDER_WAY
+            rejection_of(calls, begin("c", **{"previous": "b", **change}), START).result
+            is result.ResultCode.TURN_UNDER_WAY
         )
 
 
 @pytest.mark.parametrize("outcome", [messages.DONE, messages.NOT_RUN, messages.UNKNOWN])
 @pytest.mark.parametrize("retained", [True, False])
 def test_an_ended_attempt_never_begins_again(outcome, retained):
-    book = call_sessions.CallSessions()
-    take(book, begin("a", retained=retained, keep=clock.seconds(5)), START)
-    take(book, end("a", outcome), START)
+    calls = call_sessions.CallSessions()
+    execute(calls, begin("a", retained=retained, keep=clock.seconds(5)), START)
+    execute(calls, end("a", outcome), START)
     for late in (0, 9, 20, 59):
         now = START + clock.seconds(late)
-        settle(book, now)
-        refusal = refused(book, begin("a", retained=retained, keep=clock.seconds(5)), now)
+        run_due_commands(calls, now)
+        refusal = rejection_of(calls, begin("a", retained=retained, keep=clock.seconds(5)), now)
         assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, turn_history.RAN_BY_OUTCOME[outcome])
-        assert refused(taken_over(book), begin("a"), now).result is result.ResultCode.STALE_TURN
-    settle(book, START + clock.seconds(80))
-    settle(book, START + clock.seconds(160))
-    assert book.size() == 0
+        assert rejection_of(successor_of(calls), begin("a"), now).result is result.ResultCode.STALE_TURN
+    run_due_commands(calls, START + clock.seconds(80))
+    run_due_commands(calls, START + clock.seconds(160))
+    assert calls.size() == 0
 
 
-def test_a_turn_that_did_not_run_leaves_word_before_its_start_arrives():
-    book = call_sessions.CallSessions()
-    assert take(book, end("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
-    assert take(book, end("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
-    refusal = refused(book, begin("a"), START + clock.seconds(59))
+def test_an_attempt_reported_as_not_run_is_barred_before_its_start_arrives():
+    calls = call_sessions.CallSessions()
+    assert execute(calls, end("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
+    assert execute(calls, end("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
+    refusal = rejection_of(calls, begin("a"), START + clock.seconds(59))
     assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, result.Ran.NOT_RUN)
-    assert refused(book, end("a"), START).result is result.ResultCode.STALE_TURN
-    settle(book, START + clock.seconds(71))
-    assert book.size() == 0
+    assert rejection_of(calls, end("a"), START).result is result.ResultCode.STALE_TURN
+    run_due_commands(calls, START + clock.seconds(71))
+    assert calls.size() == 0
     for outcome in (messages.DONE, messages.UNKNOWN):
-        refusal = refused(book, end("b", outcome), START)
+        refusal = rejection_of(calls, end("b", outcome), START)
         assert (refusal.result, refusal.ran) == (result.ResultCode.UNKNOWN_TURN, result.Ran.UNKNOWN)
 
 
-def test_words_about_attempts_that_did_not_run_are_bounded(monkeypatch):
+def test_records_of_attempts_that_did_not_run_are_bounded(monkeypatch):
     monkeypatch.setattr(turn_history, "MAX_TURNS", 5)
     monkeypatch.setattr(operation_keys, "MAX_KEYS", 5)
-    book = call_sessions.CallSessions()
+    calls = call_sessions.CallSessions()
     for number in range(5):
-        take(book, end(f"t{number}", messages.NOT_RUN), START)
-        take(book, close(f"t{number}", messages.NOT_RUN), START)
+        execute(calls, end(f"t{number}", messages.NOT_RUN), START)
+        execute(calls, close(f"t{number}", messages.NOT_RUN), START)
     for command in (end("t9", messages.NOT_RUN), begin("t9"), close("t9", messages.NOT_RUN), claim("t9")):
-        refusal = refused(book, command, START)
+        refusal = rejection_of(calls, command, START)
         assert refusal.result is result.ResultCode.OVERLOADED and refusal.retry is not None
 
 
-def test_history_of_a_full_ledger_is_refused_not_dropped(monkeypatch):
+def test_at_its_limits_a_group_rejects_turns_and_drops_no_history(monkeypatch):
     monkeypatch.setattr(call_sessions, "MAX_PAYLOAD_BYTES", 1000)
     monkeypatch.setattr(token_budget, "MAX_PROGRAMS", 2)
-    book = call_sessions.CallSessions()
-    take(book, begin("a"), START)
-    take(book, end("a", input=bytes(1000)), START)
-    assert refused(book, begin("b", "a"), START).result is result.ResultCode.OVERLOADED
-    assert refused(book, claim("c"), START).result is result.ResultCode.OVERLOADED
-    assert take(book, begin("b", "a", retained=False), START).complete
-    take(book, begin("q", program="q", retained=False), START)
-    assert refused(book, begin("r", program="r", retained=False), START).result is result.ResultCode.OVERLOADED
+    calls = call_sessions.CallSessions()
+    execute(calls, begin("a"), START)
+    execute(calls, end("a", input=bytes(1000)), START)
+    assert rejection_of(calls, begin("b", "a"), START).result is result.ResultCode.OVERLOADED
+    assert rejection_of(calls, claim("c"), START).result is result.ResultCode.OVERLOADED
+    assert execute(calls, begin("b", "a", retained=False), START).complete
+    execute(calls, begin("q", program="q", retained=False), START)
+    assert rejection_of(calls, begin("r", program="r", retained=False), START).result is result.ResultCode.OVERLOADED
     monkeypatch.setattr(turn_history, "MAX_CHAIN_BYTES", 999)
-    assert refused(book, begin("d", "a", retained=False), START).result is result.ResultCode.TOO_LARGE
+    assert rejection_of(calls, begin("d", "a", retained=False), START).result is result.ResultCode.TOO_LARGE
 
 
 def test_a_turn_answered_less_than_its_keep_time_ago_is_there_also_after_takeovers():
-    book, now = call_sessions.CallSessions(), START
-    line(book, "ab", now)
-    settle(book, now + KEEP - clock.seconds(0.1))
-    assert take(book, entry.FindTurn("b"), now).found
-    book = taken_over(book)
+    calls, now = call_sessions.CallSessions(), START
+    add_chain(calls, "ab", now)
+    run_due_commands(calls, now + KEEP - clock.seconds(0.1))
+    assert execute(calls, entry.FindTurn("b"), now).found
+    calls = successor_of(calls)
     now += KEEP - clock.seconds(1)
-    settle(book, now)
-    settle(book, now + KEEP)
-    assert [one.attempt for one in take(book, begin("c", "b"), now + KEEP).chain] == ["a", "b"]
+    run_due_commands(calls, now)
+    run_due_commands(calls, now + KEEP)
+    assert [turn.attempt for turn in execute(calls, begin("c", "b"), now + KEEP).chain] == ["a", "b"]
 
 
 def test_a_chain_is_kept_as_long_as_a_turn_that_goes_on_from_it_is_kept_or_under_way():
-    book, now = call_sessions.CallSessions(), START
-    line(book, "abc", now)
-    take(book, begin("d", "b", within=clock.seconds(500)), now)
-    settle(book, now + clock.seconds(200))
-    assert set(book.history.retained) == {"a", "b"}
-    take(book, end("d"), now + clock.seconds(200))
-    settle(book, now + clock.seconds(265))
-    assert set(book.history.retained) == {"a", "b", "d"}
-    settle(book, now + clock.seconds(271))
-    assert not book.history.retained and book.payload_bytes() == 0 and not book.history.successors
-
-
-def test_a_whole_chain_goes_at_once_when_its_youngest_turn_goes():
-    book = call_sessions.CallSessions()
-    line(book, "abcdefghijkl", START)
-    commands = book.due(START + clock.seconds(71), lambda edge: False)
+    calls, now = call_sessions.CallSessions(), START
+    add_chain(calls, "abc", now)
+    execute(calls, begin("d", "b", within=clock.seconds(500)), now)
+    run_due_commands(calls, now + clock.seconds(200))
+    assert set(calls.history.retained) == {"a", "b"}
+    execute(calls, end("d"), now + clock.seconds(200))
+    run_due_commands(calls, now + clock.seconds(265))
+    assert set(calls.history.retained) == {"a", "b", "d"}
+    run_due_commands(calls, now + clock.seconds(271))
+    assert not calls.history.retained and calls.payload_bytes() == 0 and not calls.history.successors
+
+
+def test_a_whole_chain_expires_together_with_its_newest_turn():
+    calls = call_sessions.CallSessions()
+    add_chain(calls, "abcdefghijkl", START)
+    commands = calls.due(START + clock.seconds(71), lambda edge: False)
     assert commands[-1].turns == tuple("lkjihgfedcba")
-    other = taken_over(book)
-    assert other.due(START + clock.seconds(71), lambda edge: False) == ()
-    assert len(other.due(START + clock.seconds(142), lambda edge: False)[-1].turns) == 12
+    successor = successor_of(calls)
+    assert successor.due(START + clock.seconds(71), lambda edge: False) == ()
+    assert len(successor.due(START + clock.seconds(142), lambda edge: False)[-1].turns) == 12
 
 
 def test_a_turn_whose_end_is_not_known_is_not_called_unknown():
-    book = call_sessions.CallSessions()
-    take(book, begin("a"), START)
+    calls = call_sessions.CallSessions()
+    execute(calls, begin("a"), START)
     for command in (begin("b", "a"), entry.FindTurn("a")):
-        refusal = refused(book, command, START)
+        refusal = rejection_of(calls, command, START)
         assert (refusal.result, refusal.result.status, refusal.ran) == (
             result.ResultCode.TURN_NOT_ENDED,
             503,
             result.Ran.NOT_RUN,
         )
-    take(book, end("a", messages.UNKNOWN), START)
-    assert refused(book, begin("b", "a"), START).result is result.ResultCode.TURN_NOT_ENDED
-    take(book, end("a"), START)
-    assert take(book, begin("b", "a"), START).chain[0].attempt == "a"
-    take(book, begin("c"), START)
-    take(book, end("c", messages.NOT_RUN), START)
-    refusal = refused(book, begin("d", "c"), START)
+    execute(calls, end("a", messages.UNKNOWN), START)
+    assert rejection_of(calls, begin("b", "a"), START).result is result.ResultCode.TURN_NOT_ENDED
+    execute(calls, end("a"), START)
+    assert execute(calls, begin("b", "a"), START).chain[0].attempt == "a"
+    execute(calls, begin("c"), START)
+    execute(calls, end("c", messages.NOT_RUN), START)
+    refusal = rejection_of(calls, begin("d", "c"), START)
     assert (refusal.result, refusal.result.status) == (result.ResultCode.UNKNOWN_TURN, 404)
-    assert not take(book, entry.FindTurn("c"), START).found
+    assert not execute(calls, entry.FindTurn("c"), START).found
 
 
 def test_a_chain_of_another_group_is_kept_here_too():
     there, here = call_sessions.CallSessions(), call_sessions.CallSessions()
-    line(there, "abc", START)
-    base = take(there, entry.FindTurn("c"), START).chain
-    assert refused(here, begin("d", "c"), START).result is result.ResultCode.UNKNOWN_TURN
+    add_chain(there, "abc", START)
+    base = execute(there, entry.FindTurn("c"), START).chain
+    assert rejection_of(here, begin("d", "c"), START).result is result.ResultCode.UNKNOWN_TURN
     for wrong in (
         base[:2],
         base[1:],
@@ -202,55 +203,54 @@
         base + base,
         (dataclasses.replace(base[0], attempt="d"), *base[1:]),
     ):
-        assert refused(here, begin("d", "c", base=wrong), START).result is result.ResultCode.MALFORMED
-    reply = take(here, begin("d", "c", base=base), START)
+        assert rejection_of(here, begin("d", "c", base=wrong), START).result is result.ResultCode.MALFORMED
+    reply = execute(here, begin("d", "c", base=base), START)
     assert reply.chain == base and reply.complete and reply.worker == "i-1"
-    take(here, end("d"), START)
-    assert [one.attempt for one in take(here, begin("e", "d"), START).chain] == list("abcd")
-    assert "".join(one.attempt for one in take(here, begin("f", "a"), START).chain) == "a"
-    line(there, "xyz", START)
-    shared = take(there, begin("g", "b"), START)
-    take(there, end("g"), START)
-    base = take(there, entry.FindTurn("g"), START).chain
-    assert [one.attempt for one in shared.chain] == ["a", "b"]
+    execute(here, end("d"), START)
+    assert [turn.attempt for turn in execute(here, begin("e", "d"), START).chain] == list("abcd")
+    assert "".join(turn.attempt for turn in execute(here, begin("f", "a"), START).chain) == "a"
+    add_chain(there, "xyz", START)
+    shared = execute(there, begin("g", "b"), START)
+    execute(there, end("g"), START)
+    base = execute(there, entry.FindTurn("g"), START).chain
+    assert [turn.attempt for turn in shared.chain] == ["a", "b"]
     events, _ = here.decide(begin("h", "g", base=base), START)
-    assert [one.attempt for one in events[0].base] == ["g"]
-    reply = take(here, begin("h", "g", base=base), START)
-    assert [one.attempt for one in reply.chain] == ["a", "b", "g"] and len(here.history.retained) == 5
+    assert [turn.attempt for turn in events[0].base] == ["g"]
+    reply = execute(here, begin("h", "g", base=base), START)
+    assert [turn.attempt for turn in reply.chain] == ["a", "b", "g"] and len(here.history.retained) == 5
     for attempt in "efh":
-        take(here, end(attempt, messages.NOT_RUN), START)
-    settle(here, START + clock.seconds(75))
-    settle(here, START + clock.seconds(150))
+        execute(here, end(attempt, messages.NOT_RUN), START)
+    run_due_commands(here, START + clock.seconds(75))
+    run_due_commands(here, START + clock.seconds(150))
     assert here.size() == 0 and here.payload_bytes() == 0
 
 
 def test_turns_of_a_lost_edge_or_over_their_time_are_charged_and_a_late_end_puts_it_right():
-    book = call_sessions.CallSessions()
-    line(book, "a", START)
+    calls = call_sessions.CallSessions()
+    add_chain(calls, "a", START)
     for attempt, edge in (("b", "lost 1"), ("c", "e"), ("d", "lost 1")):
-        take(book, begin(attempt, "a", budget=100, edge=edge), START)
-    assert [one.attempt for one in settle(book, START, lambda edge: edge == "lost 1")] == ["b", "d"]
-    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (20, 10)
-    assert not settle(book, START + WITHIN + BEYOND)
-    assert [one.attempt for one in settle(book, START + WITHIN + BEYOND + clock.seconds(0.1))] == ["c"]
-    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (30, 0)
+        execute(calls, begin(attempt, "a", budget=100, edge=edge), START)
+    assert [command.attempt for command in run_due_commands(calls, START, lambda edge: edge == "lost 1")] == ["b", "d"]
+    assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (20, 10)
+    assert not run_due_commands(calls, START + WITHIN + MARGIN)
+    assert [command.attempt for command in run_due_commands(calls, START + WITHIN + MARGIN + clock.seconds(0.1))] == [
+        "c"
+    ]
+    assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (30, 0)
     for _ in range(2):
-        assert take(book, end("b", used=4), START) == messages.Closed(messages.DONE)
-        assert take(book, end("b", messages.UNKNOWN), START) == messages.Closed(messages.DONE)
-        assert take(book, end("d", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
-    assert (book.budgets.accounts["p"].used, book.budgets.accounts["p"].reserved) == (14, 0)
-    assert [one.attempt for one in take(book, begin("f", "b"), START).chain] == ["a", "b"]
+        assert execute(calls, end("b", used=4), START) == messages.Closed(messages.DONE)
+        assert execute(calls, end("b", messages.UNKNOWN), START) == messages.Closed(messages.DONE)
+        assert execute(calls, end("d", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
+    assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (14, 0)
+    assert [turn.attempt for turn in execute(calls, begin("f", "b"), START).chain] == ["a", "b"]
 
 
 def test_a_late_end_whose_chain_is_gone_is_refused():
-    book = call_sessions.CallSessions()
-    line(book, "a", START, keep=clock.seconds(1))
-    take(book, begin("b", "a", keep=clock.seconds(1)), START)
-    settle(book, START + clock.seconds(14))
-    settle(book, START + clock.seconds(15))
-    assert "a" not in book.history.retained and book.history.finished["b"].outcome == messages.UNKNOWN
-    refusal = refused(book, end("b"), START + clock.seconds(15))
+    calls = call_sessions.CallSessions()
+    add_chain(calls, "a", START, keep=clock.seconds(1))
+    execute(calls, begin("b", "a", keep=clock.seconds(1)), START)
+    run_due_commands(calls, START + clock.seconds(14))
+    run_due_commands(calls, START + clock.seconds(15))
+    assert "a" not in calls.history.retained and calls.history.finished["b"].outcome == messages.UNKNOWN
+    refusal = rejection_of(calls, end("b"), START + clock.seconds(15))
     assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, result.Ran.UNKNOWN)
-
-
-# -- keys --------------------------------------------------------------------------------------------
