--- a/aspencroft/consensus/ballot.py
+++ b/aspencroft/consensus/ballot.py
@@ -1,7 +1,8 @@
-"""What a proposer decides, as pure functions: quorums, the value to propose, when a value is chosen, a lease's end.
+"""The decisions of a proposer as pure functions: quorums, the value to propose, chosen values, the end of a lease.
 
-Each group's replica set, and the voter set itself, is one register of single-decree Paxos (Lamport, "Paxos Made
-Simple", 2001) whose value may be proposed anew, with leases on the value that was chosen.
+The replica set of each group, and the voter set itself, is one register of single-decree Paxos (Lamport, "Paxos Made
+Simple", 2001). Unlike in plain single-decree Paxos, a later ballot may replace the chosen value, and voters grant
+leases on it.
 """
 
 import dataclasses
@@ -13,25 +14,26 @@
 from aspencroft.runtime import clock
 
 COUNTER_UNIT = 1 << 40
-"""What a ballot number's counter is multiplied with; the rest is random, so that no two proposers share a number."""
+"""Factor of the counter in a ballot number; the low bits are random, so that no two proposers use the same number."""
 
 BallotReplies = typing.Mapping[str, replica_set.BallotReply]
-"""Replies of voters to one request, by address."""
+"""The voters' replies to one request, by voter address."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ChosenValue:
-    """A value that a majority accepted, and the ballot in which it did."""
+    """A value that a majority of the voters accepted, and the ballot in which they accepted it."""
 
     ballot: int
     value: bytes
 
 
 class LeaseOutcome(typing.NamedTuple):
-    """What a lease request came to.
+    """The result of a lease request.
 
-    ``end`` is the lease's end on the monotonic clock, none when it was not granted; ``newest`` a value accepted in
-    a higher ballot, empty without one; ``answered`` says whether a majority replied at all.
+    ``end`` is the end of the lease on the monotonic clock, or None if the lease was not granted. ``newest`` is a value
+    that a voter accepted in a higher ballot, or empty if there is none. ``answered`` tells whether a majority replied
+    at all.
     """
 
     end: datetime.timedelta | None
@@ -40,7 +42,7 @@
 
 
 def next_ballot(highest: int, randomness: random.Random) -> int:
-    """A ballot number above the highest that was seen, and no other proposer's.
+    """Return a ballot number above the highest one seen, which no other proposer uses.
 
     Example: ``next_ballot(7, random.Random(1)) > 7``
     """
@@ -48,26 +50,26 @@
 
 
 def granting_replies(replies: BallotReplies) -> dict[str, replica_set.BallotReply]:
-    """The replies that promise, accept or grant."""
+    """Return the replies that promise, accept or grant."""
     return {address: reply for address, reply in replies.items() if reply.granted}
 
 
 def is_decided(voter_set: replica_set.VoterSet, replies: BallotReplies) -> bool:
-    """Whether more replies change nothing: a majority grants, or so many refused that none can."""
+    """Return whether more replies cannot change the result: a majority granted, or no majority can grant any more."""
     granting = granting_replies(replies)
     refusing = set(replies) - set(granting)
     return voter_set.has_quorum(granting) or not voter_set.has_quorum(set(voter_set.everyone()) - refusing)
 
 
 def newest_accepted(promises: BallotReplies) -> replica_set.Ballot:
-    """What was accepted in the highest ballot, by the voters that promised: its value may be chosen already."""
+    """Return the ballot state with the highest accepted ballot among the promises; its value may already be chosen."""
     return max((reply.ballot for reply in promises.values()), key=lambda ballot: ballot.accepted)
 
 
 def accept_messages(
     voter_set: replica_set.VoterSet, register: int, ballot: int, value: bytes, promises: BallotReplies
 ) -> dict[str, replica_set.Accept]:
-    """The second phase, only for voters that promised, each named by the incarnation that did."""
+    """Return the phase 2 messages: only to voters that promised, each with the incarnation that made the promise."""
     return {
         address: replica_set.Accept(register, ballot, value, reply.incarnation, voter_set.number)
         for address, reply in promises.items()
@@ -77,7 +79,10 @@
 def is_chosen(
     voter_set: replica_set.VoterSet, replies: BallotReplies, started: datetime.timedelta, now: datetime.timedelta
 ) -> bool:
-    """Whether a majority accepted the value, before a voter that lost its disk meanwhile could vote again."""
+    """Return whether a majority accepted the value in time.
+
+    The ballot must end within one lease: a voter that lost its disk after it promised could vote again after that.
+    """
     return now - started <= witness_state.LEASE and voter_set.has_quorum(granting_replies(replies))
 
 
@@ -88,7 +93,7 @@
     started: datetime.timedelta,
     length: datetime.timedelta,
 ) -> LeaseOutcome:
-    """What the replies to a lease request come to; the lease is counted from when the request was sent."""
+    """Return the result of a lease request; the lease runs from the time at which the request was sent."""
     newest = max((reply.ballot for reply in replies.values()), key=lambda ballot: ballot.accepted, default=None)
     value = newest.value if newest is not None and newest.accepted > chosen.ballot else b""
     if voter_set.has_quorum(granting_replies(replies)):
@@ -97,7 +102,7 @@
 
 
 def wait_before_retry(replies: BallotReplies) -> datetime.timedelta:
-    """The longest time that a voter named until leases in the way have expired.
+    """Return the longest wait that a voter reported until the leases that block this ballot have expired.
 
     Example: ``wait_before_retry({}) == clock.ZERO``
     """
--- a/aspencroft/consensus/proposer.py
+++ b/aspencroft/consensus/proposer.py
@@ -16,18 +16,18 @@
 
 LOG = logbook.Logger("consensus.proposer")
 REQUEST_TIMEOUT = clock.seconds(0.4)
-"""How long a voter may take to reply: well below the lease, so that a renewal can be tried again in time."""
+"""Time limit for a voter's reply; well below the lease, so that a failed renewal can be retried in time."""
 
 ChosenValue = ballots.ChosenValue
 
 
 class MessageLink(typing.Protocol):
-    """The way to other nodes, of which consensus needs only this."""
+    """The part of the transport to other nodes that consensus uses."""
 
     async def request(self, address: str, message: typing.Any, within: datetime.timedelta) -> typing.Any:
         """Send a message and return its reply.
 
-        Raises: ``result.RequestError`` where the peer rejects it or no reply came in time.
+        Raises: ``result.RequestError`` if the peer rejects it or no reply arrives in time.
         """
         ...
 
@@ -37,7 +37,7 @@
 
 
 class Proposer:
-    """Proposes values to the voters; owns the newest voter set and the highest ballot that this node has seen."""
+    """Proposes values to the voters; holds the newest voter set and the highest ballot that this node has seen."""
 
     def __init__(self, env: environment.Environment, link: MessageLink, first_voter_set: replica_set.VoterSet):
         self.environment = env
@@ -46,12 +46,12 @@
         self.highest = 0
 
     def next_ballot(self) -> int:
-        """A ballot number above all that were seen, and no other proposer's."""
+        """Return a ballot number above all that were seen, which no other proposer uses."""
         self.highest = ballots.next_ballot(self.highest, self.environment.randomness)
         return self.highest
 
     def learn_from_replies(self, replies: ballots.BallotReplies) -> None:
-        """Learn higher ballots and newer voter sets from replies; notify voters that are behind of the newest set."""
+        """Learn higher ballots and newer voter sets from replies; send the newest set to voters that lack it."""
         for reply in replies.values():
             self.highest = max(self.highest, reply.ballot.promised)
             self.learn(reply.voter_set)
@@ -60,7 +60,7 @@
                 self.link.notify(address, replica_set.VoterSetChosen(self.voter_set))
 
     def learn(self, voter_set: replica_set.VoterSet) -> None:
-        """Take a newer voter set."""
+        """Adopt a voter set if it is newer."""
         if voter_set.number > self.voter_set.number:
             self.voter_set = voter_set
 
@@ -69,27 +69,27 @@
         messages: collections.abc.Mapping[str, object],
         is_enough: collections.abc.Callable[[ballots.BallotReplies], bool],
     ) -> dict[str, replica_set.BallotReply]:
-        """Send messages at once; the replies by address, as soon as they are enough or nobody is left."""
+        """Send messages concurrently; return the replies by address once they are enough or no request is pending."""
         replies: dict[str, replica_set.BallotReply] = {}
 
         async def request(address: str, message: object) -> None:
             with contextlib.suppress(result.RequestError):
                 replies[address] = await self.link.request(address, message, REQUEST_TIMEOUT)
 
-        waiting = [asyncio.ensure_future(request(address, message)) for address, message in messages.items()]
+        pending = [asyncio.ensure_future(request(address, message)) for address, message in messages.items()]
         try:
-            while waiting and not is_enough(replies):
-                await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-                waiting = [task for task in waiting if not task.done()]
+            while pending and not is_enough(replies):
+                await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+                pending = [task for task in pending if not task.done()]
         finally:
-            for task in waiting:
+            for task in pending:
                 task.cancel()
         return dict(replies)
 
     async def request_voters(
         self, voter_set: replica_set.VoterSet, messages: collections.abc.Mapping[str, object]
     ) -> dict[str, replica_set.BallotReply]:
-        """Send messages to voters until more replies change nothing, and learn from the replies."""
+        """Send messages to voters, wait until more replies cannot change the result, and learn from the replies."""
         replies = await self.request_all(messages, lambda received: ballots.is_decided(voter_set, received))
         self.learn_from_replies(replies)
         return replies
@@ -97,13 +97,13 @@
     async def change(
         self, register: int, requester: str, function: collections.abc.Callable[[bytes], bytes]
     ) -> ChosenValue:
-        """Run one ballot: learn the newest value that may be chosen, and propose what the function makes of it.
+        """Run one ballot: learn the newest value that may be chosen, and propose the function's result for it.
 
-        A value that the function returns unchanged is finished as it is.
+        If the function returns the value unchanged, the ballot completes that value.
 
-        Raises: ``result.RequestError`` with ``NO_CLAIM`` and the time to wait when no majority promised (another's
-        lease is in force, or another ballot is higher); with ``OUTCOME_UNKNOWN`` when no majority accepted in time;
-        and whatever the function raises.
+        Raises: ``result.RequestError`` with ``NO_CLAIM`` and the time to wait if no majority promised (another lease
+        is in force, or another ballot is higher); with ``OUTCOME_UNKNOWN`` if no majority accepted in time; and
+        whatever the function raises.
         """
         voter_set, started = self.voter_set, clock.now()
         ballot = self.next_ballot()
@@ -121,7 +121,7 @@
         replies = await self.request_voters(voter_set, accepts)
         if not ballots.is_chosen(voter_set, replies, started, clock.now()):
             raise result.RequestError(
-                result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the ballot did not finish"
+                result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "no majority accepted the ballot in time"
             )
         LOG.info(
             "ballot {} of register {} chosen: proposed by {}, voter set {}", ballot, register, requester, voter_set
@@ -131,7 +131,7 @@
     async def request_lease(
         self, chosen: ChosenValue, register: int, lease_holder: str, length: datetime.timedelta
     ) -> ballots.LeaseOutcome:
-        """Renew a lease on a chosen value; its end is counted from when the request was sent."""
+        """Renew a lease on a chosen value; the lease runs from the time at which the request was sent."""
         voter_set, started = self.voter_set, clock.now()
         message = replica_set.LeaseRequest(
             register, chosen.ballot, chosen.value, lease_holder, length, voter_set.number
@@ -141,5 +141,5 @@
 
 
 def replica_set_of(value: bytes) -> replica_set.ReplicaSet | None:
-    """The replica set in a register's value, none in an empty one."""
+    """Return the replica set in a register's value, or None if the value is empty."""
     return codec.untagged(value) if value else None
--- a/aspencroft/consensus/replica_set.py
+++ b/aspencroft/consensus/replica_set.py
@@ -1,7 +1,7 @@
 """The replica set of a group, the voter set, and the messages between proposers and voters (witnesses).
 
-The encoding is by position: fields may be renamed, never moved. ``str(ReplicaId)`` names lease holders in messages,
-so that the name and the fields of this one type stay.
+Messages are encoded by field position: a field may be renamed, but never moved. ``ReplicaId`` is the exception: its
+``str()`` identifies lease holders in messages, so its class name and field names must not change.
 """
 
 import collections.abc
@@ -11,14 +11,14 @@
 from aspencroft.transport import codec
 
 VOTER_SET = -1
-"""The register of the voter set; those of replica sets are the groups' numbers, from zero on."""
+"""The register of the voter set; the register of a replica set is its group number, which starts at 0."""
 FIRST_VOTER_SET_NUMBER = 1
 CONTROL, TALK = "control", "talk"
-"""Kinds of groups, as settings name them: the one of the control state, and those of sessions."""
+"""Kinds of groups, as named in the settings: the group of the control state, and the groups of sessions."""
 
 
 def group_kind(group_id: int) -> str:
-    """The kind of a group by its number: which disks may hold it.
+    """Return the kind of a group; it determines which disks may hold the group's replicas.
 
     Example: ``group_kind(0) == CONTROL``
     """
@@ -28,13 +28,13 @@
 @codec.kind(20)
 @dataclasses.dataclass(frozen=True)
 class ReplicaId:
-    """A replica: its node's address, and the identity that its store got when it was created."""
+    """A replica: the address of its node, and the identity that its store was given on creation."""
 
     address: str
     identity: str
 
     def label(self) -> str:
-        """The replica in a log line.
+        """Return the replica as shown in log lines.
 
         Example: ``ReplicaId("n:1", "abc").label() == "n:1/abc"``
         """
@@ -44,7 +44,7 @@
 @codec.kind(21)
 @dataclasses.dataclass(frozen=True)
 class ReplicaSet:
-    """Primary and backups of a group under an epoch: each of them has synced all that was acknowledged."""
+    """The primary and backups of a group in an epoch; each member has synced every acknowledged write."""
 
     group_id: int
     epoch: int
@@ -52,18 +52,17 @@
     backups: tuple[ReplicaId, ...]
 
     def members(self) -> tuple[ReplicaId, ...]:
-        """The primary and the backups."""
+        """Return the primary and the backups."""
         return (self.primary, *self.backups)
 
 
 @codec.kind(22)
 @dataclasses.dataclass(frozen=True)
 class VoterSet:
-    """The voters: the set in force and, while it changes, the set to come (a joint voter set).
+    """The voters: the set in force and, during a change, the next set (together a joint voter set).
 
-    Number zero is what settings name before any voter set is in force,
-    number one what they name to witnesses that vote from their
-    first start on; later numbers are never used twice.
+    Number 0 is the set named in the settings, used before any voter set is in force. Number 1 is the same set at
+    witnesses that vote from their first start. Later numbers are never reused.
     """
 
     number: int
@@ -71,17 +70,17 @@
     coming: tuple[str, ...]
 
     def everyone(self) -> tuple[str, ...]:
-        """All present and coming voters."""
+        """Return all present and coming voters."""
         return tuple(dict.fromkeys(self.present + self.coming))
 
     def has_quorum(self, answered: collections.abc.Collection[str]) -> bool:
-        """Whether the voters that answered are a majority of each set."""
+        """Return whether the voters that answered are a majority of each set."""
         return all(
             2 * len(set(voters) & set(answered)) > len(set(voters)) for voters in (self.present, self.coming) if voters
         )
 
     def losses_left(self, live: collections.abc.Collection[str]) -> int:
-        """How many of the live voters may be lost before no quorum is left; below zero, how many a quorum lacks.
+        """Return how many live voters may be lost while a quorum remains; if negative, how many a quorum lacks.
 
         Example: ``VoterSet(1, ("a", "b", "c"), ()).losses_left({"a", "b"}) == 0``
         """
@@ -98,7 +97,7 @@
 @codec.kind(23)
 @dataclasses.dataclass(frozen=True)
 class Ballot:
-    """A voter's state of a register: the ballot promised last, and the ballot and value accepted last."""
+    """A voter's state of one register: the last promised ballot, and the last accepted ballot and its value."""
 
     register: int
     promised: int
@@ -109,7 +108,7 @@
 @codec.kind(24)
 @dataclasses.dataclass(frozen=True)
 class Prepare:
-    """First phase: promise this ballot and reply with what was accepted."""
+    """Phase 1: asks for a promise of this ballot and for the last accepted value."""
 
     register: int
     ballot: int
@@ -120,9 +119,9 @@
 @codec.kind(25)
 @dataclasses.dataclass(frozen=True)
 class BallotReply:
-    """Reply to a prepare, accept or lease request; if not granted, with the ballot or voter set in the way.
+    """Reply to a prepare, accept or lease request; if not granted, with the ballot or voter set that prevents it.
 
-    ``wait`` is how long a lease in the way may still be in force.
+    ``wait`` is how long a conflicting lease may still be in force.
     """
 
     granted: bool
@@ -135,7 +134,7 @@
 @codec.kind(26)
 @dataclasses.dataclass(frozen=True)
 class Accept:
-    """Second phase: accept a value in a ballot that this incarnation of the voter promised."""
+    """Phase 2: asks to accept a value in a ballot that this incarnation of the voter promised."""
 
     register: int
     ballot: int
@@ -147,7 +146,7 @@
 @codec.kind(27)
 @dataclasses.dataclass(frozen=True)
 class LeaseRequest:
-    """Renew a primary's lease; carries the chosen value so that a voter that missed it learns it."""
+    """Asks to renew a primary's lease; carries the chosen value for voters that missed its ballot."""
 
     register: int
     ballot: int
@@ -160,7 +159,7 @@
 @codec.kind(28)
 @dataclasses.dataclass(frozen=True)
 class WitnessStateRequest:
-    """Ask a voter for its whole state."""
+    """Asks a voter for its whole state."""
 
     requester: str
 
@@ -168,7 +167,7 @@
 @codec.kind(29)
 @dataclasses.dataclass(frozen=True)
 class WitnessStateReply:
-    """A voter's state; one that is blank does not vote."""
+    """A voter's state; ``voting`` is false for a blank voter."""
 
     voting: bool
     incarnation: int
@@ -179,7 +178,7 @@
 @codec.kind(30)
 @dataclasses.dataclass(frozen=True)
 class InstallWitnessState:
-    """Give blank voters their first state, or the one that the members' disks hold."""
+    """Gives blank voters their state: the very first one, or the one recovered from the disks of replicas."""
 
     voter_set: VoterSet
     ballots: tuple[Ballot, ...]
@@ -188,19 +187,19 @@
 @codec.kind(31)
 @dataclasses.dataclass(frozen=True)
 class Acknowledged:
-    """A reply without content."""
+    """An empty reply."""
 
 
 @codec.kind(32)
 @dataclasses.dataclass(frozen=True)
 class ReplicaReportRequest:
-    """Ask a node which replicas its disk holds."""
+    """Asks a node which replicas its disk holds."""
 
 
 @codec.kind(35)
 @dataclasses.dataclass(frozen=True)
 class VoterSetChosen:
-    """A voter set that was chosen, for nodes that had no part in the ballot."""
+    """Announces a chosen voter set to nodes that did not take part in its ballot."""
 
     voter_set: VoterSet
 
@@ -208,7 +207,7 @@
 @codec.kind(36)
 @dataclasses.dataclass(frozen=True)
 class RememberedCluster:
-    """What a node's disk remembers of the cluster: the voter set in force and the nodes with disks."""
+    """The cluster as a node stores it on disk: the voter set in force and the nodes with disks."""
 
     voter_set: VoterSet
     disks: tuple[str, ...]
@@ -217,7 +216,7 @@
 @codec.kind(33)
 @dataclasses.dataclass(frozen=True)
 class ReplicaReport:
-    """One replica on a disk: identity, the newest replica set known, and the last sequence."""
+    """One replica on a disk: its identity, the newest replica set it knows, and its last sequence number."""
 
     group_id: int
     identity: str
@@ -228,7 +227,7 @@
 @codec.kind(34)
 @dataclasses.dataclass(frozen=True)
 class ReplicaReports:
-    """All replicas on a node's disk; ``first_start`` says that a blank one of them is new, not lost."""
+    """All replicas on a node's disk; ``first_start`` tells that an empty replica is new rather than lost."""
 
     area: str
     copies: tuple[ReplicaReport, ...]
@@ -239,6 +238,6 @@
 @codec.kind(55)
 @dataclasses.dataclass(frozen=True)
 class ReplicaSetNotice:
-    """A replica set that the voters chose, for a member that had no part in the ballot."""
+    """Announces a chosen replica set to a member that did not take part in its ballot."""
 
     record: ReplicaSet
--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -1,4 +1,4 @@
-"""A voter (witness) on its node: applies messages to its state in order, and syncs each change before it replies."""
+"""A voter (witness) on its node: applies messages to its state in order and syncs each change before replying."""
 
 import asyncio
 import pathlib
@@ -15,13 +15,13 @@
 LEASE = witness_state.LEASE
 LEASE_MARGIN = witness_state.LEASE_MARGIN
 COMPACT_VALUES = 2000
-"""How many values the store may hold before it is replaced by one of the newest alone."""
+"""Number of stored values above which the store is compacted to the newest ones."""
 
 Reply = typing.TypeVar("Reply")
 
 
 class Witness:
-    """One voter: owns its state and its store; without a disk it is blank after a restart."""
+    """A voter with its state and its store; without a disk it is blank after a restart."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
 
     @property
     def voting(self) -> bool:
-        """Whether this voter votes, that is, is not blank."""
+        """Whether this voter votes, that is, is not blank (without state)."""
         return self.state.voting
 
     @property
@@ -56,15 +56,15 @@
         return self.state.ballots
 
     def ballot(self, register: int) -> replica_set.Ballot:
-        """The ballot of a register."""
+        """Return the ballot of a register."""
         return self.state.ballot(register)
 
     def waits_out_leases(self) -> bool:
-        """Whether leases that were granted by an earlier incarnation may still be in force."""
+        """Return whether leases granted by an earlier incarnation may still be in force."""
         return clock.now() < self.state.leases_expired_at
 
     async def start(self, is_first_start: bool = False) -> None:
-        """Read the store; with ``is_first_start`` an empty disk is one that never held anything."""
+        """Read the store; with ``is_first_start`` an empty disk is taken for one that never held anything."""
         values: list[typing.Any] = []
         condition = None
         if self.folder is not None:
@@ -83,10 +83,10 @@
         self.state = step.state
 
     async def persist(self, *values: typing.Any) -> None:
-        """Sync values before anything is replied that rests on them.
+        """Sync values to disk; must be done before sending a reply that depends on them.
 
-        Behind a write that failed memory is ahead of the disk: then all that memory holds is written anew, also where
-        there is no other value to write.
+        After a failed write, memory is ahead of the disk. The whole state is then rewritten, even if there is no new
+        value to write.
         """
         if self.store is None:
             return
@@ -104,11 +104,11 @@
             self.has_failed_write = False
 
     async def apply_step(self, step: witness_state.Step[Reply]) -> Reply:
-        """Take a step's state into memory, sync it, and then return its reply.
+        """Apply a state transition in memory, sync it, and return its reply.
 
-        No reply is given while the disk lacks anything that memory holds: one without a write of its own waits for
-        those that are under way. A proposer that needs no more replies may cancel this in the middle; what memory holds
-        is synced all the same.
+        No reply is given while the disk lacks anything that memory holds: a step without writes of its own waits for
+        the writes in flight. A proposer that needs no more replies may cancel this call at any point; the shield lets
+        the write finish.
         """
         self.state = step.state
         if step.writes or self.unfinished_writes or self.has_failed_write:
@@ -119,23 +119,23 @@
         return step.reply
 
     async def prepare(self, message: replica_set.Prepare) -> replica_set.BallotReply:
-        """First phase of a ballot."""
+        """Phase 1 of a ballot."""
         return await self.apply_step(self.state.prepare(message, clock.now()))
 
     async def accept(self, message: replica_set.Accept) -> replica_set.BallotReply:
-        """Second phase of a ballot."""
+        """Phase 2 of a ballot."""
         return await self.apply_step(self.state.accept(message))
 
     async def renew_lease(self, message: replica_set.LeaseRequest) -> replica_set.BallotReply:
-        """Renew a primary's lease; a chosen value that was missed is learnt first.
+        """Renew a primary's lease, after learning the chosen value if this voter missed it.
 
-        Raises: ``result.RequestError``, as the two phases do, while this voter is blank.
+        Raises: ``result.RequestError`` while this voter is blank, as both phases do.
         """
         await self.apply_step(self.state.learn_chosen(message))
         return await self.apply_step(self.state.renew(message, clock.now()))
 
     async def adopt(self, voter_set: replica_set.VoterSet) -> None:
-        """Take a newer voter set that was chosen."""
+        """Adopt a newer voter set that was chosen."""
         previous = self.state
         await self.apply_step(self.state.adopt(voter_set))
         if previous.voting and previous.voter_set.number < voter_set.number:
@@ -147,21 +147,21 @@
                 voter_set.number,
                 voter_set.present,
                 voter_set.coming,
-                "voting" if previous.address in voter_set.everyone() else "no member, so blank from now on",
+                "voting" if previous.address in voter_set.everyone() else "not a member, blank from now on",
             )
 
     async def remember(self, known: replica_set.RememberedCluster) -> None:
-        """Persist what this node knows of the cluster, for the start after a full stop."""
+        """Persist what this node knows of the cluster, for a restart of the whole cluster."""
         if known != self.known:
             self.known = known
             await self.persist(known)
 
     def survey(self) -> replica_set.WitnessStateReply:
-        """All registers and the voter set, for a blank voter that wants to learn."""
+        """Return all registers and the voter set, for a blank voter that asks for them."""
         return self.state.survey()
 
     async def learn(self, voter_set: replica_set.VoterSet, ballots: tuple[replica_set.Ballot, ...]) -> None:
-        """Take the newest ballots of other voters, and vote from now on."""
+        """Merge the newest ballots of other voters and start to vote."""
         was_voting = self.voting
         await self.apply_step(self.state.learn(voter_set, ballots, clock.now()))
         if not was_voting:
--- a/aspencroft/consensus/witness_state.py
+++ b/aspencroft/consensus/witness_state.py
@@ -1,6 +1,6 @@
-"""What a voter (witness) decides: a pure state machine over messages and the time, without input or output.
+"""The decisions of a voter (witness): a pure state machine over messages and the current time, without I/O.
 
-It is an acceptor of single-decree Paxos for each register, and grants leases on the values that were chosen.
+A voter is a single-decree Paxos acceptor for each register, and grants leases on chosen values.
 """
 
 import dataclasses
@@ -13,18 +13,18 @@
 from aspencroft.transport import codec
 
 LEASE = clock.seconds(1)
-"""How long a primary may serve after it sent a renewal that a majority grants."""
+"""How long a primary may serve after sending a renewal that a majority then grants."""
 LEASE_MARGIN = clock.seconds(0.15)
-"""How much longer a voter waits than the lease: for clocks that run at different speeds."""
+"""How much longer than the lease a voter waits, because clocks run at different speeds."""
 NO_BALLOT = 0
-"""Below each proposer's ballot: nothing was promised or accepted."""
+"""Lower than any proposer's ballot number: nothing has been promised or accepted."""
 
 Reply = typing.TypeVar("Reply")
 
 
 @dataclasses.dataclass(frozen=True)
 class LeaseGrant:
-    """A lease that a witness granted: until when it may be in force, by the witness's own clock with a margin."""
+    """A lease that a witness granted; ``end`` is on the witness's own clock and includes the margin."""
 
     lease_holder: str
     end: datetime.timedelta
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step(typing.Generic[Reply]):
-    """What came of a message: the next state, the reply, and the values to sync before the reply is sent."""
+    """A state transition: the next state, the reply, and the values to sync to disk before the reply is sent."""
 
     state: "WitnessState"
     reply: Reply
@@ -41,9 +41,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class WitnessState:
-    """All that a voter knows.
+    """The whole state of a voter.
 
-    Leases are in memory alone: ``leases_expired_at`` is when those of an earlier incarnation have surely expired.
+    Leases are held in memory only; at ``leases_expired_at`` those of an earlier incarnation are certain to have
+    expired.
     """
 
     address: str
@@ -55,19 +56,19 @@
     leases_expired_at: datetime.timedelta = clock.ZERO
 
     def ballot(self, register: int) -> replica_set.Ballot:
-        """The ballot promised and the value accepted in a register."""
+        """Return the promised ballot and the accepted value of a register."""
         return self.ballots.get(register, replica_set.Ballot(register, NO_BALLOT, NO_BALLOT, b""))
 
     def reply(self, granted: bool, register: int, wait: datetime.timedelta = clock.ZERO) -> replica_set.BallotReply:
-        """The reply to a prepare, an accept or a lease request."""
+        """Return the reply to a prepare, accept or lease request."""
         return replica_set.BallotReply(granted, self.incarnation, self.ballot(register), self.voter_set, wait)
 
     def reject(self, register: int, wait: datetime.timedelta = clock.ZERO) -> Step[replica_set.BallotReply]:
-        """Nothing changes; the reply has the ballot, voter set or lease (time to wait) that is in the way."""
+        """Reject a request without a state change; the reply has the conflicting ballot, voter set or lease wait."""
         return Step(self, self.reply(False, register, wait))
 
     def is_current(self, voter_set: int) -> bool:
-        """Whether a request names the very voter set in force here, by its number.
+        """Return whether a request names the voter set that is in force here.
 
         Raises: ``result.RequestError`` with ``WITNESS_BLANK`` while this voter is blank.
         """
@@ -76,7 +77,7 @@
         return voter_set == self.voter_set.number
 
     def lease_wait(self, register: int, requester: str, now: datetime.timedelta) -> datetime.timedelta:
-        """How long somebody else's lease on a register may still be in force."""
+        """Return how long another holder's lease on a register may still be in force."""
         if register == replica_set.VOTER_SET:
             return clock.ZERO
         grant = self.grants.get(register)
@@ -91,10 +92,11 @@
     def restore(
         self, values: typing.Iterable[typing.Any], now: datetime.timedelta, is_first_start: bool = False
     ) -> Step[None]:
-        """Start with the values on disk; what is written must be synced before this voter votes.
+        """Start from the values on disk; the returned writes must be synced before this voter votes.
 
-        Leases of an earlier incarnation count as granted until they have expired. With ``is_first_start`` the disk
-        never held anything, so that a voter of the first voter set votes at once: it can have forgotten nothing.
+        Leases of an earlier incarnation are assumed to be granted until they must have expired. ``is_first_start``
+        means that the disk never held anything: a voter of the first voter set then votes at once, since it cannot
+        have lost any state.
         """
         voter_set, recorded = self.voter_set, False
         ballots: dict[int, replica_set.Ballot] = {}
@@ -118,7 +120,7 @@
         return Step(voting, None, (first,))
 
     def prepare(self, message: replica_set.Prepare, now: datetime.timedelta) -> Step[replica_set.BallotReply]:
-        """First phase; rejected while somebody else's lease may be in force."""
+        """Phase 1; rejected while another holder's lease may be in force."""
         if not self.is_current(message.voter_set):
             return self.reject(message.register)
         current = self.ballot(message.register)
@@ -128,10 +130,10 @@
         return self.store_ballot(dataclasses.replace(current, promised=message.ballot))
 
     def accept(self, message: replica_set.Accept) -> Step[replica_set.BallotReply]:
-        """Second phase; only for a ballot that this very incarnation promised.
+        """Phase 2; accepts only in a ballot that this incarnation promised.
 
-        A voter set is not in force here before it was chosen: one that few accepted would keep this voter and all that
-        learn it from every quorum.
+        An accepted voter set does not come into force before it is chosen: one that only a minority accepted would
+        exclude this voter, and every node that learns the set from it, from all quorums.
         """
         if not self.is_current(message.voter_set):
             return self.reject(message.register)
@@ -149,14 +151,14 @@
         return dataclasses.replace(step, state=dataclasses.replace(step.state, grants=grants))
 
     def store_ballot(self, ballot: replica_set.Ballot) -> Step[replica_set.BallotReply]:
-        """A register's new ballot, granted once it is synced."""
+        """Store the new ballot of a register; it is granted after the sync."""
         state = dataclasses.replace(self, ballots={**self.ballots, ballot.register: ballot})
         return Step(state, state.reply(True, ballot.register), written_twice(ballot))
 
     def adopt(self, voter_set: replica_set.VoterSet) -> Step[None]:
-        """Take a newer voter set; requests with an older one are rejected from then on.
+        """Adopt a newer voter set; requests that name an older one are rejected from then on.
 
-        A voter that the set does not name forgets its ballots: it may vote again only once it learnt from others.
+        A voter that is not in the set drops its ballots: it may vote again only after it learned them from others.
         """
         if voter_set.number <= self.voter_set.number or not self.voting:
             return Step(self, None)
@@ -166,7 +168,7 @@
         return Step(state, None, written_twice(voter_set))
 
     def learn_chosen(self, message: replica_set.LeaseRequest) -> Step[replica_set.BallotReply]:
-        """Take the chosen value that a lease request carries, where this voter had no part in its ballot."""
+        """Accept the chosen value that a lease request carries if this voter missed its ballot."""
         current = self.ballot(message.register)
         if (
             not self.is_current(message.voter_set)
@@ -177,7 +179,7 @@
         return self.store_ballot(replica_set.Ballot(message.register, message.ballot, message.ballot, message.value))
 
     def renew(self, message: replica_set.LeaseRequest, now: datetime.timedelta) -> Step[replica_set.BallotReply]:
-        """Renew a primary's lease under the record in force; nobody's while a higher ballot is promised."""
+        """Renew the lease of the primary named in the accepted record; rejected while a higher ballot is promised."""
         if not self.is_current(message.voter_set):
             return self.reject(message.register)
         current = self.ballot(message.register)
@@ -197,7 +199,7 @@
         return Step(dataclasses.replace(self, grants=grants), self.reply(True, message.register))
 
     def survey(self) -> replica_set.WitnessStateReply:
-        """All registers and the voter set, for a blank voter that wants to learn."""
+        """Return all registers and the voter set, for a blank voter that asks for them."""
         return replica_set.WitnessStateReply(
             self.voting, self.incarnation, self.voter_set, tuple(self.ballots.values())
         )
@@ -205,15 +207,15 @@
     def learn(
         self, voter_set: replica_set.VoterSet, ballots: typing.Iterable[replica_set.Ballot], now: datetime.timedelta
     ) -> Step[None]:
-        """Take the newest ballots of other voters, and vote from now on; leases count as granted."""
+        """Merge the newest ballots of other voters and start to vote; leases are assumed to be granted."""
         if self.voting:
             return Step(self, None)
         newest = dict(self.ballots)
-        for learnt in ballots:
-            known = newest.get(learnt.register, replica_set.Ballot(learnt.register, NO_BALLOT, NO_BALLOT, b""))
-            accepted = learnt if learnt.accepted >= known.accepted else known
-            promised = max(learnt.promised, known.promised)
-            newest[learnt.register] = replica_set.Ballot(learnt.register, promised, accepted.accepted, accepted.value)
+        for learned in ballots:
+            known = newest.get(learned.register, replica_set.Ballot(learned.register, NO_BALLOT, NO_BALLOT, b""))
+            accepted = learned if learned.accepted >= known.accepted else known
+            promised = max(learned.promised, known.promised)
+            newest[learned.register] = replica_set.Ballot(learned.register, promised, accepted.accepted, accepted.value)
         state = dataclasses.replace(
             self,
             voter_set=max(self.voter_set, voter_set, key=lambda known: known.number),
@@ -225,24 +227,24 @@
 
 
 def written_twice(value: typing.Any) -> tuple[typing.Any, typing.Any]:
-    """A value as it is written: twice, as a disk may lose its last value though it was synced."""
+    """Return a value twice for writing, because a disk may lose the last value even after a sync."""
     return value, value
 
 
 def has_sources_to_learn(
     voter_set: replica_set.VoterSet, address: str, voting: typing.Mapping[str, replica_set.WitnessStateReply]
 ) -> bool:
-    """Whether so many others vote that a blank voter may learn from them: a majority of the present ones but itself.
+    """Return whether a blank voter may learn from the others: a majority of the other present voters is voting.
 
-    Any quorum that ever counted this voter has one of them in common with those. They must hold the very voter set
-    under which it is to vote: one that still votes under the former set may accept more there afterwards, which a
-    quorum of the next set that counts this voter would not know.
+    Any quorum that ever counted this voter shares a member with that majority. The sources must hold the same voter
+    set under which this voter is going to vote: a source that still votes under the former set may accept more values
+    there afterwards, and a quorum of the next set that counts this voter would not know them.
     """
     sources = {source for source, survey in voting.items() if survey.voter_set.number == voter_set.number}
     return has_voting_majority(voter_set, address, sources)
 
 
 def has_voting_majority(voter_set: replica_set.VoterSet, address: str, voting: typing.Collection[str]) -> bool:
-    """Whether a majority of the present voters but this one votes, under whatever voter set."""
+    """Return whether a majority of the other present voters is voting, under any voter set."""
     others = [voter for voter in voter_set.present if voter != address]
     return 2 * len([voter for voter in others if voter in voting]) > len(others)
