--- a/aspencroft/consensus/record_recovery.py
+++ b/aspencroft/consensus/record_recovery.py
@@ -1,4 +1,4 @@
-"""Finishing ballots whose proposer died before it announced what they chose."""
+"""Recovery of replica set records whose proposer failed before it announced them."""
 
 import collections.abc
 import datetime
@@ -14,26 +14,27 @@
 LOG = logbook.Logger("consensus.record_recovery")
 CHECK_INTERVAL = clock.seconds(0.25)
 UNANNOUNCED_DELAY = clock.seconds(0.6)
-"""How long an accepted record may stay unannounced: longer than its proposer takes to finish and announce it."""
+"""How long an accepted record may stay unannounced; longer than its proposer needs to finish and announce it."""
 VOTER_STAGGER = clock.seconds(0.2)
-"""By how much each voter waits longer than the one before it, so that their ballots do not collide."""
+"""Additional wait of each voter after the previous one, so that their ballots do not collide."""
 RETRY_INTERVAL = clock.seconds(2)
-"""Time between two ballots of this node for a record: beyond a lease, which may refuse the first."""
+"""Time between two ballots of this node for one record; longer than a lease, as a lease may reject the first."""
 
 
 class RecordKey(typing.NamedTuple):
-    """A replica set by its group's register and its epoch."""
+    """Identifies a replica set by the register of its group and its epoch."""
 
     register: int
     epoch: int
 
 
 class RecordRecovery:
-    """A voter's watch over records that it accepted and that nobody announced.
+    """Watches for records that this voter accepted and that nobody announced, and recovers them.
 
-    A primary that dies between a ballot and its announcement leaves a record that may be chosen and of which its new
-    member does not know: nobody would ever lead the group. The record is not passed on as it is, since it may have
-    been accepted by few: a ballot finishes what may be chosen, and that is announced. A lease in force refuses it.
+    A primary that fails between a ballot and its announcement leaves a record that may be chosen but is unknown to its
+    new member, so the group would never get a primary. The record cannot be announced as it is, because perhaps only a
+    minority accepted it: a new ballot completes the value that may be chosen, and that value is announced. The ballot
+    is rejected while a lease is in force.
     """
 
     def __init__(
@@ -49,32 +50,32 @@
         self.address = address
         self.known_records = known_records
         self.announce = announce
-        self.due: dict[RecordKey, datetime.timedelta] = {}
+        self.due_at: dict[RecordKey, datetime.timedelta] = {}
 
     async def run(self) -> None:
-        """Finish the ballots of records that stay unannounced."""
+        """Recover overdue records for as long as the node runs."""
         while True:
             await clock.sleep(CHECK_INTERVAL)
             for register in self.overdue():
                 try:
                     await self.finish_ballot(register)
-                except result.RequestError as refusal:
-                    LOG.info("unannounced record of group {} not recovered: {}", register, refusal)
+                except result.RequestError as error:
+                    LOG.info("unannounced record of group {} not recovered: {}", register, error)
 
     def overdue(self) -> list[int]:
-        """The groups of which this voter accepted a record that stays unannounced; the voters take turns."""
+        """Return the groups whose accepted record has been unannounced for too long; voters take turns by stagger."""
         unannounced = self.unannounced_records()
         voters = sorted(self.proposer.voter_set.everyone())
-        turn = voters.index(self.address) if self.address in voters else len(voters)
+        rank = voters.index(self.address) if self.address in voters else len(voters)
         now = clock.now()
-        self.due = {key: self.due.get(key, now + UNANNOUNCED_DELAY + turn * VOTER_STAGGER) for key in unannounced}
-        ready = [key for key, due in self.due.items() if due <= now]
+        self.due_at = {key: self.due_at.get(key, now + UNANNOUNCED_DELAY + rank * VOTER_STAGGER) for key in unannounced}
+        ready = [key for key, due_at in self.due_at.items() if due_at <= now]
         for key in ready:
-            self.due[key] = now + RETRY_INTERVAL
+            self.due_at[key] = now + RETRY_INTERVAL
         return [key.register for key in ready]
 
     def unannounced_records(self) -> list[RecordKey]:
-        """The accepted records that are newer than those announced."""
+        """Return the accepted records that are newer than the announced ones."""
         unannounced: list[RecordKey] = []
         if not self.witness.voting:
             return unannounced
@@ -88,17 +89,17 @@
         return unannounced
 
     async def finish_ballot(self, register: int) -> None:
-        """Finish the ballot of a record, whatever it turns out to be, and announce it.
+        """Run a ballot that completes the record that may be chosen, and announce the chosen record.
 
-        Raises: ``result.RequestError`` where no record is known yet, or as ``Proposer.change`` does.
+        Raises: ``result.RequestError`` if no record is known yet, or as ``Proposer.change`` does.
         """
 
-        def unchanged(value: bytes) -> bytes:
+        def keep_value(value: bytes) -> bytes:
             if not value:
-                raise result.RequestError(result.ResultCode.WITNESS_BLANK, detail="no record of this group yet")
+                raise result.RequestError(result.ResultCode.WITNESS_BLANK, detail="this group has no record yet")
             return value
 
-        chosen = await self.proposer.change(register, self.address, unchanged)
+        chosen = await self.proposer.change(register, self.address, keep_value)
         record: replica_set.ReplicaSet = codec.untagged(chosen.value)
         events.report(
             LOG,
--- a/aspencroft/consensus/replica_placement.py
+++ b/aspencroft/consensus/replica_placement.py
@@ -1,6 +1,6 @@
-"""Where replicas belong: on the disks that hold the fewest, each of a group in an area of its own where possible.
+"""Replica placement: on the disks with the fewest replicas, with each member of a group in its own area if possible.
 
-Pure functions of the records of replica sets and of the disks that are there; who follows them is elsewhere.
+The functions are pure, over the replica set records and the live disks; their callers carry out the moves.
 """
 
 import collections
@@ -11,7 +11,7 @@
 from aspencroft.consensus import replica_set
 
 MIN_GAIN = 2
-"""By how many replicas one disk must exceed another for a move between them to even them out."""
+"""Minimum difference in replica counts between two disks for which a move between them improves the balance."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -24,19 +24,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """A member of a replica set that another disk should replace."""
+    """Replaces a member of a replica set with a replica on another disk."""
 
     leaving: replica_set.ReplicaId
     target: Candidate
 
 
 def replica_counts(records: collections.abc.Iterable[replica_set.ReplicaSet]) -> collections.Counter[str]:
-    """How many replicas each address holds, by the records of all groups."""
+    """Return the number of replicas that each address holds according to the records of all groups."""
     return collections.Counter(member.address for record in records for member in record.members())
 
 
 def stable_order(group_id: int, address: str) -> int:
-    """A number by which a group orders disks that are equally good; each group has an order of its own.
+    """Return a sort key for equally good disks; the order differs from group to group.
 
     Example: ``stable_order(1, "a:1") == stable_order(1, "a:1")``
     """
@@ -49,9 +49,9 @@
     areas: collections.abc.Collection[str],
     counts: collections.Counter[str],
 ) -> list[Candidate]:
-    """Candidates for one more member of a group that has members in some areas, the best first.
+    """Return the candidates for one more member of a group, best first.
 
-    ``counts`` are the replicas that each address holds.
+    ``areas`` are the areas in which the group has members, ``counts`` the number of replicas that each address holds.
     """
     return sorted(
         candidates,
@@ -69,9 +69,9 @@
     replica_count: int,
     assigned: collections.abc.Collection[replica_set.ReplicaSet],
 ) -> list[Candidate]:
-    """The first members of a group beside groups assigned before it, the primary first.
+    """Return the first members of a group, the primary first, given the groups that were assigned before it.
 
-    Primaries are spread first, as they do the most work, then replicas.
+    Primaries are balanced before replicas because they do the most work.
     """
     counts = replica_counts(assigned)
     primaries = collections.Counter(record.primary.address for record in assigned)
@@ -94,27 +94,28 @@
     candidates: collections.abc.Collection[Candidate],
     counts: collections.Counter[str],
 ) -> Move | None:
-    """The move of one member that spreads a group over more areas, or else evens out how much disks hold; or none.
+    """Return a move of one member that puts the group into more areas or else balances the disks; None if none does.
 
-    Nothing is to be moved while a member is not among the candidates, the live disks: repair comes first. Each move
-    adds an area, or leaves their number and brings two disks nearer to each other, so that a row of them ends.
-    Of equally good moves one of a backup is taken: a primary has to hand over first, and the next one would do so too.
+    The candidates are the live disks. Nothing is moved while a member is not among them: repair comes first. Each move
+    adds an area, or keeps the number of areas and reduces the difference between two disks, so a sequence of moves
+    ends. Among equally good moves, moving a backup is preferred: a primary has to hand over first, and so would the
+    next primary.
     """
     area_of = {candidate.address: candidate.area for candidate in candidates}
     members = record.members()
     if any(member.address not in area_of for member in members):
         return None
-    taken = {member.address for member in members}
-    free = [candidate for candidate in candidates if candidate.address not in taken]
-    areas_now = len({area_of[member.address] for member in members})
+    member_addresses = {member.address for member in members}
+    free = [candidate for candidate in candidates if candidate.address not in member_addresses]
+    area_count = len({area_of[member.address] for member in members})
     best, best_gain = None, (0, 0, False, 0)
     for leaving in members:
-        remaining = {area_of[member.address] for member in members if member != leaving}
+        remaining_areas = {area_of[member.address] for member in members if member != leaving}
         for target in free:
-            more_areas = len(remaining | {target.area}) - areas_now
-            evened = counts[leaving.address] - counts[target.address]
-            gain = (more_areas, evened, leaving != record.primary, stable_order(record.group_id, target.address))
-            is_better = more_areas > 0 or (more_areas == 0 and evened >= MIN_GAIN)
+            added_areas = len(remaining_areas | {target.area}) - area_count
+            difference = counts[leaving.address] - counts[target.address]
+            gain = (added_areas, difference, leaving != record.primary, stable_order(record.group_id, target.address))
+            is_better = added_areas > 0 or (added_areas == 0 and difference >= MIN_GAIN)
             if is_better and gain > best_gain:
                 best, best_gain = Move(leaving, target), gain
     return best
--- a/aspencroft/consensus/witness_bootstrap.py
+++ b/aspencroft/consensus/witness_bootstrap.py
@@ -1,4 +1,4 @@
-"""How a blank voter (witness) comes to vote: from other voters, from the members' disks, or at the very first start."""
+"""Bootstrap of a blank voter (witness): from other voters, from the replicas' disks, or at the very first start."""
 
 import collections.abc
 import contextlib
@@ -16,38 +16,38 @@
 LOG = logbook.Logger("consensus.witness_bootstrap")
 CHECK_INTERVAL = clock.seconds(0.4)
 REQUEST_TIMEOUT = clock.seconds(1)
-"""How long another node may take to reply; also by how much each voter waits longer before it bootstraps groups."""
+"""Time limit for another node's reply; also the additional wait of each next voter before it bootstraps groups."""
 STABLE_BEFORE_RECOVERY = clock.seconds(1.5)
-"""How long the live disks must stay the same before registers are recovered from them."""
+"""How long the set of live disks must be unchanged before registers are recovered from them."""
 STABLE_BEFORE_BOOTSTRAP = clock.seconds(1)
-"""How long the live disks must stay the same before the very first replica sets are proposed."""
+"""How long the set of live disks must be unchanged before the very first replica sets are proposed."""
 WAIT_FOR_KNOWN_DISKS = clock.seconds(5)
-"""How long a recovery waits for all disks that are known before it goes on without some members of a group."""
+"""How long a recovery waits for all known disks before it continues without some members of a group."""
 FIRST_BALLOT = 1
 COUNTER_UNIT = 1 << 32
-"""What a voter set number's counter is multiplied with; the rest is random, so that no number is used twice."""
+"""Factor of the counter in a voter set number; the low bits are random, so that no number is used twice."""
 GROUP_KINDS = (replica_set.CONTROL, replica_set.TALK)
 
 DiskReports = collections.abc.Mapping[str, replica_set.ReplicaReports]
-"""What disks report, by their nodes' addresses."""
+"""The replica reports of disks, by node address."""
 
 
 class StableDisks(typing.NamedTuple):
-    """Since when the live disks have been the same ones."""
+    """The live disks, and the time since which the set is unchanged."""
 
     since: datetime.timedelta
     names: tuple[str, ...]
 
 
 class Recovery(typing.NamedTuple):
-    """The first ballots of all registers, or none and the reason why."""
+    """The first ballots of all registers, or None and the reason."""
 
     ballots: tuple[replica_set.Ballot, ...] | None
     reason: str = ""
 
 
 class WitnessBootstrap:
-    """Brings this node's voter to vote; ``bootstraps_groups`` where voters propose the very first replica sets."""
+    """Gets this node's voter to vote; with ``bootstraps_groups`` voters also propose the very first replica sets."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self.stable_disks = StableDisks(clock.ZERO, ())
 
     async def run(self) -> None:
-        """Try to vote whenever this node is in the voter set and blank."""
+        """Try to start voting whenever this node is in the voter set and blank."""
         while True:
             if self.witness.voting:
                 self.status_reason = "voting"
@@ -85,15 +85,15 @@
             elif self.address in self.proposer.voter_set.everyone():
                 try:
                     await self.try_to_vote()
-                except result.RequestError as refusal:
-                    self.status_reason = str(refusal)
+                except result.RequestError as error:
+                    self.status_reason = str(error)
                 self.log_blank()
             else:
-                self.status_reason = "not in the roster"
+                self.status_reason = "not in the voter set"
             await clock.sleep(CHECK_INTERVAL)
 
     def log_blank(self) -> None:
-        """Log why this voter does not vote yet, once for each reason."""
+        """Log why this voter does not vote yet, once per reason."""
         if not self.witness.voting and self.status_reason != self.logged_reason:
             self.logged_reason = self.status_reason
             events.report(
@@ -106,22 +106,22 @@
             )
 
     def disks(self) -> tuple[str, ...]:
-        """The live nodes whose disks may hold replicas."""
+        """Return the live nodes whose disks may hold replicas."""
         return tuple(sorted({candidate.address for kind in GROUP_KINDS for candidate in self.candidates(kind)}))
 
     def kind_lacking_disks(self) -> str:
-        """The kind of groups for which too few disks are known, or nothing."""
+        """Return the first kind of groups for which too few disks are known; empty if there are enough."""
         return next((kind for kind in GROUP_KINDS if len(self.candidates(kind)) < self.replica_count), "")
 
     def observe_disks(self) -> StableDisks:
-        """The live disks, and since when they have been the same."""
+        """Return the live disks, and the time since which the set is unchanged."""
         names = self.disks()
         if names != self.stable_disks.names:
             self.stable_disks = StableDisks(clock.now(), names)
         return self.stable_disks
 
     async def request_each(self, addresses: tuple[str, ...], message: object) -> dict[str, typing.Any]:
-        """Send a message to several nodes at once; the replies of those that answered."""
+        """Send a message to several nodes concurrently and return the replies by address."""
         replies: dict[str, typing.Any] = {}
 
         async def request(address: str) -> None:
@@ -134,24 +134,24 @@
         return replies
 
     async def try_to_vote(self) -> None:
-        """Wait out leases, then learn from a majority of the others; or start from the disks."""
+        """Wait until leases have expired, then learn from a majority of the others, or else start from the disks."""
         if self.witness.waits_out_leases():
-            self.status_reason = "waiting out claims"
+            self.status_reason = "waiting for earlier leases to expire"
             return
         voter_set = self.proposer.voter_set
         others = tuple(voter for voter in voter_set.everyone() if voter != self.address)
-        surveys = await self.request_each(others, replica_set.WitnessStateRequest(self.address))
-        voting = {address: survey for address, survey in surveys.items() if survey.voting}
-        for survey in voting.values():
-            self.proposer.learn(survey.voter_set)
+        states = await self.request_each(others, replica_set.WitnessStateRequest(self.address))
+        voting = {address: state for address, state in states.items() if state.voting}
+        for state in voting.values():
+            self.proposer.learn(state.voter_set)
         if self.proposer.voter_set.number > voter_set.number:
             return
-        ballots = tuple(ballot for survey in voting.values() for ballot in survey.ballots)
+        ballots = tuple(ballot for state in voting.values() for ballot in state.ballots)
         if witness_state.has_sources_to_learn(voter_set, self.address, voting):
             await self.witness.learn(self.proposer.voter_set, ballots)
-            LOG.info("voter {} learnt its registers from voters {}", self.address, sorted(voting))
+            LOG.info("voter {} learned its registers from voters {}", self.address, sorted(voting))
             return
-        reason = reason_to_stay_blank(voter_set, self.address, surveys)
+        reason = reason_to_stay_blank(voter_set, self.address, states)
         if reason:
             self.status_reason = reason
             return
@@ -160,7 +160,7 @@
     async def start_from_disks(
         self, voter_set: replica_set.VoterSet, others: tuple[str, ...], ballots: tuple[replica_set.Ballot, ...]
     ) -> None:
-        """Install what disks report at all other voters, then here."""
+        """Install the state recovered from the disks at all other voters, then here."""
         recovered = await self.recover_from_disks(ballots)
         if recovered is None or self.proposer.voter_set.number != voter_set.number:
             return
@@ -174,49 +174,49 @@
             events.report(
                 LOG,
                 events.EventFields(events.Event.VOTERS_FROM_DISKS, epoch=voter_set.number, member=self.address),
-                "voters start from what disks report: {} registers, voter set {}",
+                "voters start from the state recovered from disks: {} registers, voter set {}",
                 len(recovered),
                 voter_set,
             )
 
     def groups_without_record(self) -> tuple[int, ...]:
-        """The groups of which this voter has accepted no replica set."""
+        """Return the groups for which this voter has not accepted any replica set."""
         return tuple(group_id for group_id in range(self.group_count) if not self.witness.ballot(group_id).value)
 
     async def bootstrap_groups(self) -> None:
-        """Have the very first replica sets chosen, by ballots like any others: a record that is there already stays.
+        """Propose the very first replica sets in ordinary ballots, which keep a record that exists already.
 
-        The first voter begins; another one goes ahead a while later, should the first be gone.
+        The first voter begins; each next one starts a little later, in case the voters before it are down.
         """
         since, names = self.observe_disks()
-        turn = tuple(sorted(self.proposer.voter_set.everyone())).index(self.address)
-        lacking = self.kind_lacking_disks()
-        if lacking or clock.now() - since < STABLE_BEFORE_BOOTSTRAP + turn * REQUEST_TIMEOUT:
-            self.status_reason = f"waiting for nodes with disks: {names} {lacking}"
+        rank = tuple(sorted(self.proposer.voter_set.everyone())).index(self.address)
+        lacking_kind = self.kind_lacking_disks()
+        if lacking_kind or clock.now() - since < STABLE_BEFORE_BOOTSTRAP + rank * REQUEST_TIMEOUT:
+            self.status_reason = f"waiting for nodes with disks: {names} {lacking_kind}"
             return
         reports = await self.request_each(names, replica_set.ReplicaReportRequest())
         known = newest_records(reports, ())
         if not has_enough_disks(reports, self.replica_count):
-            self.status_reason = f"disks that do not answer: {sorted(set(names) - set(reports))}"
+            self.status_reason = f"no reply from disks: {sorted(set(names) - set(reports))}"
             return
         for ballot in first_ballots(reports, self.group_count, self.replica_count):
             if ballot.register not in self.groups_without_record():
                 continue
             if ballot.register in known:
-                self.status_reason = f"disks know holders of {ballot.register} that witnesses do not know"
+                self.status_reason = f"disks hold a record of group {ballot.register} that the voters do not know"
                 continue
             await self.bootstrap_group(ballot)
 
     async def bootstrap_group(self, ballot: replica_set.Ballot) -> None:
-        """Have a group's first replica set chosen, and announce what was chosen to its primary."""
+        """Propose a group's first replica set, and announce the chosen one to its primary."""
 
-        def first_unless_recorded(value: bytes) -> bytes:
+        def existing_or_first(value: bytes) -> bytes:
             return value or ballot.value
 
         try:
-            chosen = await self.proposer.change(ballot.register, self.address, first_unless_recorded)
-        except result.RequestError as refusal:
-            self.status_reason = f"founding {ballot.register}: {refusal}"
+            chosen = await self.proposer.change(ballot.register, self.address, existing_or_first)
+        except result.RequestError as error:
+            self.status_reason = f"first replica set of group {ballot.register} not chosen: {error}"
             return
         record = codec.untagged(chosen.value)
         await self.request_each((record.primary.address,), replica_set.ReplicaSetNotice(record))
@@ -224,16 +224,16 @@
     async def recover_from_disks(
         self, ballots: tuple[replica_set.Ballot, ...]
     ) -> tuple[replica_set.Ballot, ...] | None:
-        """First ballots of the registers from what disks report; none while too few answered."""
+        """Return first ballots of the registers from the disks' reports; None while too few disks replied."""
         since, names = self.observe_disks()
         waited = clock.now() - since
-        lacking = self.kind_lacking_disks()
-        if lacking or waited < STABLE_BEFORE_RECOVERY:
-            self.status_reason = f"waiting for nodes with disks: {names} {lacking}"
+        lacking_kind = self.kind_lacking_disks()
+        if lacking_kind or waited < STABLE_BEFORE_RECOVERY:
+            self.status_reason = f"waiting for nodes with disks: {names} {lacking_kind}"
             return None
         reports = await self.request_each(names, replica_set.ReplicaReportRequest())
         if len(reports) < len(names):
-            self.status_reason = f"disks that do not answer: {sorted(set(names) - set(reports))}"
+            self.status_reason = f"no reply from disks: {sorted(set(names) - set(reports))}"
             return None
         for report in reports.values():
             self.proposer.learn(report.known.voter_set)
@@ -246,17 +246,17 @@
 def reason_to_stay_blank(
     voter_set: replica_set.VoterSet,
     address: str,
-    surveys: collections.abc.Mapping[str, replica_set.WitnessStateReply],
+    states: collections.abc.Mapping[str, replica_set.WitnessStateReply],
 ) -> str:
-    """Why a blank voter that cannot learn from others may not start from the disks either; nothing if it may."""
+    """Return why a blank voter that cannot learn from others may not start from the disks either; empty if it may."""
     others = {voter for voter in voter_set.everyone() if voter != address}
-    voting = {voter for voter, survey in surveys.items() if survey.voting}
+    voting = {voter for voter, state in states.items() if state.voting}
     if witness_state.has_voting_majority(voter_set, address, voting):
-        return "blank; witnesses that vote have not heard of this voter set"
-    if len(surveys) < len(others):
-        return f"blank; witnesses that do not answer: {sorted(others - set(surveys))}"
+        return "blank; the voting witnesses do not know this voter set yet"
+    if len(states) < len(others):
+        return f"blank; no reply from witnesses: {sorted(others - set(states))}"
     if address != min(voter for voter in voter_set.everyone() if voter not in voting):
-        return "blank; another seat starts from the disks"
+        return "blank; another voter starts from the disks"
     return ""
 
 
@@ -267,34 +267,34 @@
     replica_count: int,
     waited: datetime.timedelta,
 ) -> Recovery:
-    """First ballots of all registers from the reports of all live disks and the ballots of voters that still vote.
+    """Return first ballots of all registers from the reports of all live disks and the ballots of voting witnesses.
 
-    ``waited`` is how long the live disks have been the same. Where no disk has a record the cluster is new, unless
+    ``waited`` is how long the set of live disks has been unchanged. If no disk has a record, the cluster is new unless
     a disk was lost.
     """
     records = newest_records(reports, ballots)
     if not records:
         lost = sorted(name for name, report in reports.items() if not report.first_start)
         if lost:
-            return Recovery(None, f"no record of any group, and these disks were lost: {lost}")
+            return Recovery(None, f"no disk has a record of any group, and these disks were lost: {lost}")
         return Recovery(first_ballots(reports, group_count, replica_count))
     known = {address for report in reports.values() for address in report.known.disks}
     recovered = []
     for group_id in range(group_count):
         record = records.get(group_id)
         if record is None:
-            return Recovery(None, f"no record of pair {group_id} on any disk")
+            return Recovery(None, f"no disk has a record of group {group_id}")
         present = present_members(record, reports)
         missing = [member.address for member in record.members() if member not in present]
         if missing and (not present or waited < WAIT_FOR_KNOWN_DISKS or not known <= set(reports)):
-            return Recovery(None, f"pair {group_id} waits for {sorted({*missing, *(known - set(reports))})}")
+            return Recovery(None, f"group {group_id} waits for {sorted({*missing, *(known - set(reports))})}")
         recovered.append(replica_set.Ballot(group_id, FIRST_BALLOT, FIRST_BALLOT, codec.tagged(record)))
     recovered.extend(ballot for ballot in ballots if ballot.register == replica_set.VOTER_SET)
     return Recovery(tuple(recovered))
 
 
 def has_enough_disks(reports: DiskReports, replica_count: int) -> bool:
-    """Whether enough disks answered for a replica set of each kind of group."""
+    """Return whether enough disks replied to form a replica set of each kind of group."""
     return all(
         sum(
             any(replica_set.group_kind(replica.group_id) == kind for replica in report.copies)
@@ -306,12 +306,12 @@
 
 
 def voter_set_number(counter: int, randomness: random.Random) -> int:
-    """A voter set's number: it grows with the counter, and no other proposer uses it."""
+    """Return a voter set number that grows with the counter and that no other proposer uses."""
     return counter * COUNTER_UNIT + randomness.randrange(COUNTER_UNIT)
 
 
 def newest_records(reports: DiskReports, ballots: tuple[replica_set.Ballot, ...]) -> dict[int, replica_set.ReplicaSet]:
-    """The newest replica set of each group, from disks and from voters that still vote."""
+    """Return the newest replica set of each group, from disks and from voting witnesses."""
     newest: dict[int, replica_set.ReplicaSet] = {}
     records = [replica.record for report in reports.values() for replica in report.copies]
     records.extend(
@@ -324,7 +324,7 @@
 
 
 def present_members(record: replica_set.ReplicaSet, reports: DiskReports) -> list[replica_set.ReplicaId]:
-    """The members of a record whose disks answered, known by their identity."""
+    """Return the members of a record that are on disks that replied, matched by identity."""
     return [
         member
         for member in record.members()
@@ -337,7 +337,7 @@
 
 
 def first_ballots(reports: DiskReports, group_count: int, replica_count: int) -> tuple[replica_set.Ballot, ...]:
-    """The very first replica sets: spread evenly over the disks, each over as many areas as there are."""
+    """Return the very first replica sets: balanced over the disks, each in as many areas as possible."""
     records: list[replica_set.ReplicaSet] = []
     for group_id in range(group_count):
         identities = {
--- a/aspencroft/consensus/witness_changes.py
+++ b/aspencroft/consensus/witness_changes.py
@@ -1,6 +1,6 @@
-"""Changing the voters while the cluster runs: through a joint voter set, chosen with both majorities.
+"""Changes of the voter set in a running cluster, by way of a joint voter set that needs both majorities.
 
-The steps follow the joint consensus of Raft (Ongaro and Ousterhout, 2014, section 6).
+The steps follow joint consensus in Raft (Ongaro and Ousterhout, 2014, section 6).
 """
 
 import collections.abc
@@ -18,23 +18,23 @@
 LOG = logbook.Logger("consensus.witness_changes")
 CHECK_INTERVAL = clock.seconds(0.5)
 JOINT_CHECK_INTERVAL = clock.seconds(0.2)
-"""Time between two looks at a joint voter set: shorter, as it needs more voters than either set alone."""
+"""Check interval during a joint voter set; shorter, because a joint set needs more voters than either set alone."""
 REQUEST_TIMEOUT = clock.seconds(0.4)
 LONGEST_STEP = CHECK_INTERVAL + 2 * REQUEST_TIMEOUT + 2 * proposer.REQUEST_TIMEOUT
-"""Longest time from one step to the next: the pause, a survey, both phases of a ballot, and an announcement."""
+"""Longest time from one step to the next: the pause, a state query, both phases of a ballot, and an announcement."""
 MIN_JOINT_TIME = witness.LEASE + 2 * witness.LEASE_MARGIN
-"""How long a joint voter set stays in force at least, so that leases granted under the former one have expired."""
+"""Minimum time for which a joint voter set stays in force, so that leases granted under the former set expire."""
 
 
 class JointStart(typing.NamedTuple):
-    """The number of a joint voter set, and when it was first seen in force."""
+    """The number of a joint voter set, and the time at which it was first seen in force."""
 
     number: int
     since: datetime.timedelta
 
 
 def choose_voter_set_value(value: bytes, voter_set: replica_set.VoterSet, proposed: replica_set.VoterSet) -> bytes:
-    """What a ballot proposes: the proposed voter set, unless one newer than the one it replaces may be chosen."""
+    """Return the value to propose: the proposed voter set, unless a set newer than the current one may be chosen."""
     accepted = codec.untagged(value) if value else voter_set
     return value if accepted.number > voter_set.number else codec.tagged(proposed)
 
@@ -42,23 +42,23 @@
 def can_leave_joint(
     voter_set: replica_set.VoterSet, ready: collections.abc.Collection[str], waited: datetime.timedelta
 ) -> bool:
-    """Whether a joint voter set may give way to the coming one.
+    """Return whether the coming voter set may replace a joint one.
 
-    Leases of before it must have expired, and a majority of the coming voters must vote under it.
+    Leases granted before the joint set must have expired, and a majority of the coming voters must vote under it.
     """
     return waited > MIN_JOINT_TIME and 2 * len(set(voter_set.coming) & set(ready)) > len(set(voter_set.coming))
 
 
 def is_joint_in_force(voter_set: replica_set.VoterSet, ready: collections.abc.Collection[str]) -> bool:
-    """Whether a majority of the present voters votes under a joint set, so that no quorum of the former one is left.
+    """Return whether a majority of the present voters votes under a joint set, so the former set has no quorum left.
 
-    Leases that the former set granted run from before that moment.
+    All leases granted by the former set started before that moment.
     """
     return 2 * len(set(voter_set.present) & set(ready)) > len(set(voter_set.present))
 
 
 class WitnessChanges:
-    """The control primary's work on the voter set; any later primary continues where this one stopped."""
+    """Changes the voter set; runs on the primary of the control group, and any later primary can continue a change."""
 
     def __init__(
         self,
@@ -77,27 +77,27 @@
         self.counts = {"rosters": 0}
 
     async def run(self) -> None:
-        """Make one step at a time while this node leads the control group."""
+        """Take one step at a time while this node leads the control group."""
         while True:
             await clock.sleep(JOINT_CHECK_INTERVAL if self.proposer.voter_set.coming else CHECK_INTERVAL)
             if self.is_leader() and self.proposer.voter_set.number > 0:
                 try:
                     await self.step()
-                except result.RequestError as refusal:
+                except result.RequestError as error:
                     events.report(
                         LOG,
                         events.EventFields(
-                            events.Event.VOTER_SET_CHANGE_FAILED, member=self.address, reason=str(refusal)
+                            events.Event.VOTER_SET_CHANGE_FAILED, member=self.address, reason=str(error)
                         ),
                         "change of voter set {} failed: {}",
                         self.proposer.voter_set.number,
-                        refusal,
+                        error,
                     )
 
     async def step(self) -> None:
-        """Begin a change where the target differs, or go on with one that is under way.
+        """Begin a change if the target differs, or continue the current one.
 
-        The target is asked for in each step, also while a change is under way: who answers may have to see in time
+        ``target_voters`` is called in every step, also during a change: it may need regular calls to notice in time
         that a voter is lost.
 
         Raises: ``result.RequestError`` as ``Proposer.change`` does.
@@ -110,24 +110,24 @@
             await self.propose(voter_set, voter_set.present, target)
 
     async def step_joint(self, voter_set: replica_set.VoterSet) -> None:
-        """End a joint voter set if it may end; else announce it to those that do not vote under it yet.
+        """End a joint voter set if possible, or else announce it to the voters that do not vote under it yet.
 
         Raises: ``result.RequestError`` as ``Proposer.change`` does.
         """
         ready = await self.voters_under(voter_set)
         if is_joint_in_force(voter_set, ready) and self.joint_start.number != voter_set.number:
             self.joint_start = JointStart(voter_set.number, clock.now())
-        is_known = self.joint_start.number == voter_set.number
-        if is_known and can_leave_joint(voter_set, ready, clock.now() - self.joint_start.since):
+        is_in_force = self.joint_start.number == voter_set.number
+        if is_in_force and can_leave_joint(voter_set, ready, clock.now() - self.joint_start.since):
             await self.propose(voter_set, voter_set.coming, ())
         else:
             await self.announce(voter_set, (), frozenset(ready))
 
     async def voters_under(self, voter_set: replica_set.VoterSet) -> list[str]:
-        """The present and coming voters that vote under this voter set."""
+        """Return the present and coming voters that vote under this voter set."""
         ready = []
 
-        async def survey(address: str) -> None:
+        async def request_state(address: str) -> None:
             with contextlib.suppress(result.RequestError):
                 reply = await self.link.request(address, replica_set.WitnessStateRequest(self.address), REQUEST_TIMEOUT)
                 if reply.voting and reply.voter_set.number == voter_set.number:
@@ -135,11 +135,11 @@
 
         async with supervision.Group() as group:
             for address in voter_set.everyone():
-                group.create_task(survey(address))
+                group.create_task(request_state(address))
         return ready
 
     async def propose(self, voter_set: replica_set.VoterSet, present: tuple[str, ...], coming: tuple[str, ...]) -> None:
-        """Have the next voter set chosen by those that vote under this one, and announce it to all concerned.
+        """Propose the next voter set to the voters of this one, and announce the chosen set to all voters of both.
 
         Raises: ``result.RequestError`` as ``Proposer.change`` does.
         """
@@ -172,7 +172,7 @@
         former: tuple[str, ...] = (),
         informed: frozenset[str] = frozenset(),
     ) -> None:
-        """Send a chosen voter set to present, coming and former voters, but for those that know it."""
+        """Send a chosen voter set to present, coming and former voters, except those that know it already."""
 
         async def send(address: str) -> None:
             with contextlib.suppress(result.RequestError):
--- a/aspencroft/consensus/witness_placement.py
+++ b/aspencroft/consensus/witness_placement.py
@@ -1,17 +1,17 @@
-"""Which nodes should be voters (witnesses) where the core has them: a pure choice with little movement."""
+"""Selects the core nodes that should be voters (witnesses); a pure function that changes as few voters as possible."""
 
 MAX_WITNESSES = 9
-"""More voters would make each ballot and renewal dearer and bear no loss that matters."""
+"""Upper limit of voters: more would make each ballot and renewal costlier without tolerating any relevant loss."""
 
 
 def choose_witnesses(
     present: tuple[str, ...], cores: tuple[str, ...], lost: frozenset[str], limit: int = MAX_WITNESSES
 ) -> tuple[str, ...]:
-    """The voters to have: the present ones that are not lost, then other live cores, an odd number.
+    """Return the target voters: the present ones that are not lost, then other live cores; an odd number.
 
-    ``cores`` are the live core nodes in ring order, ``lost`` the present voters that have been gone for long. A lost
-    one is replaced by a live core that is no voter yet; without such a core it stays, as it may come back. There are
-    never fewer voters than before.
+    ``cores`` are the live core nodes in ring order, ``lost`` the present voters that have been down for a long time.
+    A lost voter is replaced by a live core that is not a voter yet. Without such a core it stays, as it may come back.
+    The number of voters never decreases.
 
     Example: ``choose_witnesses(("a", "b", "c"), ("a", "b", "d"), frozenset({"c"})) == ("a", "b", "d")``
     """
