--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -1,4 +1,4 @@
-"""A backup's watch over its primary, and taking over from it."""
+"""A backup: failure detection of its primary, and takeover."""
 
 import logbook
 
@@ -9,15 +9,15 @@
 
 LOG = logbook.Logger("replication.backup")
 PRIMARY_SILENCE = clock.seconds(0.7)
-"""How long the first backup waits for a sign of life of the primary before it tries to take over."""
+"""Heartbeat time-out: how long the first backup waits for a message of the primary before it tries to take over."""
 TAKEOVER_STAGGER = clock.seconds(0.25)
-"""How much longer for each backup before it in the record, so that two of them seldom ask the voters at once."""
+"""Added to the time-out for each backup listed earlier, so that two backups seldom start ballots at the same time."""
 MIN_WATCH_PERIOD = clock.seconds(0.1)
-"""Shortest pause between two looks at the primary's silence."""
+"""Shortest pause between two checks of the primary's last message."""
 
 
 class Backup:
-    """What a node does while it is a group's backup."""
+    """The work of a node while it is a group's backup."""
 
     def __init__(self, state: group_state.GroupState, shipping: log_shipping.LogShipping):
         self.state = state
@@ -26,9 +26,9 @@
         self.last_refusal = ""
 
     async def follow(self) -> None:
-        """Hold the backup's replica; take over once the primary is silent and its lease ran out.
+        """Follow the primary; take over once it is unresponsive and its lease has expired.
 
-        The first backup of the record tries first. Returns once another record is known.
+        The first backup of the replica set tries first. Returns once another replica set is known.
         """
         try:
             await self.watch_primary()
@@ -36,7 +36,7 @@
             self.state.role_state.end_campaign()
 
     async def watch_primary(self) -> None:
-        """Wait for the primary's silence, and try to take over as long as it lasts."""
+        """Wait until the heartbeat time-out expires, and try to take over as long as the primary is unresponsive."""
         state = self.state
         if self.watched != state.record.primary:
             self.watched = state.record.primary
@@ -44,8 +44,8 @@
         state.status_reason = "backup"
         record = state.record
         await state.replica.persist_record(record)
-        silence = PRIMARY_SILENCE + record.backups.index(state.me()) * TAKEOVER_STAGGER
-        pause = state.primary_contact.at + silence - clock.now()
+        timeout = PRIMARY_SILENCE + record.backups.index(state.me()) * TAKEOVER_STAGGER
+        pause = state.primary_contact.at + timeout - clock.now()
         while state.record == record:
             try:
                 async with clock.limit(max(pause, MIN_WATCH_PERIOD)):
@@ -53,10 +53,10 @@
                 return
             except TimeoutError:
                 pass
-            pause = state.primary_contact.at + silence - clock.now()
-            if clock.now() - state.primary_contact.at <= silence:
+            pause = state.primary_contact.at + timeout - clock.now()
+            if clock.now() - state.primary_contact.at <= timeout:
                 state.role_state.end_campaign()
-                state.update_role("the primary is heard again")
+                state.update_role("the primary is responsive again")
             else:
                 try:
                     await self.take_over(record)
@@ -65,19 +65,20 @@
                     pause = min(group_state.RETRY if refusal.retry is None else refusal.retry, group_state.RETRY)
 
     async def take_over(self, record: replica_set.ReplicaSet) -> None:
-        """Become the primary through the witnesses; only as a backup of the newest record.
+        """Become the primary through a ballot of the witnesses.
 
-        And only of the silent primary.
+        This succeeds only if the newest replica set names this node as a backup and still names the unresponsive
+        primary.
         """
         state = self.state
         if not await self.log_shipping.confirm_log():
             return
         state.suspected_peers.suspect(record.primary.address)
         state.role_state.begin_campaign()
-        state.update_role(f"the primary {record.primary} is silent")
+        state.update_role(f"the primary {record.primary} is unresponsive")
         chosen = await state.ballot(lambda newest: record_changes.take_over(newest, state.me(), record.primary))
-        fresh = proposer.replica_set_of(chosen.value)
-        if fresh is not None and fresh.primary == state.me():
+        chosen_record = proposer.replica_set_of(chosen.value)
+        if chosen_record is not None and chosen_record.primary == state.me():
             state.counts["takeovers"] += 1
             self.last_refusal = ""
             events.report(
@@ -97,7 +98,7 @@
             )
 
     def log_refusal(self, refusal: result.RequestError) -> None:
-        """Log why a takeover was refused, once for each reason in a row: it is tried several times a second."""
+        """Log a refused takeover unless the previous one had the same reason: it is retried several times a second."""
         if str(refusal) != self.last_refusal:
             self.last_refusal = str(refusal)
             state = self.state
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -1,4 +1,4 @@
-"""A node's part in one group: primary, backup or bystander, as the newest record says; answers to the other members."""
+"""A node's replica of one group: primary, backup or non-member by the newest replica set, and its message handlers."""
 
 import datetime
 import typing
@@ -23,23 +23,22 @@
 
 LOG = logbook.Logger("replication.group_replica")
 START_PATIENCE = witness.LEASE + witness.LEASE_MARGIN
-"""How long a member that started waits for another one before it goes on with what it holds.
+"""How long a member waits for another one after its start before it proceeds with its own data.
 
-Each member of the record synced all that was answered, so its own copy is enough: the wait is for a disk that
-breaks its promise and loses what was synced last. It is no longer than leases of before
-the start are waited out in any case.
+Each member of the replica set has synced all acknowledged entries, so its own data suffices. The wait covers disks that
+lose their last synced writes. It costs no extra time: a start waits for leases granted before it to expire anyway.
 """
 STEP_ASIDE = clock.seconds(4)
-"""How long a member whose disk failed does nothing: longer than the lease and the silence before a takeover."""
+"""How long a member whose disk failed pauses: longer than the lease and the heartbeat time-out before a takeover."""
 RELEASE_AFTER = clock.seconds(3)
-"""How long a node that is no member keeps its copy: what leaves is to be gone before much else is moved here."""
+"""How long a non-member keeps its data: short, to free the space before other groups are moved to this node."""
 
 
 RepairStep = messages.Repair | messages.BeginRepair | messages.SnapshotChunk | messages.InstallSnapshot
 
 
 class GroupReplica(group_state.GroupState):
-    """One group on one node."""
+    """The replica of one group on one node, with its message handlers."""
 
     def __init__(
         self,
@@ -58,11 +57,10 @@
         self.incoming = snapshot_transfer.IncomingSnapshot()
 
     async def run(self) -> None:
-        """Be whatever the newest record says, for ever.
+        """Run in the role that the newest replica set assigns, until cancelled.
 
-        A member whose disk refuses or hangs neither leads nor renews its lease for ``STEP_ASIDE``,
-        which is longer than the
-        lease and the silence after which a backup takes over.
+        A member whose disk fails or hangs neither leads nor renews its lease for ``STEP_ASIDE``, which is longer than
+        the lease and the heartbeat time-out after which a backup takes over.
         """
         self.recovery.await_peers_until(clock.now() + START_PATIENCE)
         if self.replica.record is not None:
@@ -70,7 +68,7 @@
         while True:
             self.changed.clear()
             record = self.known
-            self.update_role("the newest record says so")
+            self.update_role("the newest replica set assigns it")
             try:
                 if record is not None and record.primary == self.me():
                     await self.primary.lead()
@@ -83,15 +81,15 @@
                 supervision.heed()
                 await clock.sleep(group_state.RETRY)
             except* OSError as group:
-                what = f"steps aside for {STEP_ASIDE.total_seconds():g} s for a disk fault"
-                self.report_end(events.Event.DISK_FAULT, what, group, logbook.WARNING)
+                action = f"steps aside for {STEP_ASIDE.total_seconds():g} s for a disk fault"
+                self.report_end(events.Event.DISK_FAULT, action, group, logbook.WARNING)
                 supervision.heed()
                 self.status_reason = "the disk failed"
                 self.counts["disk failures"] += 1
                 await clock.sleep(STEP_ASIDE)
 
-    def report_end(self, event: events.Event, what: str, group: BaseExceptionGroup, level: int) -> None:
-        """Log what ended this member's work in its present role."""
+    def report_end(self, event: events.Event, action: str, group: BaseExceptionGroup, level: int) -> None:
+        """Log the errors that ended this member's work in its present role."""
         epoch = self.known.epoch if self.known else None
         reason = "; ".join(str(error) for error in group.exceptions)
         events.report(
@@ -100,14 +98,14 @@
             "group {}: member {} {}, epoch {}: {}",
             self.group_id,
             self.me().label(),
-            what,
+            action,
             epoch,
             reason,
             level=level,
         )
 
     async def stand_by(self) -> None:
-        """Wait for a record that names this node; meanwhile let go of what it still holds of the group."""
+        """As a non-member: wait for a replica set that names this node; meanwhile release leftover data."""
         self.status_reason = "bystander"
         began = clock.now()
         while not self.changed.is_set():
@@ -119,46 +117,46 @@
                     await self.release()
 
     async def release(self) -> None:
-        """Let go of a copy that the group does not need: its primary says, under its lease, that it is whole without.
+        """Release the data if the primary confirms, under its lease, that the group is complete without this node.
 
-        The copy is born anew under another identity, as one whose disk was lost: whoever should still count on it, by a
-        ballot that is under way, finds that it is not the member that was meant.
+        The replica gets a new identity, like one whose disk was lost: a ballot in progress that still names the old
+        one then finds that it is no longer that member.
         """
         record = self.known
         if record is None:
             return
         try:
-            stands = await self.link.request(
+            reply = await self.link.request(
                 record.primary.address, messages.ReplicaSetQuery(self.group_id, self.address), group_state.REPLY_TIMEOUT
             )
         except result.RequestError as refusal:
             LOG.debug("group {}: member {} keeps its replica: {}", self.group_id, self.me(), refusal)
             return
         async with self.lock:
-            members = stands.record.members()
-            unneeded = len(members) >= self.policy.copies and all(one.address != self.address for one in members)
-            if unneeded and self.known == record == stands.record and not self.incoming.size:
-                former = self.me()
+            members = reply.record.members()
+            unneeded = len(members) >= self.policy.copies and all(member.address != self.address for member in members)
+            if unneeded and self.known == record == reply.record and not self.incoming.size:
+                released_id = self.me()
                 await self.replica.release()
                 self.counts["released"] += 1
                 events.report(
                     LOG,
                     events.EventFields(
-                        events.Event.REPLICA_RELEASED, self.group_id, record.epoch, member=former.label()
+                        events.Event.REPLICA_RELEASED, self.group_id, record.epoch, member=released_id.label()
                     ),
                     "group {}: replica released, epoch {}, member {}: the group has {} members without it",
                     self.group_id,
                     record.epoch,
-                    former.label(),
+                    released_id.label(),
                     len(members),
                 )
 
     async def submit(self, command: primary.Command, within: datetime.timedelta) -> primary.Reply:
-        """Have a command decided, if this node is the primary; the reply comes once it is synced on all copies."""
+        """Run a command if this node is the primary; the reply comes once its events are synced on all replicas."""
         return await self.primary.submit(command, within)
 
     def stands(self, message: messages.ReplicaSetQuery) -> messages.ReplicaSetReply:
-        """As primary that serves: the record that stands, while no ballot is under way."""
+        """As a serving primary without a ballot in progress: return the replica set in force."""
         if not self.has_lease() or self.status_reason != "serving" or self.balloting.locked():
             raise result.RequestError(
                 result.ResultCode.NOT_PRIMARY, detail=self.status_reason, retry=group_state.CLIENT_RETRY_AFTER
@@ -166,41 +164,43 @@
         return messages.ReplicaSetReply(self.record, self.policy.is_drained(message.address))
 
     async def fetch(self, message: messages.FetchLog) -> messages.FetchedLog:
-        """As a member of the same record: what this copy holds beyond that of one that just started."""
+        """As a member of the same replica set: return what a member that has just started lacks."""
         async with self.lock:
             if message.identity != self.replica.identity:
                 return messages.FetchedLog(None, (), True)
             if self.replica.is_incomplete():
-                raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="this copy is being repaired")
+                raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="this replica is being repaired")
             if self.known is None or message.record.epoch != self.known.epoch or self.me() not in self.known.members():
-                raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not a member of that record")
+                raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not a member of that replica set")
             tail = self.replica.log.read_after(message.last, log_shipping.REPAIR_BATCH_BYTES)
-            # An encoded snapshot has the fields that the message's codec reads; its chunks are joined there.
+            # An encoded snapshot has the fields that the message codec reads; the codec joins its pieces.
             snapshot = typing.cast(log_records.Snapshot | None, tail.snapshot)
             return messages.FetchedLog(snapshot, tail.entries, False)
 
     async def append(self, message: messages.Append) -> messages.Appended:
-        """As backup: take entries that follow the last one; refuse lower epochs."""
+        """As a backup: append entries that follow the last one; reject lower epochs."""
         async with self.lock:
             if self.known is None or message.record.epoch > self.known.epoch:
                 self.learn(message.record)
             if message.record.epoch < self.record.epoch or self.me() not in self.record.backups:
-                raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=f"epoch {self.record.epoch} stands")
+                raise result.RequestError(
+                    result.ResultCode.LOWER_EPOCH, detail=f"epoch {self.record.epoch} is in force"
+                )
             await self.replica.persist_record(self.record)
             self.primary_contact.note()
-            fresh = self.replica.log.select_missing(message.previous, message.entries)
+            missing = self.replica.log.select_missing(message.previous, message.entries)
             self.confirm_recovery("its log follows the primary's")
-            if fresh:
-                await self.replica.append(fresh)
+            if missing:
+                await self.replica.append(missing)
                 self.replica.begin_snapshot()
             return messages.Appended(self.replica.last())
 
     def compare(self, message: messages.Compare) -> messages.Compared:
-        """Identity and range digests of this copy."""
+        """Return this replica's identity and the positions by which its log is compared."""
         return messages.Compared(self.replica.identity, self.replica.log.comparison_positions())
 
     async def repair(self, message: messages.Repair) -> messages.Appended:
-        """As candidate or backup: become like the primary's copy."""
+        """As a candidate or backup: make the log match the primary's."""
         async with self.lock:
             self.check_repair(message)
             await self.replica.persist_record(message.record)
@@ -210,17 +210,20 @@
             return messages.Appended(last)
 
     def check_repair(self, message: RepairStep) -> None:
-        """Refuse what is not from the primary of the newest record, or meant for another copy."""
+        """Reject a repair unless it is from the newest primary and addressed to this replica's identity."""
         self.learn(message.record)
         if (
             self.role_state.is_leading
             or message.identity != self.replica.identity
             or message.record.epoch < self.record.epoch
         ):
-            raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail="not to be mended by that")
+            raise result.RequestError(
+                result.ResultCode.LOWER_EPOCH,
+                detail="the repair is not from the newest primary, or not for this replica",
+            )
 
     async def begin_repair(self, message: messages.BeginRepair) -> replica_set.Acknowledged:
-        """As candidate or backup: from now on this copy is not whole before it holds the goal."""
+        """As a candidate or backup: note that this replica is incomplete until it holds the goal."""
         async with self.lock:
             self.check_repair(message)
             await self.replica.persist_record(message.record)
@@ -228,13 +231,13 @@
             return replica_set.Acknowledged()
 
     def receive_snapshot_chunk(self, message: messages.SnapshotChunk) -> messages.SnapshotProgress:
-        """As candidate or backup: hold a part of a snapshot; the copy is what it was until all of it is installed."""
+        """As a candidate or backup: buffer a chunk of a snapshot; the log changes only when it is installed."""
         self.check_repair(message)
         self.primary_contact.note()
         return messages.SnapshotProgress(self.incoming.add_chunk(message))
 
     async def install_snapshot(self, message: messages.InstallSnapshot) -> messages.Appended:
-        """As candidate or backup: become what the parts of a snapshot show; asked again, say that it was done."""
+        """As a candidate or backup: replace the log by the received snapshot; a repeated request succeeds as well."""
         async with self.lock:
             self.check_repair(message)
             if self.replica.digest_at(message.sequence) != message.digest:
@@ -247,6 +250,6 @@
             return messages.Appended(self.replica.last())
 
     async def appoint(self, message: replica_set.ReplicaSetNotice) -> replica_set.Acknowledged:
-        """Hear at once of a record that names this node."""
+        """Learn of a replica set that names this node, without waiting for gossip."""
         self.learn(message.record)
         return replica_set.Acknowledged()
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one group's replica share: its log, the newest replica set known, its lease, its role."""
+"""State shared by the components of one group's replica: the log, the newest known replica set, lease and role."""
 
 import asyncio
 import collections.abc
@@ -15,37 +15,39 @@
 
 LOG = logbook.Logger("replication.group_state")
 REPLY_TIMEOUT = clock.seconds(0.6)
-"""How long a short request to another member may take: below the silence after which a backup takes over."""
+"""Time-out of a short request to another member: shorter than the time after which a backup takes over."""
 RETRY = clock.seconds(0.15)
-"""Pause before an attempt that failed is made again."""
+"""Pause before a failed attempt is retried."""
 CLIENT_RETRY_AFTER = clock.seconds(1)
-"""What a rejected caller is told to wait: about the time of a failover."""
+"""Retry delay that a rejected caller is told: about the duration of a failover."""
 SUSPICION_TIME = clock.seconds(5)
-"""How long a peer that failed a request is tried last."""
+"""How long a peer that failed a request is ranked behind all other candidates."""
 MIN_REPLICAS = 2
-"""Fewest replicas that may acknowledge a write: what a single disk holds is never acknowledged."""
+"""Minimum number of replicas that acknowledge a write: data on a single disk is never acknowledged."""
 
 
 class ReplicationError(Exception):
-    """Root of what ends a replica's work in its present role."""
+    """Base class of the errors that end a replica's work in its present role."""
 
 
 class DeposedError(ReplicationError):
-    """This node is no longer what it was in the group."""
+    """This node no longer has its former role in the group."""
 
 
 class DiskStalledError(ReplicationError, OSError):
-    """A write to this node's disk has not come back for long."""
+    """A write to this node's disk has stalled."""
 
 
 @dataclasses.dataclass(frozen=True)
 class GroupPolicy:
-    """What a part is told by its node: who could hold copies, who is to hold none, who is gone.
+    """Functions and numbers by which a node controls the replica of a group.
 
-    Whom to tell of records.
+    ``candidates`` lists the nodes that could hold a replica, ``is_drained`` tells whether a node is to hold none, and
+    ``gone`` whether it is lost. ``publish`` passes on a newly learned replica set.
 
-    ``copies`` is how many disks must hold what is answered, ``goal`` how many members the group is to have; ``records``
-    are the newest records known here of all groups, ``payload_limit`` is how many bytes of callers' the group may hold.
+    ``copies`` is the number of disks that must hold acknowledged data, ``goal`` the intended number of members.
+    ``records`` returns the newest replica sets of all groups known here, ``payload_limit`` the number of bytes of
+    callers' inputs and outputs that the group may hold.
     """
 
     candidates: collections.abc.Callable[[], tuple[replica_placement.Candidate, ...]]
@@ -59,7 +61,7 @@
 
 
 class LeaseState:
-    """The lease that a primary holds, and the record that was chosen under which it asks for it."""
+    """The lease of a primary, and the chosen replica set under which it is requested."""
 
     def __init__(self) -> None:
         self.end = clock.ZERO
@@ -67,62 +69,62 @@
         self.chosen_record: replica_set.ReplicaSet | None = None
 
     def extend(self, end: datetime.timedelta) -> None:
-        """Hold the lease until ``end`` on the monotonic clock; an earlier end than the present one changes nothing."""
+        """Extend the lease to ``end`` on the monotonic clock; an end before the current one is ignored."""
         self.end = max(self.end, end)
 
     def expire(self) -> None:
-        """Hold no lease any more, whatever was granted."""
+        """Give up the lease, even if the voters still grant it."""
         self.end = clock.ZERO
 
     def set_chosen(self, chosen: proposer.ChosenValue, record: replica_set.ReplicaSet) -> None:
-        """Remember the ballot that made this member the primary: leases are asked for under it."""
+        """Store the ballot that made this member the primary: leases are requested under it."""
         self.chosen, self.chosen_record = chosen, record
 
     def forget_chosen(self) -> None:
-        """The next term begins with a ballot of its own."""
+        """Forget the ballot, so that the next term begins with a new one."""
         self.chosen = None
 
     def is_for(self, known: replica_set.ReplicaSet | None) -> bool:
-        """Whether a record is the very one that this member had chosen."""
+        """Whether a replica set is the very one that this member had chosen."""
         return self.chosen is not None and self.chosen_record == known
 
 
 class SuspectedPeers:
-    """Peers that failed a request lately, by address, whatever membership thinks of them."""
+    """Peers that failed a request recently, by address, independent of their state in the membership."""
 
     def __init__(self) -> None:
         self.ends: dict[str, datetime.timedelta] = {}
 
     def suspect(self, address: str) -> None:
-        """Try a peer that failed last for ``SUSPICION_TIME``."""
+        """Rank a peer that failed behind all others for ``SUSPICION_TIME``."""
         self.ends[address] = clock.now() + SUSPICION_TIME
 
     def is_suspected(self, address: str) -> bool:
-        """Whether a peer failed lately."""
+        """Whether a peer failed a request recently."""
         return self.ends.get(address, clock.ZERO) > clock.now()
 
 
 class RecoveryState:
-    """Whether this replica's log was compared with another member's since the start, and how long that is awaited."""
+    """Whether this log was compared with another member's since the start, and how long to wait for one."""
 
     def __init__(self) -> None:
         self.is_unconfirmed = True
-        self.patience_end = clock.ZERO
+        self.wait_end = clock.ZERO
 
     def await_peers_until(self, end: datetime.timedelta) -> None:
-        """Wait for another member until ``end`` on the monotonic clock; then go on with what this disk holds."""
-        self.patience_end = end
+        """Wait for another member until ``end`` on the monotonic clock; then proceed with the data on this disk."""
+        self.wait_end = end
 
     def is_patience_over(self) -> bool:
-        """Whether this replica goes on without having reached another member."""
-        return clock.now() >= self.patience_end
+        """Whether this replica proceeds without having reached another member."""
+        return clock.now() >= self.wait_end
 
     def confirm(self) -> None:
-        """The log holds all that was acknowledged."""
+        """Note that the log holds all acknowledged entries."""
         self.is_unconfirmed = False
 
     def require_comparison(self) -> None:
-        """The log may lack what was acknowledged until another member was asked."""
+        """Note that the log may lack acknowledged entries until it was compared with another member's."""
         self.is_unconfirmed = True
 
 
@@ -133,27 +135,27 @@
         self.at = clock.ZERO
 
     def note(self) -> None:
-        """The primary gave a sign of life just now."""
+        """Note a message of the primary."""
         self.at = clock.now()
 
 
 class ReplicaMove:
-    """The member that is to give its place to a better one, or none."""
+    """The member that is to be replaced by one on a better disk, or none."""
 
     def __init__(self) -> None:
         self.leaving: replica_set.ReplicaId | None = None
 
     def begin(self, leaving: replica_set.ReplicaId) -> None:
-        """Have a member give its place up once its successor is recorded."""
+        """Begin to replace a member: it is removed once its replacement is in the replica set."""
         self.leaving = leaving
 
     def end(self) -> None:
-        """No member is to leave for a better place."""
+        """End the move: no member is to be replaced."""
         self.leaving = None
 
 
 class GroupState:
-    """What the primary, the backup and the reconfiguration of a group's replica share."""
+    """State shared by the primary, the backup and the replica changes of one group's replica."""
 
     def __init__(
         self,
@@ -195,7 +197,7 @@
         self.service_status = service_status.ServiceStatus(held.group_id)
 
     def me(self) -> replica_set.ReplicaId:
-        """This node's member name in the group."""
+        """This node's replica id in the group."""
         return replica_set.ReplicaId(self.address, self.replica.identity)
 
     @property
@@ -214,18 +216,18 @@
 
     @property
     def record(self) -> replica_set.ReplicaSet:
-        """The newest replica set known; only for members, which know one."""
-        assert self.known is not None, "no record of this group is known"
+        """The newest known replica set; only for members, which always know one."""
+        assert self.known is not None, "no replica set of this group is known"
         return self.known
 
     def confirm_recovery(self, reason: str) -> None:
-        """The log is known to hold all that was acknowledged."""
+        """Note that the log holds all acknowledged entries, and update the role."""
         if self.recovery.is_unconfirmed:
             self.recovery.confirm()
             self.update_role(reason)
 
     def update_role(self, reason: str) -> None:
-        """Have the role follow from the present state; a change is logged with its reason."""
+        """Derive the role from the present state; a change is logged with its reason."""
         roles = self.role_state
         roles.apply(
             role.RoleFacts(
@@ -240,12 +242,12 @@
             reason,
         )
 
-    def learn(self, fresh: replica_set.ReplicaSet) -> None:
-        """Hear of a replica set from anywhere; only a newer epoch counts."""
-        if self.known is None or fresh.epoch > self.known.epoch:
-            self.known = fresh
+    def learn(self, reported: replica_set.ReplicaSet) -> None:
+        """Take over a replica set from any source if its epoch is newer than that of the known one."""
+        if self.known is None or reported.epoch > self.known.epoch:
+            self.known = reported
             self.changed.set()
-            self.policy.publish(fresh)
+            self.policy.publish(reported)
 
     def has_lease(self) -> bool:
         """Whether this node may act as the primary at this moment."""
@@ -255,35 +257,35 @@
         return record_changes.may_serve(tenure, self.known, self.me(), clock.now())
 
     def knows_chosen(self) -> bool:
-        """Whether the newest record known here is the very one under which this node asks for its lease.
+        """Whether the newest known replica set is the very one under which this node requests its lease.
 
-        A witness may tell of a record that few accepted. Who served under it would leave out a backup that the chosen
-        record names, and that may take over.
+        A witness may report a replica set that only a minority accepted. A primary that served under it would leave out
+        a backup that the chosen replica set names and that may take over.
         """
         return self.lease.is_for(self.known)
 
     def check_tenure(self) -> None:
-        """Stop at once when the newest record names another primary.
+        """Stop at once if the newest replica set names another primary.
 
         Raises:
-            DeposedError: another member is the primary.
+            DeposedError: Another member is the primary.
 
         """
         if self.record.primary != self.me():
-            raise DeposedError(f"epoch {self.record.epoch}")
+            raise DeposedError(f"another member is the primary in epoch {self.record.epoch}")
 
     def check_disk(self) -> None:
-        """Stop at once when this disk has held a write up for long: a backup whose disk works can serve instead.
+        """Stop at once if a write to this disk has stalled: a backup whose disk works can serve instead.
 
         Raises:
-            DiskStalledError: a write has not come back for long.
+            DiskStalledError: A write has stalled.
 
         """
         if self.replica.storage.is_stalled():
-            raise DiskStalledError(f"group {self.group_id}: a write has not come back for long")
+            raise DiskStalledError(f"group {self.group_id}: a write to the disk has stalled")
 
     def staying(self) -> tuple[replica_set.ReplicaId, ...]:
-        """The members that are neither drained nor about to stop, nor giving their place to a better one."""
+        """The members that are neither drained, nor about to stop, nor being replaced by a better one."""
         return tuple(member for member in self.remaining() if member != self.move.leaving)
 
     def remaining(self) -> tuple[replica_set.ReplicaId, ...]:
@@ -291,7 +293,7 @@
         return tuple(member for member in self.record.members() if not self.policy.is_drained(member.address))
 
     def log_dropped(self, gone: collections.abc.Collection[replica_set.ReplicaId], reason: str) -> None:
-        """Log that a ballot recorded members out, if it did: one that found another primary changes nothing."""
+        """Log that a ballot removed members, if it did: one that finds another primary changes nothing."""
         if not set(gone) & set(self.record.members()):
             members = ", ".join(sorted(member.label() for member in gone))
             events.report(
@@ -309,29 +311,31 @@
     async def ballot(
         self, function: collections.abc.Callable[[replica_set.ReplicaSet], replica_set.ReplicaSet]
     ) -> proposer.ChosenValue:
-        """One ballot on the replica set; what it chose is known from then on.
+        """Run one ballot on the replica set and learn the chosen one.
 
-        Witnesses may have told of a record that was accepted by few and never chosen. Where the chosen one bears no
-        higher epoch, it is given the next one, so that it is the newer one for everybody.
+        Witnesses may have reported a replica set that only a minority accepted and that was never chosen. If the
+        proposed one does not have a higher epoch, it gets the next one, so that every node takes it for the newer one.
 
         Raises:
-            RequestError: no majority took part, or it is not known whether the record was chosen.
+            RequestError: No majority took part, or it is not known whether the replica set was chosen.
 
         """
 
         def change(value: bytes) -> bytes:
             record = proposer.replica_set_of(value)
             if record is None:
-                raise result.RequestError(result.ResultCode.WITNESS_BLANK, detail="no record of holders yet")
+                raise result.RequestError(
+                    result.ResultCode.WITNESS_BLANK, detail="the witnesses hold no replica set of this group yet"
+                )
             return codec.tagged(record_changes.with_newer_epoch(function(record), self.known))
 
         async with self.balloting:
             chosen = await self.proposer.change(self.group_id, str(self.me()), change)
-            fresh = proposer.replica_set_of(chosen.value)
-            assert fresh is not None, "a ballot never chooses a blank value"
-            if self.me() in fresh.members():
-                await self.replica.persist_record(fresh)
-            if fresh.primary == self.me():
-                self.lease.set_chosen(chosen, fresh)
-            self.learn(fresh)
+            chosen_record = proposer.replica_set_of(chosen.value)
+            assert chosen_record is not None, "a ballot never chooses a blank value"
+            if self.me() in chosen_record.members():
+                await self.replica.persist_record(chosen_record)
+            if chosen_record.primary == self.me():
+                self.lease.set_chosen(chosen, chosen_record)
+            self.learn(chosen_record)
             return chosen
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -1,4 +1,4 @@
-"""Making a group's copies the same: what members send each other, and what one that started asks the others."""
+"""Log replication between the members of a group: appends, comparison and repair, and catching up after a start."""
 
 import typing
 
@@ -11,17 +11,17 @@
 
 LOG = logbook.Logger("replication.log_shipping")
 APPEND_TIMEOUT = append_patience.MAX_TIMEOUT
-"""How long an append to one backup is tried; the patience for all of them cuts it short."""
+"""How long an append to one backup is retried; the adaptive time-out for all backups may end it earlier."""
 COMPARE_TIMEOUT = clock.seconds(0.5)
-"""How long a backup may take to name its identity and digests: no disk is waited for."""
+"""How long a backup may take to report its identity and digests: this needs no disk access."""
 REPAIR_TIMEOUT = clock.seconds(5)
 """How long a backup may take to sync one batch of a repair, on a slow disk."""
 REPAIR_BATCH_BYTES = 1 << 20
-"""Most bytes of entries in one message of a repair, so that no message holds up the connection for long."""
+"""Maximum bytes of entries in one repair message, so that no message blocks the connection for long."""
 
 
 class LogShipping:
-    """The sending side of a member: appending, comparing, repairing."""
+    """The sending side of log replication: appends, comparison and repair."""
 
     def __init__(self, state: group_state.GroupState):
         self.state = state
@@ -32,7 +32,7 @@
     async def append(
         self, record: replica_set.ReplicaSet, last: log_records.LogPosition, entries: tuple[log_records.Entry, ...]
     ) -> tuple[replica_set.ReplicaId, ...]:
-        """Sync entries here and on all backups at once; the backups whose copies are not the same then."""
+        """Sync entries here and on all backups in parallel; return the backups whose logs then differ."""
         message = messages.Append(record, last, entries)
         async with supervision.Group() as group:
             if entries:
@@ -43,13 +43,14 @@
         return tuple(backup for backup, task in sent.items() if task.cancelled() or task.result() != last_here)
 
     async def send(self, backup: replica_set.ReplicaId, message: messages.Append) -> log_records.LogPosition | None:
-        """A backup's newest entry once it synced, or none; tried again while there is time, as it does no
-        harm twice.
+        """Append to a backup and return the end of its log, or none on failure.
+
+        Retried until ``APPEND_TIMEOUT``: appending the same entries twice is harmless.
         """
         end = clock.now() + APPEND_TIMEOUT
-        while (left := end - clock.now()) > clock.ZERO:
+        while (remaining := end - clock.now()) > clock.ZERO:
             try:
-                return (await self.state.link.request(backup.address, message, left)).last
+                return (await self.state.link.request(backup.address, message, remaining)).last
             except result.RequestError as refusal:
                 if refusal.result is not result.ResultCode.UNREACHABLE:
                     LOG.info(
@@ -60,13 +61,13 @@
                         refusal,
                     )
                     return None
-            await clock.sleep(min(group_state.RETRY / 3, left))
+            await clock.sleep(min(group_state.RETRY / 3, remaining))
         return None
 
     async def synchronize_backups(self, record: replica_set.ReplicaSet) -> tuple[replica_set.ReplicaId, ...]:
-        """Make all backups' copies the same as this one; those that failed.
+        """Make the logs of all backups match this one; return the backups for which that failed.
 
-        ``lost_disks`` names those among them whose disk is known to have been lost.
+        ``lost_disks`` then holds those among them whose disk is known to be lost.
         """
         self.lost_disks.clear()
         async with supervision.Group() as group:
@@ -74,7 +75,7 @@
         return tuple(backup for backup, task in repaired.items() if not task.result())
 
     async def repair_member(self, peer: replica_set.ReplicaId) -> bool:
-        """Compare digests with a backup and repair it; whether its copy is now the same."""
+        """Compare digests with a backup and repair it; whether its log now matches."""
         state = self.state
         try:
             compared = await state.link.request(
@@ -107,15 +108,17 @@
             return False
 
     async def repair_from(self, peer: replica_set.ReplicaId, compared: messages.Compared) -> log_records.LogPosition:
-        """Send what the peer lacks behind the last range on which the digests agree; its newest entry then."""
+        """Send what the peer lacks after the last position at which the digests match; return the end of its log."""
         log = self.state.replica.log
-        agreeing = [mark.sequence for mark in compared.positions if log.digest_at(mark.sequence) == mark.digest]
-        snapshot = None if agreeing else log.snapshot
-        through = max(agreeing, default=log.snapshot.sequence)
+        matching = [
+            position.sequence for position in compared.positions if log.digest_at(position.sequence) == position.digest
+        ]
+        snapshot = None if matching else log.snapshot
+        through = max(matching, default=log.snapshot.sequence)
         goal = log.last_position()
         needed = snapshot is not None or through < goal.sequence
         if needed:
-            self.log_repair("begun", peer, f"its log is the same up to {through} of {goal.sequence}")
+            self.log_repair("begun", peer, f"its log matches up to {through} of {goal.sequence}")
         begin = messages.BeginRepair(self.state.record, peer.identity, goal)
         await self.state.link.request(peer.address, begin, group_state.REPLY_TIMEOUT)
         while True:
@@ -133,9 +136,9 @@
                     break
                 entries.append(entry)
                 size += len(entry.body)
-            # An encoded snapshot has the fields that the message's codec reads; its chunks are joined there.
-            body = typing.cast(log_records.Snapshot | None, snapshot)
-            message = messages.Repair(self.state.record, peer.identity, through, body, tuple(entries))
+            # An encoded snapshot has the fields that the message codec reads; the codec joins its pieces.
+            sent_snapshot = typing.cast(log_records.Snapshot | None, snapshot)
+            message = messages.Repair(self.state.record, peer.identity, through, sent_snapshot, tuple(entries))
             reply = await self.state.link.request(peer.address, message, REPAIR_TIMEOUT)
             through, snapshot = through + len(entries), None
             if through >= goal.sequence or not self.state.has_lease():
@@ -158,10 +161,10 @@
         )
 
     async def confirm_log(self) -> bool:
-        """After a start: take what another member holds beyond this copy, whose disk may have lost its last value.
+        """After a start: fetch entries from another member, as this disk may have lost its last synced write.
 
-        Any one other member is enough, as each holds all that was answered. It goes on without one when all others lost
-        their copies, or once patience is over. False while one is still waited for.
+        One other member suffices, as each holds all acknowledged entries. The replica proceeds without one if all
+        others lost their data, or once the wait after a start has ended. False while it still waits.
         """
         state = self.state
         if not state.recovery.is_unconfirmed and not state.replica.is_incomplete():
@@ -169,21 +172,23 @@
         others = [member for member in state.record.members() if member != state.me()]
         async with supervision.Group() as group:
             asked = [group.create_task(self.fetch_missing_from(member)) for member in others]
-        answers = [task.result() for task in asked]
+        results = [task.result() for task in asked]
         if state.replica.is_incomplete():
-            state.status_reason = "waits for a member that holds what this copy lacks since a repair broke off"
+            state.status_reason = (
+                "incomplete after an interrupted repair; waits for a member that holds the missing entries"
+            )
             return False
-        if True in answers or answers.count(None) == len(answers) or state.recovery.is_patience_over():
+        if True in results or results.count(None) == len(results) or state.recovery.is_patience_over():
             if is_comparison_final(state.role_state.is_leading):
                 state.confirm_recovery("compared with the other members")
             else:
                 state.recovery.require_comparison()
             return True
-        state.status_reason = "waits for another member after the start"
+        state.status_reason = "waits for the reply of another member after the start"
         return False
 
     async def fetch_missing_from(self, peer: replica_set.ReplicaId) -> bool | None:
-        """Take what a member holds beyond this copy; false when it does not answer, none when its copy is lost."""
+        """Fetch the entries that only the peer holds; false if it does not reply, none if its data is lost."""
         state = self.state
         try:
             while True:
@@ -208,7 +213,7 @@
                     await state.replica.repair(through, reply.snapshot, reply.entries)
         except result.RequestError as refusal:
             LOG.info(
-                "group {}: no comparison with member {}, epoch {}: {}",
+                "group {}: log not compared with member {}, epoch {}: {}",
                 state.group_id,
                 peer.label(),
                 state.record.epoch,
@@ -218,10 +223,10 @@
 
 
 def is_comparison_final(leading: bool) -> bool:
-    """Whether a comparison after a start need not be made again.
+    """Whether a comparison after a start need not be repeated.
 
-    As a backup it must: until its lease is over, the old primary may acknowledge an entry that this copy synced
-    before its disk
-    lost it, and that the member asked had not synced yet. One that leads was chosen after that lease was over.
+    A backup must repeat it: until its lease expires, the old primary may acknowledge an entry that this replica synced
+    before its disk lost it, and that the queried member had not synced yet. A primary was chosen after that lease
+    expired.
     """
     return leading
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -1,4 +1,4 @@
-"""A primary's serving: commands in batches, each answered once all members of the record hold its events."""
+"""The primary of a group: commits commands in batches and replies once all members hold their events."""
 
 import asyncio
 import collections.abc
@@ -24,26 +24,26 @@
 
 LOG = logbook.Logger("replication.primary")
 LEASE_RENEWAL_PERIOD = clock.seconds(0.25)
-"""Pause between two renewals of the lease: several fit into one lease, so that a lost answer ends nothing."""
+"""Pause between two lease renewals: several fit into one lease, so that a single lost reply does not end it."""
 HEARTBEAT_PERIOD = clock.seconds(0.2)
-"""Longest pause between two appends: backups take a primary that is silent for longer for a lost one."""
+"""Longest pause between two appends: backups start a takeover when no append arrives for longer."""
 MAX_QUEUED = 1024
-"""Most commands that wait for their batch; more are rejected."""
+"""Maximum number of commands queued for a batch; further commands are rejected."""
 MAX_BATCH = 256
-"""Most commands in one batch, which all wait for the slowest of them."""
+"""Maximum number of commands in one batch: all of them wait for the slowest."""
 LOST_DISK_GRACE = clock.seconds(3)
-"""How long a lost disk counts as a loss that was to be borne, from when it is noticed: less than any catch-up time."""
+"""How long after its detection a lost disk counts towards the tolerated losses: less than any catch-up time."""
 
 
 Command: typing.TypeAlias = state_machine.Command
-"""What a group's state machine is asked to decide; each state machine names its own types."""
+"""A command for a group's state machine; each state machine defines its own types."""
 Reply: typing.TypeAlias = state_machine.Reply
-"""What a state machine answers to a command."""
+"""A state machine's reply to a command."""
 
 
 @dataclasses.dataclass
 class Submission:
-    """A command that waits for its reply."""
+    """A queued command, its deadline and the future for its reply."""
 
     command: Command
     end: datetime.timedelta
@@ -52,14 +52,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decided:
-    """A submission and the reply that waits until all members hold its events."""
+    """A submission and its reply, which is held back until all members hold the events."""
 
     submission: Submission
     reply: Reply
 
 
 class Primary:
-    """What a node does while it is a group's primary."""
+    """The work of a node while it is a group's primary."""
 
     def __init__(
         self,
@@ -77,12 +77,12 @@
         self.last_append_at = clock.ZERO
 
     async def submit(self, command: Command, within: datetime.timedelta) -> Reply:
-        """Have a command decided by the primary; the reply comes once its events are synced on all replicas.
+        """Run a command on the primary and return the reply once its events are synced on all replicas.
 
-        A command that needs no event may be answered at once, whatever is being synced.
+        A command without events may be answered at once, even while a batch is being synced.
 
         Raises:
-            RequestError: not run, or rejected by the state machine; ``OUTCOME_UNKNOWN`` where it may have run.
+            RequestError: The command was not run or was rejected; ``OUTCOME_UNKNOWN`` if it may have run.
 
         """
         state = self.state
@@ -96,7 +96,9 @@
             )
         if self.submissions.full():
             raise result.RequestError(
-                result.ResultCode.OVERLOADED, detail=f"pair {state.group_id}", retry=group_state.CLIENT_RETRY_AFTER
+                result.ResultCode.OVERLOADED,
+                detail=f"group {state.group_id}: the command queue is full",
+                retry=group_state.CLIENT_RETRY_AFTER,
             )
         if self.synchronized_record == state.record:
             reply = state.replica.state_machine.decide_at_once(command, clock.now(), state.record.epoch)
@@ -111,23 +113,23 @@
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN,
                 result.Ran.UNKNOWN,
-                f"pair {state.group_id} did not finish in time",
+                f"group {state.group_id}: the command did not finish in time",
                 group_state.CLIENT_RETRY_AFTER,
             ) from None
 
     async def lead(self) -> None:
-        """Have the record chosen, repair the backups, then serve until deposed.
+        """Have the replica set chosen by ballot, repair the backups, then serve until deposed.
 
         Raises:
-            DeposedError: another member is the primary.
-            DiskStalledError: a write to this disk has not come back for long.
-            RequestError: no majority of the voters took part.
+            DeposedError: Another member is the primary.
+            DiskStalledError: A write to this disk has stalled.
+            RequestError: No majority of the voters took part.
 
         """
         state = self.state
         state.status_reason = "claiming"
         await state.replica.persist_record(state.record)
-        # First a ballot: a lease is asked for only under a record that this member had chosen itself.
+        # The ballot comes first: a lease is requested only under a replica set that this member had chosen itself.
         if state.lease.chosen is None or proposer.replica_set_of(state.lease.chosen.value) != state.record:
             await state.ballot(lambda record: record)
             if state.record.primary != state.me():
@@ -147,25 +149,25 @@
             state.lease.forget_chosen()
             self.reject_all()
             state.replica.reset_after_tenure()
-            state.update_role("its term as primary ended")
+            state.update_role("the term as primary ended")
 
     def reject_all(self) -> None:
-        """Nobody is left without an answer when the primary is deposed."""
+        """Reject all queued commands when the term ends, so that no caller waits for its time-out."""
         self.reject_queued(result.ResultCode.NOT_PRIMARY)
 
     async def renew(self) -> None:
-        """Renew the lease; a newer record ends the term.
+        """Renew the lease; a newer replica set ends the term.
 
-        Once it failed, a lease of no length is asked for first, to see whether answers come back: voters that hear this
-        node and are not heard by it would else go on granting leases to a primary that can't use them, and keep its
-        backups from taking over.
+        After a failed renewal, the next request asks for a lease of zero length, to test whether replies arrive. If
+        only the direction from the voters to this node is broken, they would otherwise keep granting leases that this
+        primary can't use, and that block a takeover by its backups.
         """
         state = self.state
         failed = False
         while True:
             state.check_disk()
             used = state.lease.chosen
-            assert used is not None, "a term begins only with a chosen record"
+            assert used is not None, "a term begins only with a chosen replica set"
             end, newest, answered = await state.proposer.request_lease(
                 used, state.group_id, str(state.me()), clock.ZERO if failed else witness.LEASE
             )
@@ -177,23 +179,23 @@
                 state.lease.extend(end)
             state.update_role("the lease was granted" if end is not None else "the lease was not renewed")
             if not state.knows_chosen() and not state.balloting.locked() and state.record.primary == state.me():
-                await self.settle_record("a record was told of that this node did not have chosen")
+                await self.settle_record("a replica set was reported that this node did not have chosen")
             elif end is None and self.needs_ballot(used, newest, answered):
-                await self.settle_record("no majority of witnesses grants the lease")
+                await self.settle_record("no majority of the witnesses grants the lease")
             state.check_tenure()
             await clock.sleep(LEASE_RENEWAL_PERIOD if end is not None else group_state.RETRY)
 
     def needs_ballot(self, used: proposer.ChosenValue, newest: bytes, answered: bool) -> bool:
-        """Whether a refused lease calls for a ballot: a newer record was seen.
+        """Whether a refused lease requires a ballot.
 
-        Or a majority answered and the lease is over.
+        It does if a newer replica set was reported, or if a majority replied and the lease has expired.
         """
         state = self.state
         unchanged = state.lease.chosen is used and not state.balloting.locked()
         return unchanged and bool(newest or (not state.has_lease() and answered))
 
     async def settle_record(self, reason: str) -> None:
-        """Have the record that stands chosen once more, and know it then."""
+        """Run a ballot that confirms the current replica set unchanged, and learn its result."""
         state = self.state
         state.status_reason = reason
         try:
@@ -217,7 +219,7 @@
             )
 
     async def tick(self) -> None:
-        """Clock events of the view, decided like any command."""
+        """Queue the commands that the state machine's timers require; they are committed like any other command."""
         state = self.state
         while True:
             await clock.sleep(HEARTBEAT_PERIOD)
@@ -234,10 +236,10 @@
                         )
 
     def has_enough_members(self, record: replica_set.ReplicaSet) -> bool:
-        """Whether a record names enough members to answer: as many as must hold what is answered.
+        """Whether a replica set names enough members to acknowledge commands: as many as the policy requires.
 
-        Or two at least when a look at all other nodes under this record found none that could hold a copy, as those
-        are lost machines then, or when the disks of those that are missing are known to have been lost just now.
+        ``MIN_REPLICAS`` suffice in two cases: a search through all other nodes under this replica set found no
+        candidate, so the missing machines are lost, or the disks of the missing members were lost a moment ago.
         """
         copies, lost = self.state.policy.copies, self.lost_disks
         if lost is not None and lost.excuse(record, copies, group_state.MIN_REPLICAS, clock.now()):
@@ -245,7 +247,7 @@
         return record_changes.has_enough_members(record, copies, group_state.MIN_REPLICAS, self.exhausted_record)
 
     async def serve(self) -> None:
-        """Repair the backups, then take batches of commands; add replicas first whenever there are too few."""
+        """Repair the backups, then commit batches of commands; add replicas first whenever there are too few."""
         undelivered: list[Decided] = []
         self.synchronized_record = self.exhausted_record = self.lost_disks = None
         self.log_shipping.patience.begin()
@@ -256,7 +258,7 @@
             self.fail_as_unknown(undelivered)
 
     async def serve_step(self, undelivered: list[Decided]) -> None:
-        """Do what the record and the lease call for next: wait, add a replica, repair the backups, or take a batch."""
+        """Take the next step: wait for the lease, add a replica, repair the backups, or commit a batch."""
         state = self.state
         record = state.record
         if not state.has_lease():
@@ -286,7 +288,7 @@
                 await self.commit_batch(undelivered)
 
     async def synchronize_backups(self, record: replica_set.ReplicaSet) -> None:
-        """Make the copies of all backups the same; those that fail are recorded out."""
+        """Bring the logs of all backups up to date; those that fail are removed from the replica set."""
         if not await self.log_shipping.confirm_log():
             await clock.sleep(group_state.RETRY)
             return
@@ -301,7 +303,7 @@
             self.synchronized_record = record
 
     def send_replies(self, decided: list[Decided]) -> None:
-        """Hand out replies of what all replicas hold, if the lease still stands; else the outcome is unknown."""
+        """Send the replies of commands whose events all replicas hold; without a lease, report an unknown outcome."""
         if not self.state.has_lease():
             self.fail_as_unknown(decided)
             return
@@ -315,21 +317,21 @@
         decided.clear()
 
     def fail_as_unknown(self, decided: list[Decided]) -> None:
-        """At the end of a tenure: what not all copies are known to hold is neither confirmed nor refused."""
+        """At the end of a term: report an unknown outcome for commands that not all replicas are known to hold."""
         for item in decided:
             if not item.submission.reply.done():
                 fail(item.submission.reply, outcome_unknown())
         decided.clear()
 
     def reject_queued(self, code: result.ResultCode) -> None:
-        """Commands that were not begun are refused at once, as while there is no backup."""
+        """Reject all queued commands, none of which was begun, at once, for example while there is no backup."""
         while not self.submissions.empty():
             submission = self.submissions.get_nowait()
             if not submission.reply.done():
                 fail(submission.reply, result.RequestError(code, retry=group_state.CLIENT_RETRY_AFTER))
 
     async def take_batch(self) -> list[Submission]:
-        """The commands that wait, or none once it is time to show the backups a sign of life."""
+        """Return the queued commands, or none when the next heartbeat to the backups is due."""
         try:
             async with clock.limit(HEARTBEAT_PERIOD):
                 batch = [await self.submissions.get()]
@@ -340,13 +342,11 @@
         return batch
 
     async def commit_batch(self, undelivered: list[Decided]) -> None:
-        """Decide what waits, sync the events on all copies, answer; backups that failed are recorded out.
+        """Decide the queued commands, sync the events on all replicas and reply; remove backups that failed.
 
-        What was decided stays in ``undelivered`` until enough copies hold it.
-        The replica set may change meanwhile, when a
-        ballot whose outcome was not known is finished: then the backups that synced may be none any more,
-        and the batch waits
-        until the members of the next record agree.
+        Decided commands stay in ``undelivered`` until enough replicas hold their events. Meanwhile the replica set may
+        change, when a ballot whose outcome was unknown completes. The backups that synced the batch may then no longer
+        be members, and the batch waits until the members of the next replica set agree.
         """
         state = self.state
         batch = await self.take_batch()
@@ -387,7 +387,7 @@
         last: log_records.LogPosition,
         undelivered: list[Decided],
     ) -> tuple[log_records.Entry, ...]:
-        """Have the view decide commands one after the other; the entries that come of it, folded already."""
+        """Have the state machine decide commands in order; return the resulting entries, which are already applied."""
         state = self.state
         entries: list[log_records.Entry] = []
         for submission in batch:
@@ -403,7 +403,7 @@
                 events, reply = state.replica.state_machine.decide(submission.command, clock.now(), record.epoch)
             except result.RequestError as refusal:
                 events, reply = (), refusal
-            except Exception as error:  # a fault in deciding one command must not end the primary's supervised task
+            except Exception as error:  # a fault in one command must not end the primary's supervised task
                 LOG.exception(
                     "group {}: command {} not decided, epoch {}, member {}: internal fault",
                     state.group_id,
@@ -419,13 +419,13 @@
         return tuple(entries)
 
     async def record_out_failed(self, failed: collections.abc.Iterable[replica_set.ReplicaId]) -> None:
-        """Have the witnesses record backups out.
+        """Remove failed backups from the replica set through a ballot of the witnesses.
 
-        Before anything is answered without them: until the record leaves them out they may take over and would lack
-        what was answered meanwhile.
+        This happens before anything is acknowledged without them: as long as the replica set names them, they may take
+        over, and would lack what was acknowledged in the meantime.
 
         Raises:
-            DeposedError: another member is the primary.
+            DeposedError: Another member is the primary.
 
         """
         state, gone = self.state, frozenset(failed)
@@ -452,18 +452,18 @@
             )
             await clock.sleep(group_state.RETRY)
         else:
-            state.log_dropped(gone, "their logs are not known to be the primary's")
+            state.log_dropped(gone, "their logs are not known to match the primary's")
         state.check_tenure()
 
 
 def outcome_unknown() -> result.RequestError:
-    """The answer to a command that was decided and may or may not last."""
+    """The error for a command that was decided and may or may not be durable."""
     return result.RequestError(
-        result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the lease ran out", group_state.CLIENT_RETRY_AFTER
+        result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the lease expired", group_state.CLIENT_RETRY_AFTER
     )
 
 
 def fail(reply: asyncio.Future, refusal: result.RequestError) -> None:
-    """Refuse a submission; nobody need await the reply, as with clock events."""
+    """Fail a submission. Reading the exception keeps asyncio from reporting it when nobody awaits the reply."""
     reply.set_exception(refusal)
     reply.exception()
--- a/aspencroft/replication/record_changes.py
+++ b/aspencroft/replication/record_changes.py
@@ -1,4 +1,4 @@
-"""The changes that members make to a group's replica set, as pure functions of the record that stands."""
+"""Changes of a group's replica set by its members, as pure functions of the current replica set."""
 
 import collections.abc
 import dataclasses
@@ -10,10 +10,10 @@
 def take_over(
     record: replica_set.ReplicaSet, me: replica_set.ReplicaId, silent: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
-    """A backup of the newest record becomes the primary, only in the place of the one that it found silent."""
+    """Make a backup of the newest replica set the primary, only in place of the primary that it found unresponsive."""
     if me not in record.backups or record.primary != silent:
         return record
-    backups = tuple(one for one in record.backups if one != me)
+    backups = tuple(backup for backup in record.backups if backup != me)
     return dataclasses.replace(record, epoch=record.epoch + 1, primary=me, backups=backups)
 
 
@@ -22,49 +22,50 @@
     me: replica_set.ReplicaId,
     gone: collections.abc.Collection[replica_set.ReplicaId],
 ) -> replica_set.ReplicaSet:
-    """The primary has some backups recorded out."""
+    """Remove backups, as the primary."""
     if record.primary != me or not set(gone) & set(record.backups):
         return record
-    backups = tuple(one for one in record.backups if one not in gone)
+    backups = tuple(backup for backup in record.backups if backup not in gone)
     return dataclasses.replace(record, epoch=record.epoch + 1, backups=backups)
 
 
 def with_backup(
     record: replica_set.ReplicaSet, me: replica_set.ReplicaId, peer: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
-    """The primary has a node whose copy is the same recorded as a backup."""
-    if record.primary != me or any(one.address == peer.address for one in record.backups):
+    """Add a node whose log matches as a backup, as the primary."""
+    if record.primary != me or any(backup.address == peer.address for backup in record.backups):
         return record
     return dataclasses.replace(record, epoch=record.epoch + 1, backups=(*record.backups, peer))
 
 
 def transfer_leadership(
-    record: replica_set.ReplicaSet, me: replica_set.ReplicaId, heir: replica_set.ReplicaId
+    record: replica_set.ReplicaSet, me: replica_set.ReplicaId, successor: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
-    """The primary makes a backup the primary and stays as a backup."""
-    if record.primary != me or heir not in record.backups:
+    """Make a backup the primary, while the present primary stays as a backup."""
+    if record.primary != me or successor not in record.backups:
         return record
-    backups = (*(one for one in record.backups if one != heir), me)
-    return dataclasses.replace(record, epoch=record.epoch + 1, primary=heir, backups=backups)
+    backups = (*(backup for backup in record.backups if backup != successor), me)
+    return dataclasses.replace(record, epoch=record.epoch + 1, primary=successor, backups=backups)
 
 
-def with_newer_epoch(fresh: replica_set.ReplicaSet, known: replica_set.ReplicaSet | None) -> replica_set.ReplicaSet:
-    """The record to propose: with the next epoch where another one of no lower epoch is known here.
+def with_newer_epoch(proposed: replica_set.ReplicaSet, known: replica_set.ReplicaSet | None) -> replica_set.ReplicaSet:
+    """The replica set to propose, with a higher epoch if a different one with the same or a later epoch is known.
 
-    Witnesses may have told of a record that was accepted by few and never chosen; a chosen one must be newer.
+    Witnesses may have reported a replica set that only a minority accepted and that was never chosen; a chosen one
+    must have a higher epoch.
     """
-    if known is not None and fresh.epoch <= known.epoch and fresh != known:
-        return dataclasses.replace(fresh, epoch=known.epoch + 1)
-    return fresh
+    if known is not None and proposed.epoch <= known.epoch and proposed != known:
+        return dataclasses.replace(proposed, epoch=known.epoch + 1)
+    return proposed
 
 
 def has_enough_members(
     record: replica_set.ReplicaSet, copies: int, least: int, exhausted_record: replica_set.ReplicaSet | None
 ) -> bool:
-    """Whether a record names enough members to answer.
+    """Whether a replica set names enough members to acknowledge commands.
 
-    ``copies`` must hold what is answered, or ``least`` of them when a look at all other nodes under this very record,
-    ``exhausted_record``, found none that could hold a copy, as those are lost machines then.
+    At least ``copies`` members are required. ``least`` suffice if ``exhausted_record`` is this very replica set: under
+    it, a search through all other nodes found no candidate, so the missing machines are lost.
     """
     count = len(record.members())
     return count >= copies or (count >= least and exhausted_record == record)
@@ -72,8 +73,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class LostDisks:
-    """Members that were recorded out as their disks are known to have been lost: the record since then, how many they
-    are, and until when they count as losses that were to be borne.
+    """Members that were removed because their disks are known to be lost.
+
+    ``record`` is the replica set since then, ``count`` the number of these members, and ``end`` the time until which
+    they count towards the tolerated losses.
     """
 
     record: replica_set.ReplicaSet
@@ -81,20 +84,21 @@
     end: datetime.timedelta
 
     def excuse(self, record: replica_set.ReplicaSet, copies: int, least: int, now: datetime.timedelta) -> bool:
-        """Whether a record names enough members, as those missing are losses that happened."""
+        """Whether a replica set names enough members when the lost disks are counted as members."""
         count = len(record.members())
         return record == self.record and now < self.end and count >= least and count + self.count >= copies
 
 
 def may_leave(staying: int, members: int, copies: int) -> bool:
-    """Whether members that are being drained may be recorded out: only while enough others hold the copy."""
+    """Whether members that are being drained may be removed: only while enough other members hold the data."""
     return copies <= staying < members
 
 
 @dataclasses.dataclass(frozen=True)
 class Tenure:
-    """A member's time as primary: whether it leads or hands its place over, its lease's end, and whether the newest
-    record that it knows is the one that it had chosen.
+    """The facts of a member's term as primary that decide whether it may serve.
+
+    ``knows_chosen`` tells whether the newest replica set that it knows is the one that it had chosen.
     """
 
     leading: bool
@@ -111,9 +115,10 @@
 ) -> bool:
     """Whether a member may act as the primary at this moment.
 
-    One that is transferring leadership may not, whatever lease is granted to it meanwhile: witnesses drop that lease
-    once they accept the next primary, which may lead before this one hears of it. One that was told of a record that
-    it did not have chosen may not either: a record that few accepted can leave out a backup that may take over.
+    A member that is transferring leadership may not, even if its lease is renewed meanwhile: witnesses drop that lease
+    once they accept the next primary, which may lead before this member hears of it. A member that learned of a
+    replica set that it did not have chosen may not either: a replica set that only a minority accepted can leave out a
+    backup that may still take over.
     """
     return (
         tenure.leading
