--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -1,4 +1,4 @@
-"""Finding other disks for a group, and moving it off machines that are drained, stopped or fuller than others."""
+"""Changes of a group's members: adding replicas, and moving them off drained, stopping or overloaded machines."""
 
 import asyncio
 import datetime
@@ -13,15 +13,15 @@
 
 LOG = logbook.Logger("replication.replica_changes")
 BALANCE_AFTER = clock.seconds(4)
-"""How long a better place for a member must have been there before it moves: most machines that are away come back."""
+"""How long a better disk must be available before a member moves: most machines that are down come back."""
 BALANCE_LOOK = clock.seconds(0.5)
-"""How often a primary looks for a better place; each look goes over all live disks."""
+"""Interval between two searches for a better disk; each one iterates over all live disks."""
 BALANCE_TURN = clock.seconds(2)
-"""How much longer for each group of a lower number on the same machine, so that their moves see each other."""
+"""Added for each group with a lower number on the same machine, so that each move takes earlier ones into account."""
 
 
 class ReplicaChanges:
-    """A primary's search for members."""
+    """A primary's changes of the members of its group."""
 
     def __init__(self, state: group_state.GroupState, shipping: log_shipping.LogShipping):
         self.state = state
@@ -32,29 +32,32 @@
         self.next_look = clock.ZERO
 
     def rank_candidates(self) -> list[replica_placement.Candidate]:
-        """Candidates for a backup's place: those that failed lately last, areas without a member first, then those that
-        hold the fewest replicas.
+        """Rank the candidates for a new backup.
+
+        Areas without a member come first, then nodes with the fewest replicas; nodes that failed recently come last.
         """
         state = self.state
         members = {member.address for member in state.record.members()}
-        able = state.policy.candidates()
+        candidates = state.policy.candidates()
         staying = {member.address for member in state.staying()}
-        areas = {member.area for member in able if member.address in staying}
+        areas = {candidate.area for candidate in candidates if candidate.address in staying}
         if state.move.leaving != state.me():
             areas.add(state.area)
-        free = [
-            member for member in able if member.address not in members and not state.policy.is_drained(member.address)
+        eligible = [
+            candidate
+            for candidate in candidates
+            if candidate.address not in members and not state.policy.is_drained(candidate.address)
         ]
-        held = replica_placement.replica_counts(state.policy.records())
-        best_first = replica_placement.rank_candidates(state.group_id, free, areas, held)
-        return sorted(best_first, key=lambda member: state.suspected_peers.is_suspected(member.address))
+        counts = replica_placement.replica_counts(state.policy.records())
+        best_first = replica_placement.rank_candidates(state.group_id, eligible, areas, counts)
+        return sorted(best_first, key=lambda candidate: state.suspected_peers.is_suspected(candidate.address))
 
     def is_lacking_members(self) -> bool:
-        """Whether the group is to have more members than those that stay."""
+        """Whether fewer members stay than the group is to have."""
         return len(self.state.staying()) < self.state.policy.goal()
 
     async def add_replica(self, include_suspected: bool = True) -> bool:
-        """While nothing is served: find one node, make its copy the same, have it recorded as a backup."""
+        """While the group is not served: find one node, bring its log up to date, and add it as a backup."""
         for candidate in self.rank_candidates():
             if not include_suspected and self.state.suspected_peers.is_suspected(candidate.address):
                 continue
@@ -68,18 +71,25 @@
     async def prepare_candidate(
         self, candidate: replica_placement.Candidate, whole: bool = False
     ) -> replica_set.ReplicaId | None:
-        """Make a candidate's copy the same as this one was a moment ago, or as it is now; none when that failed."""
+        """Bring a candidate's log up to date; return its replica id, or none on failure.
+
+        With ``whole``, its log must match the present end of this log; else it may match an earlier position.
+        """
         state = self.state
         try:
             compared = await state.link.request(
                 candidate.address, messages.Compare(state.group_id, state.record.epoch), group_state.REPLY_TIMEOUT
             )
             peer = replica_set.ReplicaId(candidate.address, compared.identity)
-            mark = await self.log_shipping.repair_from(peer, compared)
-            same = mark == state.replica.last() if whole else state.replica.digest_at(mark.sequence) == mark.digest
-            if not same:
+            position = await self.log_shipping.repair_from(peer, compared)
+            matches = (
+                position == state.replica.last()
+                if whole
+                else state.replica.digest_at(position.sequence) == position.digest
+            )
+            if not matches:
                 state.suspected_peers.suspect(candidate.address)
-            return peer if same else None
+            return peer if matches else None
         except result.RequestError as refusal:
             events.report(
                 LOG,
@@ -100,11 +110,10 @@
             return None
 
     async def record_backup(self, peer: replica_set.ReplicaId) -> bool:
-        """Have a node whose copy is the same recorded as a backup, and tell it.
+        """Add a node whose log matches as a backup, and notify it.
 
-        Where it is not known whether the record names it, the tenure ends:
-        the next one begins with a ballot that settles it.
-        Until then nothing more may be answered, as that node would lack it and could take over.
+        If it is not known whether the replica set names it, the term ends, and the next one begins with a ballot that
+        decides this. Until then nothing more may be acknowledged: that node would lack it and could take over.
         """
         state = self.state
         if state.policy.is_drained(peer.address):
@@ -112,8 +121,8 @@
         try:
             chosen = await state.ballot(lambda record: record_changes.with_backup(record, state.me(), peer))
             state.check_tenure()
-            enlisted = proposer.replica_set_of(chosen.value)
-            if enlisted is None or peer not in state.record.backups:
+            chosen_record = proposer.replica_set_of(chosen.value)
+            if chosen_record is None or peer not in state.record.backups:
                 return False
             state.counts["recruits"] += 1
             events.report(
@@ -126,7 +135,7 @@
             )
             await state.link.request(
                 peer.address,
-                replica_set.ReplicaSetNotice(enlisted),
+                replica_set.ReplicaSetNotice(chosen_record),
                 group_state.REPLY_TIMEOUT,
             )
             return True
@@ -148,13 +157,13 @@
             )
             state.suspected_peers.suspect(peer.address)
             if refusal.result is result.ResultCode.OUTCOME_UNKNOWN:
-                raise group_state.DeposedError(f"not known whether {peer.address} is a member") from None
+                raise group_state.DeposedError(f"it is not known whether {peer.address} became a member") from None
             return False
 
     async def prepare_candidates(self) -> None:
-        """While the group is served: prepare a candidate whenever members are lacking.
+        """While the group is served: prepare a candidate whenever there are too few members.
 
-        Serving admits it between two batches.
+        The serving task adds it between two batches.
         """
         while True:
             await clock.sleep(group_state.RETRY)
@@ -172,12 +181,12 @@
                     self.ready = peer
                     await self.admitted.wait()
             if self.is_lacking_members() and self.state.move.leaving is not None:
-                self.end_move("given up, as members are lacking")
+                self.end_move("cancelled, as the group has too few members")
 
     def balance(self) -> None:
-        """Have a member give its place to a better one, once that has been there for a while.
+        """Begin to replace a member by one on a better disk, once that disk has been available for some time.
 
-        The move itself goes the way of all changes: the better one is added first, then the other one recorded out.
+        The move takes the usual steps of a change: the better one is added first, then the other one is removed.
         """
         state = self.state
         if state.move.leaving is not None or clock.now() < self.next_look:
@@ -197,9 +206,9 @@
                     state.group_id,
                     state.record.epoch,
                     member=leaving.label(),
-                    reason="a better place for it is free",
+                    reason="a better disk for it is available",
                 ),
-                "group {}: move begun, epoch {}, member {}: a better place for it is free",
+                "group {}: move begun, epoch {}, member {}: a better disk for it is available",
                 state.group_id,
                 state.record.epoch,
                 leaving.label(),
@@ -209,7 +218,7 @@
             state.counts["moves"] += 1
 
     def end_move(self, reason: str) -> None:
-        """No member is to leave for a better place any more."""
+        """End the move of a member and log the reason."""
         state = self.state
         leaving = state.move.leaving.label() if state.move.leaving is not None else ""
         events.report(
@@ -230,27 +239,28 @@
         state.move.end()
 
     def find_misplaced(self) -> replica_set.ReplicaId | None:
-        """The member that had better not be one: it is one too many, or a better place is free.
+        """Find a member to remove, because there are too many or because a better disk is available.
 
-        None while members lack.
+        None while there are too few members.
         """
         state = self.state
         remaining = state.remaining()
         if len(remaining) < len(state.record.members()) or len(remaining) < state.policy.goal():
             return None
-        held = replica_placement.replica_counts(state.policy.records())
+        counts = replica_placement.replica_counts(state.policy.records())
         if len(remaining) > state.policy.goal():
-            return max(state.record.backups, key=lambda member: held[member.address])
-        able = [
-            member
-            for member in state.policy.candidates()
-            if not state.policy.is_drained(member.address) and not state.suspected_peers.is_suspected(member.address)
+            return max(state.record.backups, key=lambda member: counts[member.address])
+        candidates = [
+            candidate
+            for candidate in state.policy.candidates()
+            if not state.policy.is_drained(candidate.address)
+            and not state.suspected_peers.is_suspected(candidate.address)
         ]
-        move = replica_placement.find_improving_move(state.record, able, held)
+        move = replica_placement.find_improving_move(state.record, candidates, counts)
         return move.leaving if move is not None else None
 
     def count_groups_ahead(self, leaving: replica_set.ReplicaId) -> int:
-        """How many groups of a lower number have a member on the same machine: they go first."""
+        """Count the groups with a lower number that have a member on the same machine: they move first."""
         return sum(
             record.group_id < self.state.group_id
             and any(member.address == leaving.address for member in record.members())
@@ -258,8 +268,9 @@
         )
 
     async def admit_candidate(self) -> bool:
-        """Between two batches: send a prepared candidate the rest and have it recorded; whether the record changed
-        so.
+        """Between two batches: send a prepared candidate the remaining entries and add it.
+
+        Returns whether the replica set now names it.
         """
         peer, self.ready = self.ready, None
         if peer is None:
@@ -275,25 +286,26 @@
             self.admitted.set()
 
     async def move_away(self) -> None:
-        """Leave machines that are being drained or stopped, or that another member took the place of.
+        """Move off machines that are being drained or stopped, and remove members that were replaced.
 
-        One step at a time, once enough others hold the copy. A primary hands its place to a backup that stays.
+        One step at a time, once enough other members hold the data. A primary transfers leadership to a backup that
+        stays.
         """
         state = self.state
         if state.move.leaving is not None and state.move.leaving not in state.record.members():
-            self.end_move("it is no member any more")
+            self.end_move("it is no longer a member")
         remaining, staying = state.remaining(), state.staying()
         if state.me() not in staying:
-            heir = next((member for member in state.record.backups if member in staying), None)
-            if heir is not None:
-                await self.transfer_leadership(heir)
+            successor = next((member for member in state.record.backups if member in staying), None)
+            if successor is not None:
+                await self.transfer_leadership(successor)
         elif record_changes.may_leave(len(remaining), len(state.record.members()), state.policy.copies):
             await self.record_out(set(state.record.backups) - set(remaining))
         elif record_changes.may_leave(len(staying), len(remaining), max(state.policy.copies, state.policy.goal())):
             await self.record_out(set(state.record.backups) - set(staying))
 
     async def record_out(self, leaving: set[replica_set.ReplicaId]) -> None:
-        """Have the witnesses record backups out that are to leave; tried again by the next call if that fails."""
+        """Remove leaving backups through a ballot of the witnesses; retried by the next call if that fails."""
         state = self.state
         try:
             await state.ballot(lambda record: record_changes.without_backups(record, state.me(), leaving))
@@ -308,31 +320,33 @@
                     member=members,
                     reason=str(refusal),
                 ),
-                "group {}: replicas that leave not dropped, epoch {}, members {}: {}",
+                "group {}: leaving replicas not dropped, epoch {}, members {}: {}",
                 state.group_id,
                 state.record.epoch,
                 members,
                 refusal,
             )
             return
-        state.log_dropped(leaving, "drained, or another member took their place")
+        state.log_dropped(leaving, "drained, or replaced by another member")
 
-    async def transfer_leadership(self, heir: replica_set.ReplicaId) -> None:
-        """Make a backup the primary and stay as a backup; it holds all that was answered."""
+    async def transfer_leadership(self, successor: replica_set.ReplicaId) -> None:
+        """Make a backup the primary and stay as a backup; the new primary holds all acknowledged entries."""
         state = self.state
-        # From here on nothing is answered, before the ballot: voters drop this member's lease once they accept the next
-        # primary, which may lead before this one hears of it.
+        # Serving stops before the ballot: voters drop this member's lease once they accept the next primary, which may
+        # lead before this one hears of it.
         state.role_state.begin_transfer()
-        state.update_role(f"leadership goes to {heir}")
-        await state.ballot(lambda record: record_changes.transfer_leadership(record, state.me(), heir))
-        await state.link.request(heir.address, replica_set.ReplicaSetNotice(state.record), group_state.REPLY_TIMEOUT)
+        state.update_role(f"leadership is transferred to {successor}")
+        await state.ballot(lambda record: record_changes.transfer_leadership(record, state.me(), successor))
+        await state.link.request(
+            successor.address, replica_set.ReplicaSetNotice(state.record), group_state.REPLY_TIMEOUT
+        )
         state.check_tenure()
         state.role_state.end_transfer()
-        state.update_role(f"leadership did not go to {heir}")
+        state.update_role(f"leadership was not transferred to {successor}")
 
 
 def hash_of(text: str) -> int:
-    """A stable number for a text.
+    """Hash a text to a number that is the same in every process.
 
     Example: ``hash_of("a:1") == hash_of("a:1")``
     """
