--- a/aspencroft/proxy/outlier_detection.py
+++ b/aspencroft/proxy/outlier_detection.py
@@ -46,18 +46,22 @@
     }.get(refusal.result, "")
 
 
-def peer_rate(bad: float, total: float) -> float:
+def peer_rate(failures: float, total: float) -> float:
     """The expected failure rate, estimated from the other workers; the prior allows a few failures to any worker.
 
     Example: ``peer_rate(0.0, 0.0) == 0.02``
     """
-    return (bad + PRIOR_FAILURES) / (total + PRIOR_ANSWERS)
+    return (failures + PRIOR_FAILURES) / (total + PRIOR_ANSWERS)
 
 
-def exceeds_peer_rate(bad: float, total: float, rate: float) -> bool:
-    """Whether ``bad`` failures of ``total`` requests are significantly more than the rate of the peers explains."""
+def exceeds_peer_rate(failures: float, total: float, rate: float) -> bool:
+    """Whether ``failures`` of ``total`` requests are significantly more than the rate of the peers explains."""
     expected = total * rate
-    return bad >= MIN_FAILURES and bad / total >= MIN_OUTLIER_RATE and bad > expected + 3.0 * math.sqrt(expected) + 0.5
+    return (
+        failures >= MIN_FAILURES
+        and failures / total >= MIN_OUTLIER_RATE
+        and failures > expected + 3.0 * math.sqrt(expected) + 0.5
+    )
 
 
 @dataclasses.dataclass
@@ -66,32 +70,32 @@
 
     service: str
     good: float = 0.0
-    bad: collections.Counter = dataclasses.field(default_factory=collections.Counter)
-    at: datetime.timedelta = clock.ZERO
+    failures: collections.Counter = dataclasses.field(default_factory=collections.Counter)
+    decayed_at: datetime.timedelta = clock.ZERO
     ejected_until: datetime.timedelta = clock.ZERO
     ejected_at: datetime.timedelta | None = None
     ejection_time: datetime.timedelta = clock.ZERO
-    share: float = 1.0
-    credit: float = 0.0
-    limited: bool = False
+    traffic_share: float = 1.0
+    request_credit: float = 0.0
+    ejection_denied: bool = False
     reason: str = ""
 
     def decay(self, now: datetime.timedelta) -> None:
         """Decay the counts to the time ``now``."""
-        if now > self.at:
-            factor = math.exp(-((now - self.at) / OUTCOME_DECAY))
+        if now > self.decayed_at:
+            factor = math.exp(-((now - self.decayed_at) / OUTCOME_DECAY))
             self.good *= factor
-            for kind in self.bad:
-                self.bad[kind] *= factor
-            self.at = now
+            for kind in self.failures:
+                self.failures[kind] *= factor
+            self.decayed_at = now
 
     def weight(self) -> float:
         """The weighted number of failures."""
-        return sum(WEIGHTS[kind] * count for kind, count in self.bad.items())
+        return sum(WEIGHTS[kind] * count for kind, count in self.failures.items())
 
     def total(self) -> float:
         """The number of all outcomes."""
-        return self.good + sum(self.bad.values())
+        return self.good + sum(self.failures.values())
 
 
 class OutlierDetector:
@@ -120,33 +124,37 @@
             return
         record = self.records.get(name)
         if record is None:
-            record = self.records[name] = WorkerRecord(service, at=now)
+            record = self.records[name] = WorkerRecord(service, decayed_at=now)
         record.decay(now)
         if kind == GOOD:
             record.good += 1.0
-            if record.share < 1.0 and now >= record.ejected_until:
-                record.share = min(1.0, record.share * SLOW_START_GROWTH)
-                if record.share == 1.0:
+            if record.traffic_share < 1.0 and now >= record.ejected_until:
+                record.traffic_share = min(1.0, record.traffic_share * SLOW_START_GROWTH)
+                if record.traffic_share == 1.0:
                     self.counts["returned"] += 1
                     report(events.Event.WORKER_RETURNED, name, service, "its responses are good again")
             return
-        record.bad[kind] += 1.0
+        record.failures[kind] += 1.0
         self.review(name, record, kind, now)
 
     def review(self, name: str, record: WorkerRecord, kind: str, now: datetime.timedelta) -> None:
         """Decide after a failure whether to eject a worker; the only worker of a service is never ejected."""
         if now < record.ejected_until or len(self.services[record.service]) < 2:
             return
-        bad, total, rate = record.weight(), record.total(), self.rate(name, record.service, now)
-        fails_again = record.share < 1.0 and WEIGHTS[kind] == 1.0 and bad / total > REEJECTION_RATE + 2.0 * rate
-        if not fails_again and not exceeds_peer_rate(bad, total, rate):
+        failures, total, rate = record.weight(), record.total(), self.rate(name, record.service, now)
+        fails_again = (
+            record.traffic_share < 1.0 and WEIGHTS[kind] == 1.0 and failures / total > REEJECTION_RATE + 2.0 * rate
+        )
+        if not fails_again and not exceeds_peer_rate(failures, total, rate):
             return
         names = self.services[record.service]
         ejected = sum(1 for other in names if other in self.records and self.records[other].ejected_until > now)
-        kinds = ", ".join(f"{other} {count:.1f}" for other, count in sorted(record.bad.items()) if count >= 0.1)
-        record.reason = f"{bad:.1f} of {total:.1f} requests failed ({kinds}), {100 * rate:.0f} % expected"
+        kinds = ", ".join(
+            f"{outcome} {count:.1f}" for outcome, count in sorted(record.failures.items()) if count >= 0.1
+        )
+        record.reason = f"{failures:.1f} of {total:.1f} requests failed ({kinds}), {100 * rate:.0f} % expected"
         if ejected >= len(names) // EJECTABLE_DIVISOR:
-            record.limited = True
+            record.ejection_denied = True
             self.counts["not ejected"] += 1
             report(
                 events.Event.WORKER_NOT_EJECTED,
@@ -161,8 +169,8 @@
         )
         record.ejection_time = min(MAX_EJECTION_TIME, record.ejection_time * 2) if is_repeated else MIN_EJECTION_TIME
         record.ejected_at, record.ejected_until = now, now + record.ejection_time
-        record.share, record.credit, record.limited = SLOW_START_SHARE, 0.0, False
-        record.good, record.bad = 0.0, collections.Counter()
+        record.traffic_share, record.request_credit, record.ejection_denied = SLOW_START_SHARE, 0.0, False
+        record.good, record.failures = 0.0, collections.Counter()
         self.counts["ejected"] += 1
         detail = f"for {record.ejection_time.total_seconds():g} s: {record.reason}"
         report(
@@ -175,14 +183,14 @@
 
     def rate(self, name: str, service: str, now: datetime.timedelta) -> float:
         """The failure rate of the other workers of a service."""
-        bad = total = 0.0
+        failures = total = 0.0
         for other in self.services.get(service, ()):
             record = self.records.get(other)
             if record is not None and other != name:
                 record.decay(now)
-                bad += record.weight()
+                failures += record.weight()
                 total += record.total()
-        return peer_rate(bad, total)
+        return peer_rate(failures, total)
 
     def admit(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
         """Whether outlier detection lets a worker have the next request, which is charged to its slow start.
@@ -190,14 +198,14 @@
         A returning worker gets only its share of the requests that are repeatable.
         """
         record = self.records.get(name)
-        if record is None or record.share >= 1.0:
+        if record is None or record.traffic_share >= 1.0:
             return True
         if now < record.ejected_until or not repeatable:
             return False
-        record.credit += record.share
-        if record.credit < 1.0:
+        record.request_credit += record.traffic_share
+        if record.request_credit < 1.0:
             return False
-        record.credit -= 1.0
+        record.request_credit -= 1.0
         return True
 
     def is_suspect(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
@@ -208,28 +216,28 @@
         if record is None:
             return False
         record.decay(now)
-        bad, total = record.weight(), record.total()
-        if record.limited:
-            record.limited = exceeds_peer_rate(bad, total, self.rate(name, record.service, now))
-        if record.limited or repeatable or bad < 0.5:
-            return record.limited
-        return bad / total > SUSPECT_RATE + 2.0 * self.rate(name, record.service, now)
+        failures, total = record.weight(), record.total()
+        if record.ejection_denied:
+            record.ejection_denied = exceeds_peer_rate(failures, total, self.rate(name, record.service, now))
+        if record.ejection_denied or repeatable or failures < 0.5:
+            return record.ejection_denied
+        return failures / total > SUSPECT_RATE + 2.0 * self.rate(name, record.service, now)
 
     def ejected(self, now: datetime.timedelta) -> dict[str, str]:
         """The workers that are ejected now, each with the reason in words."""
         return {name: record.reason for name, record in self.records.items() if now < record.ejected_until}
 
     def explain(self, name: str, now: datetime.timedelta) -> str:
-        """Describe why a worker is ejected, limited or in slow start; "" if it is none of these."""
+        """Describe why a worker is ejected, could not be ejected or is in slow start; "" if it is none of these."""
         record = self.records.get(name)
-        if record is None or (record.share >= 1.0 and not record.limited):
+        if record is None or (record.traffic_share >= 1.0 and not record.ejection_denied):
             return ""
         if now < record.ejected_until:
             left = (record.ejected_until - now).total_seconds()
             return f"{name} is ejected for another {left:.1f} s: {record.reason}"
-        if record.limited:
+        if record.ejection_denied:
             return f"{name} is not ejected because too many workers are: {record.reason}"
-        return f"{name} is in slow start with a share of {record.share:.2f}: {record.reason}"
+        return f"{name} is in slow start with a share of {record.traffic_share:.2f}: {record.reason}"
 
 
 def report(event: events.Event, name: str, service: str, detail: str, reason: str = "") -> None:
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -172,7 +172,7 @@
     async def back(service):
         await service.run(10)
         service.known.outliers.records["i-3"].ejected_until = clock.now()
-        service.known.outliers.records["i-3"].share = 0.3
+        service.known.outliers.records["i-3"].traffic_share = 0.3
         began = clock.now().total_seconds()
         await service.run(3, repeatable=False)
         assert service.share("i-3", began) == 0.0, "one that comes back is tried with what may be repeated"
