--- a/aspencroft/proxy/event_buffer_test.py
+++ b/aspencroft/proxy/event_buffer_test.py
@@ -12,26 +12,28 @@
     return first + b"id: %d" % number + end + b"data: words %d" % number + end + end
 
 
-def cut(stream: bytes, places: list[int]) -> list[bytes]:
-    edges = sorted({min(place, len(stream)) for place in places})
+def split(stream: bytes, positions: list[int]) -> list[bytes]:
+    edges = sorted({min(position, len(stream)) for position in positions})
     return [stream[start:end] for start, end in zip([0, *edges], [*edges, len(stream)], strict=True)]
 
 
-PLACES = hypothesis.strategies.lists(hypothesis.strategies.integers(0, 200), max_size=12)
-ENDS = hypothesis.strategies.sampled_from([b"\n", b"\r\n", b"\r"])
+POSITIONS = hypothesis.strategies.lists(hypothesis.strategies.integers(0, 200), max_size=12)
+LINE_ENDS = hypothesis.strategies.sampled_from([b"\n", b"\r\n", b"\r"])
 
 
 @hypothesis.settings(deadline=None, derandomize=True, database=None)
-@hypothesis.given(PLACES, PLACES, ENDS, hypothesis.strategies.integers(0, 120), hypothesis.strategies.integers(0, 3))
-def test_a_stream_broken_anywhere_and_continued_anywhere_has_each_event_once(before, after, end, broken_at, overlap):
+@hypothesis.given(
+    POSITIONS, POSITIONS, LINE_ENDS, hypothesis.strategies.integers(0, 120), hypothesis.strategies.integers(0, 3)
+)
+def test_a_stream_broken_anywhere_and_resumed_anywhere_has_each_event_once(before, after, end, broken_at, overlap):
     stream = b"".join(event(number, end) for number in range(1, 7))
     buffer, passed = event_buffer.EventBuffer(), b""
-    for part in cut(stream[:broken_at], before):
+    for part in split(stream[:broken_at], before):
         passed += buffer.feed(part)
     assert stream.startswith(passed) and buffer.can_resume()
     last = int(buffer.last_id or 0)
     buffer.start_resumed()
-    for part in cut(b"".join(event(number, end) for number in range(max(1, last + 1 - overlap), 7)), after):
+    for part in split(b"".join(event(number, end) for number in range(max(1, last + 1 - overlap), 7)), after):
         passed += buffer.feed(part)
     passed += buffer.rest()
     reader = events.Reader()
@@ -40,18 +42,18 @@
 
 
 @hypothesis.settings(deadline=None, derandomize=True, database=None)
-@hypothesis.given(hypothesis.strategies.binary(max_size=300), PLACES)
-def test_any_bytes_pass_unchanged_while_nothing_is_resumed(stream, places):
+@hypothesis.given(hypothesis.strategies.binary(max_size=300), POSITIONS)
+def test_any_bytes_pass_unchanged_unless_the_stream_is_resumed(stream, positions):
     buffer = event_buffer.EventBuffer()
-    assert b"".join(buffer.feed(part) for part in cut(stream, places)) + buffer.rest() == stream
+    assert b"".join(buffer.feed(part) for part in split(stream, positions)) + buffer.rest() == stream
 
 
-def test_ids_that_repeat_in_one_run_pass_and_only_a_continued_stream_is_checked():
+def test_repeated_ids_pass_unless_the_stream_is_resumed():
     buffer = event_buffer.EventBuffer()
     assert buffer.feed(event(5) + event(5) + event(2)) == event(5) + event(5) + event(2)
 
 
-def test_a_continued_stream_that_leaves_events_out_is_broken_off():
+def test_a_resumed_stream_that_skips_events_is_an_error():
     buffer = event_buffer.EventBuffer()
     buffer.feed(event(1) + event(2))
     buffer.start_resumed()
@@ -59,7 +61,7 @@
         buffer.feed(event(4))
 
 
-def test_ids_that_do_not_count_up_one_by_one_are_taken_as_they_rise():
+def test_ids_that_are_not_consecutive_need_only_rise():
     buffer = event_buffer.EventBuffer()
     buffer.feed(event(10) + event(20))
     buffer.start_resumed()
@@ -67,7 +69,7 @@
 
 
 @pytest.mark.parametrize("head", [b"data: x\n\n", b"id:\ndata: x\n\n"])
-def test_a_stream_with_an_event_that_has_no_id_is_not_continued(head):
+def test_a_stream_with_an_event_that_has_no_id_cannot_be_resumed(head):
     buffer = event_buffer.EventBuffer()
     assert buffer.can_resume()
     assert buffer.feed(head) == head and not buffer.can_resume()
@@ -75,11 +77,11 @@
 
 def test_a_line_before_the_id_belongs_to_its_event():
     buffer = event_buffer.EventBuffer()
-    told = event(1, first=b"weight-versions: 7\n")
-    assert buffer.feed(told[:9]) + buffer.feed(told[9:]) == told and buffer.last_id == "1"
+    stream = event(1, first=b"weight-versions: 7\n")
+    assert buffer.feed(stream[:9]) + buffer.feed(stream[9:]) == stream and buffer.last_id == "1"
 
 
-def test_an_event_without_end_is_held_back_within_bounds(monkeypatch):
+def test_the_buffer_of_an_incomplete_event_is_bounded(monkeypatch):
     monkeypatch.setattr(event_buffer, "MAX_PENDING_BYTES", 100)
     buffer = event_buffer.EventBuffer()
     assert buffer.feed(b"data: " + b"x" * 200) == b"data: " + b"x" * 200 and not buffer.can_resume()
--- a/aspencroft/proxy/events_test.py
+++ b/aspencroft/proxy/events_test.py
@@ -1,4 +1,4 @@
-"""Tests of reading a stream of events."""
+"""Tests of the parser for server-sent events."""
 
 import random
 
@@ -7,15 +7,18 @@
 
 def test_events_are_the_same_however_the_stream_is_cut():
     for seed in range(300):
-        chance = random.Random(seed)
-        end = chance.choice([b"\n", b"\r\n"])
-        data = [bytes(chance.choices(b"ab: \xff", k=chance.randrange(9))) for _ in range(chance.randrange(6))]
+        random_source = random.Random(seed)
+        end = random_source.choice([b"\n", b"\r\n"])
+        data = [
+            bytes(random_source.choices(b"ab: \xff", k=random_source.randrange(9)))
+            for _ in range(random_source.randrange(6))
+        ]
         stream = b"".join(b"id: %d" % number + end + b"data: " + one + end + end for number, one in enumerate(data))
-        reader, place = events.Reader(), 0
-        while place < len(stream):
-            step = chance.randrange(1, 9)
-            reader.feed(stream[place : place + step])
-            place += step
+        reader, position = events.Reader(), 0
+        while position < len(stream):
+            step = random_source.randrange(1, 9)
+            reader.feed(stream[position : position + step])
+            position += step
         assert reader.count == len(data)
         assert reader.output() == b"".join(one + b"\n" for one in data)
 
--- a/aspencroft/proxy/fairness_test.py
+++ b/aspencroft/proxy/fairness_test.py
@@ -1,4 +1,4 @@
-"""Who is served when: routes of any age, parts by weight, and sessions, sizes and kinds of calls under overload."""
+"""Tests of fairness: routes added later, targets by weight, and sessions, sizes and ranks of calls under overload."""
 
 import asyncio
 import collections
@@ -16,10 +16,10 @@
 from aspencroft.workers import pool
 
 OVERLOAD_S = 10.0
-CALLS_A_SECOND = 480.0
+CALLS_PER_SECOND = 480.0
 WORK = worker_server.Work(slots=6, queue=6)
 WORK_MS = 60
-LEAST_REFUSED_SHARE = 0.15
+MIN_REFUSED_SHARE = 0.15
 
 
 def route(name: str, prefix: str, *services: tuple[str, float], rank: int = 0) -> http_route.HttpRoute:
@@ -29,40 +29,40 @@
 
 
 class Edge:
-    """An edge with three workers for each service, and routes that may be added while it serves."""
+    """An edge with three workers for each service, whose routes can be added while it serves."""
 
     def __init__(self, services: tuple[str, ...], routes: list[http_route.HttpRoute]):
         self.loop = loop.SimLoop()
         self.wire = wire.Wire(self.loop, random.Random(1), wire.Weather())
         self.services = services
         self.routes = routes
-        self.lives: list[worker_server.Worker] = []
+        self.workers: list[worker_server.Worker] = []
 
     def add(self, added: http_route.HttpRoute) -> None:
-        """Put another route in force."""
-        plan = self.own.relay.configuration
-        plan.http_routes[added.name] = added
-        plan.route_table = plan.route_table.changed((), (added,))
+        """Add a route to the configuration."""
+        configuration = self.node.relay.configuration
+        configuration.http_routes[added.name] = added
+        configuration.route_table = configuration.route_table.changed((), (added,))
 
     def begin(self) -> None:
-        """Start workers and the edge."""
-        self.own = forwarder_test.own_node(self.wire, self.routes[0])
+        """Start the workers and the edge."""
+        self.node = forwarder_test.make_node(self.wire, self.routes[0])
         for added in self.routes[1:]:
             self.add(added)
         listed = []
         for number, service in enumerate(self.services * 3):
-            life = worker_server.Worker(f"i-{number}", service, "north", WORK, random.Random(number))
-            self.lives.append(life)
+            worker = worker_server.Worker(f"i-{number}", service, "north", WORK, random.Random(number))
+            self.workers.append(worker)
             address = f"w{number}:80"
-            self.loop.create_task(life.serve(wire.SimNetwork(self.wire, f"w{number}"), address))
-            listed.append(instance.Instance(life.name, address, service, "north", "v1", 6, False, clock.ZERO))
+            self.loop.create_task(worker.serve(wire.SimNetwork(self.wire, f"w{number}"), address))
+            listed.append(instance.Instance(worker.name, address, service, "north", "v1", 6, False, clock.ZERO))
         known = instances.Instances()
         known.update(listed, clock.now())
-        connections = pool.Pool(self.own.environment, collections.Counter())
-        self.forwarder = forwarder.Forwarder(self.own, worker_server.StandDialect(), known, connections)
+        connections = pool.Pool(self.node.environment, collections.Counter())
+        self.forwarder = forwarder.Forwarder(self.node, worker_server.StandDialect(), known, connections)
 
     async def served(self, path: str, attempt: str, work_ms: int = WORK_MS) -> bool:
-        """Whether a call is answered."""
+        """Make a call; return whether it was answered."""
         headers = ((b"host", b"h"), (b"x-attempt", attempt.encode()), (b"x-work-ms", b"%d" % work_ms))
         one = call.Call("POST", path, "h", headers, b"in", attempt, clock.seconds(1), clock.now())
         try:
@@ -73,13 +73,13 @@
     def run(self, scenario) -> object:
         """Run a scenario in simulated time."""
 
-        async def whole() -> object:
+        async def start_and_run() -> object:
             self.begin()
             await clock.sleep(clock.seconds(0.05))
             return await scenario()
 
         try:
-            return self.loop.run_until_complete(whole())
+            return self.loop.run_until_complete(start_and_run())
         finally:
             self.loop.bury()
 
@@ -104,13 +104,13 @@
 
 
 @pytest.mark.parametrize("weights", [(90.0, 10.0), (50.0, 50.0), (1.0, 3.0)])
-def test_each_part_of_a_route_gets_its_weights_share(weights):
+def test_traffic_is_split_by_the_weights_of_a_routes_targets(weights):
     edge = Edge(("a", "b"), [route("split", "/", ("a", weights[0]), ("b", weights[1]))])
 
     async def scenario():
         for number in range(1500):
             assert await edge.served("/x", f"c{number}", 1)
-        return sum(len(life.runs) for life in edge.lives if life.service == "a")
+        return sum(len(worker.runs) for worker in edge.workers if worker.service == "a")
 
     share = edge.run(scenario) / 1500
     assert abs(share - weights[0] / sum(weights)) < 0.04
@@ -124,65 +124,65 @@
 
 
 def overloaded(edge: Edge, draw) -> list[tuple[object, bool]]:
-    """Call faster than workers can serve; for each call what was drawn for it, and whether it was served."""
+    """Make calls faster than the workers can serve; return each call's drawn key and whether it was served."""
 
     async def scenario():
-        chance, tasks, drawn = random.Random(5), [], []
+        random_source, tasks, drawn = random.Random(5), [], []
         end = clock.now() + clock.seconds(OVERLOAD_S)
         while clock.now() < end:
-            key, path, work_ms = draw(chance)
+            key, path, work_ms = draw(random_source)
             drawn.append(key)
             tasks.append(asyncio.ensure_future(edge.served(path, f"c{len(tasks)}", work_ms)))
-            await clock.sleep(clock.seconds(chance.expovariate(CALLS_A_SECOND)))
+            await clock.sleep(clock.seconds(random_source.expovariate(CALLS_PER_SECOND)))
         return list(zip(drawn, await asyncio.gather(*tasks), strict=True))
 
-    found = edge.run(scenario)
-    refused = sum(not served for _, served in found) / len(found)
-    assert refused > LEAST_REFUSED_SHARE, f"no overload: {refused:.2f} refused"
-    return found
+    results = edge.run(scenario)
+    refused = sum(not served for _, served in results) / len(results)
+    assert refused > MIN_REFUSED_SHARE, f"no overload: only {refused:.2f} of the calls refused"
+    return results
 
 
-def share_served(found: list[tuple[object, bool]], wanted) -> float:
-    """The share of the calls drawn so that were served."""
-    kept = [served for key, served in found if wanted(key)]
-    assert len(kept) > 200
-    return sum(kept) / len(kept)
+def share_served(results: list[tuple[object, bool]], wanted) -> float:
+    """The share of calls with a wanted key that were served."""
+    outcomes = [served for key, served in results if wanted(key)]
+    assert len(outcomes) > 200
+    return sum(outcomes) / len(outcomes)
 
 
 def test_no_session_is_starved_under_overload():
     edge = Edge(("s",), [route("r", "/", ("s", 1.0))])
-    found = overloaded(edge, lambda chance: (chance.randrange(400), "/x", WORK_MS))
+    results = overloaded(edge, lambda random_source: (random_source.randrange(400), "/x", WORK_MS))
     asked, served = collections.Counter(), collections.Counter()
-    for session, is_served in found:
+    for session, is_served in results:
         asked[session] += 1
         served[session] += is_served
-    refused = 1 - sum(served.values()) / len(found)
+    refused = 1 - sum(served.values()) / len(results)
     often = [session for session, count in asked.items() if count >= 4]
     never = [session for session in often if not served[session]]
-    by_chance = sum(refused ** asked[session] for session in often)
-    assert len(often) > 300 and len(never) <= 2 + 0.04 * len(often) + 3 * by_chance
+    expected_by_chance = sum(refused ** asked[session] for session in often)
+    assert len(often) > 300 and len(never) <= 2 + 0.04 * len(often) + 3 * expected_by_chance
 
 
 def test_large_calls_are_served_at_least_half_as_often_as_all_under_overload():
     edge = Edge(("s",), [route("r", "/", ("s", 1.0))])
 
-    def draw(chance: random.Random) -> tuple[int, str, int]:
-        size = min(400, int(WORK_MS * chance.paretovariate(1.8) / 2))
+    def draw(random_source: random.Random) -> tuple[int, str, int]:
+        size = min(400, int(WORK_MS * random_source.paretovariate(1.8) / 2))
         return size, "/x", size
 
-    found = overloaded(edge, draw)
-    sizes = sorted(size for size, _ in found)
-    tenth, fifth = sizes[-len(sizes) // 10], sizes[-3 * len(sizes) // 10]
-    everything = share_served(found, lambda size: True)
-    assert share_served(found, lambda size: size >= tenth) >= everything / 2
-    assert share_served(found, lambda size: fifth <= size < tenth) >= everything / 2
+    results = overloaded(edge, draw)
+    sizes = sorted(size for size, _ in results)
+    largest_tenth, next_fifth = sizes[-len(sizes) // 10], sizes[-3 * len(sizes) // 10]
+    share_of_all = share_served(results, lambda size: True)
+    assert share_served(results, lambda size: size >= largest_tenth) >= share_of_all / 2
+    assert share_served(results, lambda size: next_fifth <= size < largest_tenth) >= share_of_all / 2
 
 
 def test_an_urgent_kind_is_not_served_less_often_than_a_less_urgent_one_of_its_service():
     urgent, routine = route("urgent", "/u/", ("s", 1.0), rank=0), route("routine", "/r/", ("s", 1.0), rank=3)
     edge = Edge(("s",), [urgent, routine])
-    found = overloaded(edge, lambda chance: (kind := chance.choice("ur"), f"/{kind}/x", WORK_MS))
-    difference = share_served(found, lambda kind: kind == "r") - share_served(found, lambda kind: kind == "u")
+    results = overloaded(edge, lambda random_source: (kind := random_source.choice("ur"), f"/{kind}/x", WORK_MS))
+    difference = share_served(results, lambda kind: kind == "r") - share_served(results, lambda kind: kind == "u")
     assert difference <= 0.05
 
 
@@ -190,7 +190,7 @@
     edge = Edge(("s",), [route("r", "/", ("s", 1.0))])
 
     async def scenario():
-        relay = edge.own.relay
+        relay = edge.node.relay
         seen = [edge.forwarder.ready()]
         relay.current = lambda: False
         seen.append(edge.forwarder.ready())
@@ -198,7 +198,7 @@
         edge.forwarder.instances.listed = {}
         seen.append(edge.forwarder.ready())
         edge.forwarder.instances.listed = {"i-0": types.SimpleNamespace()}
-        edge.own.stopping.set()
+        edge.node.stopping.set()
         seen.append(edge.forwarder.ready())
         return seen
 
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -1,4 +1,4 @@
-"""Tests of a call's attempts at workers, with the stand-in worker behind the product's own pool."""
+"""Tests of ``aspencroft.proxy.forwarder`` with emulated workers behind the real connection pool."""
 
 import asyncio
 import collections
@@ -28,15 +28,17 @@
 }
 
 
-def own_node(simulated_wire, route):
-    """Of a node just what the forwarding of plain calls asks for."""
-    around = environment.Environment(wire.SimNetwork(simulated_wire, "edge"), None, None, random.Random(3), None)
+def make_node(network, route):
+    """A stub node with what the forwarder needs for calls that are no turns."""
+    simulated_environment = environment.Environment(
+        wire.SimNetwork(network, "edge"), None, None, random.Random(3), None
+    )
     table = route_table.EMPTY.changed((), (route,))
     fields = {**vars(resources.EMPTY), "http_routes": {route.name: route}, "route_table": table, "version": 1}
-    plan = types.SimpleNamespace(**fields)
+    configuration = types.SimpleNamespace(**fields)
     return types.SimpleNamespace(
         address="edge:1",
-        environment=around,
+        environment=simulated_environment,
         sample_sources=[],
         status_reporter=types.SimpleNamespace(sections={}),
         stopping=asyncio.Event(),
@@ -44,7 +46,7 @@
             group_count=2, talk_pairs=1, area="north", address="edge:1", quota=settings.QuotaBounds()
         ),
         relay=types.SimpleNamespace(
-            configuration=plan,
+            configuration=configuration,
             current=lambda: True,
             currency=clock.seconds(12),
             currency_end=clock.seconds(12),
@@ -53,38 +55,38 @@
     )
 
 
-def played(scenario, *troubles, **route):
-    """A trace with one worker for each of the troubles given."""
-    simulated = loop.SimLoop()
-    ways = wire.Wire(simulated, random.Random(1), wire.Weather())
+def run_scenario(scenario, *faults, **route):
+    """Run a scenario with one worker for each of the given faults."""
+    event_loop = loop.SimLoop()
+    network = wire.Wire(event_loop, random.Random(1), wire.Weather())
 
-    async def whole():
-        own = own_node(ways, http_route.of("route", {**ROUTE, **route}))
-        known, lives = instances.Instances(), []
-        for number, trouble in enumerate(troubles):
-            life = worker_server.Worker(f"i-{number}", "tool", "north", worker_server.Work(), random.Random(2))
-            life.faults = worker_server.Faults(**trouble)
-            lives.append(life)
-            simulated.create_task(life.serve(wire.SimNetwork(ways, f"w{number}"), f"w{number}:80"))
+    async def start_and_run():
+        node = make_node(network, http_route.of("route", {**ROUTE, **route}))
+        known, workers = instances.Instances(), []
+        for number, fault in enumerate(faults):
+            worker = worker_server.Worker(f"i-{number}", "tool", "north", worker_server.Work(), random.Random(2))
+            worker.faults = worker_server.Faults(**fault)
+            workers.append(worker)
+            event_loop.create_task(worker.serve(wire.SimNetwork(network, f"w{number}"), f"w{number}:80"))
         known.update(
             [
-                instance.Instance(life.name, f"w{number}:80", "tool", "north", "v1", 6, False, clock.ZERO)
-                for number, life in enumerate(lives)
+                instance.Instance(worker.name, f"w{number}:80", "tool", "north", "v1", 6, False, clock.ZERO)
+                for number, worker in enumerate(workers)
             ],
             clock.now(),
         )
-        connections = pool.Pool(own.environment, collections.Counter())
-        forwarding = forwarder.Forwarder(own, worker_server.StandDialect(), known, connections)
+        connections = pool.Pool(node.environment, collections.Counter())
+        edge = forwarder.Forwarder(node, worker_server.StandDialect(), known, connections)
         await clock.sleep(clock.seconds(0.01))
-        return await scenario(forwarding, lives)
+        return await scenario(edge, workers)
 
     try:
-        return simulated.run_until_complete(whole())
+        return event_loop.run_until_complete(start_and_run())
     finally:
-        simulated.bury()
+        event_loop.bury()
 
 
-def asked(within=1.0, work=b"5"):
+def make_call(within=1.0, work=b"5"):
     return call.Call(
         "GET",
         "/x",
@@ -97,323 +99,323 @@
     )
 
 
-async def refusal_of(forwarding):
+async def error_of(edge):
     try:
-        await forwarding.handle(asked())
-    except result.RequestError as refusal:
-        return refusal
+        await edge.handle(make_call())
+    except result.RequestError as error:
+        return error
 
 
-def test_what_may_have_run_at_one_worker_is_not_promised_away_by_another():
-    async def scenario(forwarding, lives):
-        for life in lives[1:]:
-            life.work = worker_server.Work(slots=0, queue=0)
-            life.slots.slots = life.slots.queue = 0
-        refusal = await refusal_of(forwarding)
-        return refusal.ran, sum(len(life.runs) for life in lives)
+def test_a_rejection_by_one_worker_does_not_hide_that_another_may_have_run_the_call():
+    async def scenario(edge, workers):
+        for worker in workers[1:]:
+            worker.work = worker_server.Work(slots=0, queue=0)
+            worker.slots.slots = worker.slots.queue = 0
+        error = await error_of(edge)
+        return error.ran, sum(len(worker.runs) for worker in workers)
 
-    seen = {played(scenario, {"lost": 1.0}, {}), played(scenario, {"lost": 1.0}, {}, {})}
+    seen = {run_scenario(scenario, {"lost": 1.0}, {}), run_scenario(scenario, {"lost": 1.0}, {}, {})}
     assert seen <= {(result.Ran.UNKNOWN, 1)}
 
 
-def test_what_no_worker_ran_is_promised_not_to_have_run():
-    async def scenario(forwarding, lives):
-        for life in lives:
-            life.slots.slots = life.slots.queue = 0
-        refusal = await refusal_of(forwarding)
-        return refusal.ran, sum(len(life.runs) for life in lives)
+def test_a_call_that_all_workers_rejected_is_reported_as_not_run():
+    async def scenario(edge, workers):
+        for worker in workers:
+            worker.slots.slots = worker.slots.queue = 0
+        error = await error_of(edge)
+        return error.ran, sum(len(worker.runs) for worker in workers)
 
-    assert played(scenario, {}, {}) == (result.Ran.NOT_RUN, 0)
+    assert run_scenario(scenario, {}, {}) == (result.Ran.NOT_RUN, 0)
 
 
 def test_a_caller_that_leaves_while_an_answer_comes_leaves_no_connection_behind():
-    async def scenario(forwarding, lives):
+    async def scenario(edge, workers):
         for pause in (0.011, 0.02, 0.03, 0.04, 0.05):
-            task = asyncio.ensure_future(forwarding.handle(asked()))
+            task = asyncio.ensure_future(edge.handle(make_call()))
             await clock.sleep(clock.seconds(pause))
             task.cancel()
             await asyncio.wait([task])
-        resting = sum(len(row) for row in forwarding.pool.resting.values())
+        idle = sum(len(connections) for connections in edge.pool.resting.values())
         await clock.sleep(clock.seconds(0.2))
-        running = forwarding.instances.known["i-0"].running
-        return forwarding.pool.total - resting, lives[0].open - resting, forwarding.active, running
+        running = edge.instances.known["i-0"].running
+        return edge.pool.total - idle, workers[0].open - idle, edge.active, running
 
-    assert played(scenario, {"pieces": 1.0}) == (0, 0, 0, 0)
+    assert run_scenario(scenario, {"pieces": 1.0}) == (0, 0, 0, 0)
 
 
-def test_work_that_may_be_repeated_is_asked_of_another_worker_when_one_is_silent_beyond_the_aim():
-    async def scenario(forwarding, lives):
-        answer = await forwarding.handle(asked())
-        return answer.status, forwarding.counts["hedged"], clock.now() < clock.seconds(0.6), forwarding.active
+def test_a_safe_call_is_hedged_when_a_worker_does_not_answer_within_the_latency_target():
+    async def scenario(edge, workers):
+        answer = await edge.handle(make_call())
+        return answer.status, edge.counts["hedged"], clock.now() < clock.seconds(0.6), edge.active
 
     for silent in (0, 1):
-        troubles = [{}, {}]
-        troubles[silent] = {"silent": 1.0}
-        answers = played(scenario, *troubles)
+        faults = [{}, {}]
+        faults[silent] = {"silent": 1.0}
+        answers = run_scenario(scenario, *faults)
         assert answers[0] == 200 and answers[2] and answers[3] == 0
         assert answers[1] <= 1
 
 
 def test_a_hedge_keeps_to_the_attempts_that_the_route_allows():
-    async def scenario(forwarding, lives):
-        refusal = await refusal_of(forwarding)
-        return refusal.ran, sum(len(life.runs) for life in lives), forwarding.active
+    async def scenario(edge, workers):
+        error = await error_of(edge)
+        return error.ran, sum(len(worker.runs) for worker in workers), edge.active
 
-    assert played(scenario, {"silent": 1.0}, {"silent": 1.0}, {"silent": 1.0}, attempts=2) == (
+    assert run_scenario(scenario, {"silent": 1.0}, {"silent": 1.0}, {"silent": 1.0}, attempts=2) == (
         result.Ran.UNKNOWN,
         2,
         0,
     )
-    assert played(scenario, {"silent": 1.0}, {"silent": 1.0}, attempts=1) == (result.Ran.UNKNOWN, 1, 0)
-    assert played(scenario, {"silent": 1.0}, {"silent": 1.0}, kind="non_idempotent") == (
+    assert run_scenario(scenario, {"silent": 1.0}, {"silent": 1.0}, attempts=1) == (result.Ran.UNKNOWN, 1, 0)
+    assert run_scenario(scenario, {"silent": 1.0}, {"silent": 1.0}, kind="non_idempotent") == (
         result.Ran.UNKNOWN,
         1,
         0,
     )
 
 
-async def refusal_for(forwarding, one):
-    """The refusal that a call ends in."""
+async def error_of_call(edge, one):
+    """The error that a call ends with."""
     try:
-        answer = await forwarding.handle(one)
-    except result.RequestError as refusal:
-        return refusal
+        answer = await edge.handle(one)
+    except result.RequestError as error:
+        return error
     raise AssertionError(answer)
 
 
 def test_a_hedge_and_a_retry_of_the_first_attempt_share_the_attempts_of_the_route():
-    async def scenario(forwarding, lives):
-        forwarding.instances.record_rejection("i-1")
-        forwarding.instances.record_rejection("i-2")
-        held = forwarding.wait_for_worker
-        placed = 0
-
-        async def place(state):
-            nonlocal placed
-            placed += 1
-            if placed == 2:
+    async def scenario(edge, workers):
+        edge.instances.record_rejection("i-1")
+        edge.instances.record_rejection("i-2")
+        original = edge.wait_for_worker
+        waits = 0
+
+        async def wait_for_worker(state):
+            nonlocal waits
+            waits += 1
+            if waits == 2:
                 await clock.sleep(clock.seconds(0.2))
-            return await held(state)
+            return await original(state)
 
-        forwarding.wait_for_worker = place
-        refusal = await refusal_of(forwarding)
-        return refusal.ran, sum(len(life.runs) for life in lives), forwarding.active
+        edge.wait_for_worker = wait_for_worker
+        error = await error_of(edge)
+        return error.ran, sum(len(worker.runs) for worker in workers), edge.active
 
     silent = {"silent": 1.0}
-    seen = played(scenario, {"lost": 1.0}, silent, silent, attempts=2, aim=0.1)
+    seen = run_scenario(scenario, {"lost": 1.0}, silent, silent, attempts=2, aim=0.1)
     assert seen == (result.Ran.UNKNOWN, 2, 0)
 
 
 def test_a_call_whose_route_changes_its_kind_on_the_way_is_not_sent_under_the_new_one():
-    async def scenario(forwarding, lives):
-        plan = forwarding.node.relay.configuration
-        admit = forwarding.admit
+    async def scenario(edge, workers):
+        configuration = edge.node.relay.configuration
+        admit = edge.admit
 
         def change(one):
             state = admit(one)
-            plan.http_routes["route"] = http_route.of("route", {**ROUTE, "kind": "keyed"})
+            configuration.http_routes["route"] = http_route.of("route", {**ROUTE, "kind": "keyed"})
             return state
 
-        forwarding.admit = change
-        refusal = await refusal_of(forwarding)
-        return refusal.result, refusal.ran, len(lives[0].runs)
+        edge.admit = change
+        error = await error_of(edge)
+        return error.result, error.ran, len(workers[0].runs)
 
-    assert played(scenario, {}, kind="non_idempotent") == (result.ResultCode.PUT_BACK, result.Ran.NOT_RUN, 0)
+    assert run_scenario(scenario, {}, kind="non_idempotent") == (result.ResultCode.PUT_BACK, result.Ran.NOT_RUN, 0)
 
 
-def test_an_edge_without_any_configuration_does_not_say_that_there_is_no_route():
-    async def scenario(forwarding, lives):
-        plan = forwarding.node.relay.configuration
-        plan.route_table, plan.http_routes, plan.version = route_table.EMPTY, {}, 0
-        return (await refusal_of(forwarding)).result
+def test_an_edge_without_any_configuration_does_not_report_a_route_as_unknown():
+    async def scenario(edge, workers):
+        configuration = edge.node.relay.configuration
+        configuration.route_table, configuration.http_routes, configuration.version = route_table.EMPTY, {}, 0
+        return (await error_of(edge)).result
 
-    assert played(scenario, {}) is result.ResultCode.NO_PLAN
+    assert run_scenario(scenario, {}) is result.ResultCode.NO_PLAN
 
 
-def test_an_edge_that_heard_nothing_of_the_control_plane_lately_does_not_say_that_there_is_no_route():
-    async def scenario(forwarding, lives):
-        plan, relay = forwarding.node.relay.configuration, forwarding.node.relay
-        plan.route_table, plan.http_routes = route_table.EMPTY, {}
-        first = (await refusal_of(forwarding)).result
+def test_an_edge_whose_configuration_was_not_confirmed_recently_does_not_report_a_route_as_unknown():
+    async def scenario(edge, workers):
+        configuration, relay = edge.node.relay.configuration, edge.node.relay
+        configuration.route_table, configuration.http_routes = route_table.EMPTY, {}
+        first = (await error_of(edge)).result
         await clock.sleep(clock.seconds(5))
-        second = await refusal_of(forwarding)
+        second = await error_of(edge)
         relay.currency_end = clock.now() + relay.currency
-        return first, second.result, second.ran, (await refusal_of(forwarding)).result
+        return first, second.result, second.ran, (await error_of(edge)).result
 
     unknown = result.ResultCode.UNKNOWN_ROUTE
-    assert played(scenario, {}) == (unknown, result.ResultCode.NO_PLAN, result.Ran.NOT_RUN, unknown)
+    assert run_scenario(scenario, {}) == (unknown, result.ResultCode.NO_PLAN, result.Ran.NOT_RUN, unknown)
 
 
 KEY, OTHER_KEY = tenant.digest(b"key"), tenant.digest(b"other")
 MINE, OTHERS = tenant.Tenant("mine", (KEY,), 0.0, 0.0, None), tenant.Tenant("others", (OTHER_KEY,), 0.0, 0.0, 3)
 
 
-def require_keys(forwarding, *tenants):
-    """Have the edge's configuration ask for the keys of tenants."""
-    plan = forwarding.node.relay.configuration
-    plan.keys_required, plan.tenants = True, {one.name: one for one in tenants}
-    plan.key_table = tenant.NO_KEYS.changed((), tenants)
+def require_keys(edge, *tenants):
+    """Make the edge's configuration require the keys of tenants."""
+    configuration = edge.node.relay.configuration
+    configuration.keys_required, configuration.tenants = True, {one.name: one for one in tenants}
+    configuration.key_table = tenant.NO_KEYS.changed((), tenants)
 
 
 def with_key(key_digest, **more):
-    return dataclasses.replace(asked(), key_digest=key_digest, **more)
+    return dataclasses.replace(make_call(), key_digest=key_digest, **more)
 
 
 def test_a_request_without_a_key_that_a_tenant_holds_does_not_run():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE)
-        refusals = [await refusal_for(forwarding, with_key(digest)) for digest in ("", OTHER_KEY)]
-        return [(refusal.result, refusal.ran) for refusal in refusals], len(lives[0].runs)
+    async def scenario(edge, workers):
+        require_keys(edge, MINE)
+        errors = [await error_of_call(edge, with_key(digest)) for digest in ("", OTHER_KEY)]
+        return [(error.result, error.ran) for error in errors], len(workers[0].runs)
 
     unknown = (result.ResultCode.UNKNOWN_KEY, result.Ran.NOT_RUN)
-    assert played(scenario, {}) == ([unknown, unknown], 0)
+    assert run_scenario(scenario, {}) == ([unknown, unknown], 0)
 
 
 def test_the_tenant_is_that_of_the_key_whatever_the_caller_says():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE, OTHERS)
-        states = [forwarding.admit(with_key(key, tenant="others")) for key in (KEY, OTHER_KEY)]
+    async def scenario(edge, workers):
+        require_keys(edge, MINE, OTHERS)
+        states = [edge.admit(with_key(key, tenant="others")) for key in (KEY, OTHER_KEY)]
         return [state.call.tenant for state in states]
 
-    assert played(scenario, {}) == ["mine", "others"]
+    assert run_scenario(scenario, {}) == ["mine", "others"]
 
 
-def test_a_public_route_asks_for_no_key_and_believes_no_tenant():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE)
-        states = [forwarding.admit(with_key(key, tenant="forged")) for key in ("", OTHER_KEY, KEY)]
+def test_a_public_route_requires_no_key_and_ignores_a_claimed_tenant():
+    async def scenario(edge, workers):
+        require_keys(edge, MINE)
+        states = [edge.admit(with_key(key, tenant="forged")) for key in ("", OTHER_KEY, KEY)]
         return [state.call.tenant for state in states]
 
-    assert played(scenario, {}, public=True) == ["", "", "mine"]
+    assert run_scenario(scenario, {}, public=True) == ["", "", "mine"]
 
 
 def test_a_key_taken_away_while_its_call_waits_for_a_worker_does_not_run():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE)
-        state = forwarding.admit(with_key(KEY))
-        require_keys(forwarding)
+    async def scenario(edge, workers):
+        require_keys(edge, MINE)
+        state = edge.admit(with_key(KEY))
+        require_keys(edge)
         with pytest.raises(result.RequestError) as caught:
-            forwarding.choose(state)
+            edge.choose(state)
         return caught.value.result
 
-    assert played(scenario, {}) is result.ResultCode.UNKNOWN_KEY
+    assert run_scenario(scenario, {}) is result.ResultCode.UNKNOWN_KEY
 
 
-def test_an_edge_that_heard_nothing_of_the_control_plane_lately_does_not_say_that_a_key_is_unknown():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE)
+def test_an_edge_whose_configuration_was_not_confirmed_recently_does_not_report_a_key_as_unknown():
+    async def scenario(edge, workers):
+        require_keys(edge, MINE)
         await clock.sleep(clock.seconds(5))
-        refusal = await refusal_for(forwarding, with_key(OTHER_KEY))
-        served = await forwarding.handle(with_key(KEY))
-        return refusal.result, refusal.ran, served.status
+        error = await error_of_call(edge, with_key(OTHER_KEY))
+        served = await edge.handle(with_key(KEY))
+        return error.result, error.ran, served.status
 
-    assert played(scenario, {}) == (result.ResultCode.NO_PLAN, result.Ran.NOT_RUN, 200)
+    assert run_scenario(scenario, {}) == (result.ResultCode.NO_PLAN, result.Ran.NOT_RUN, 200)
 
 
-def test_the_rank_of_a_tenant_goes_before_that_of_the_route():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE, OTHERS)
-        return [forwarding.rank(forwarding.admit(with_key(key))) for key in (KEY, OTHER_KEY)]
+def test_the_rank_of_a_tenant_takes_precedence_over_that_of_the_route():
+    async def scenario(edge, workers):
+        require_keys(edge, MINE, OTHERS)
+        return [edge.rank(edge.admit(with_key(key))) for key in (KEY, OTHER_KEY)]
 
-    assert played(scenario, {}, rank=2) == [2, 3]
+    assert run_scenario(scenario, {}, rank=2) == [2, 3]
 
 
-async def order_of_places(forwarding, keys, pauses):
-    """In which order calls get a worker that has a place for one more after each pause, in seconds."""
-    places, order = 0, []
-    usual = forwarding.choose
+async def serving_order(edge, keys, pauses):
+    """The order in which calls get a worker that has one more free slot after each pause, in seconds."""
+    free_slots, order = 0, []
+    original = edge.choose
 
     def choose(state):
-        nonlocal places
-        if not places:
-            return None, "no place"
-        places -= 1
-        return usual(state)
+        nonlocal free_slots
+        if not free_slots:
+            return None, "no free slot"
+        free_slots -= 1
+        return original(state)
 
     async def wait(key):
-        state = forwarding.admit(with_key(key))
-        await forwarding.wait_for_worker(state)
+        state = edge.admit(with_key(key))
+        await edge.wait_for_worker(state)
         order.append(state.call.tenant)
 
-    forwarding.choose = choose
+    edge.choose = choose
     waiting = [asyncio.ensure_future(wait(key)) for key in keys]
     for pause in pauses:
         await clock.sleep(clock.seconds(pause))
-        places += 1
-        forwarding.slot_freed.set()
+        free_slots += 1
+        edge.slot_freed.set()
     await asyncio.gather(*waiting)
     return order
 
 
 def test_a_more_urgent_call_gets_the_next_worker_though_it_came_later():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE, OTHERS)
-        return await order_of_places(forwarding, [OTHER_KEY, KEY], [0.005, 0.005])
+    async def scenario(edge, workers):
+        require_keys(edge, MINE, OTHERS)
+        return await serving_order(edge, [OTHER_KEY, KEY], [0.005, 0.005])
 
-    assert played(scenario, {}, rank=1) == ["mine", "others"]
+    assert run_scenario(scenario, {}, rank=1) == ["mine", "others"]
 
 
 def test_a_less_urgent_call_does_not_starve():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE, OTHERS)
-        return await order_of_places(forwarding, [OTHER_KEY, KEY, KEY, KEY], [0.06, 0.01, 0.01, 0.01])
+    async def scenario(edge, workers):
+        require_keys(edge, MINE, OTHERS)
+        return await serving_order(edge, [OTHER_KEY, KEY, KEY, KEY], [0.06, 0.01, 0.01, 0.01])
 
-    assert played(scenario, {}, rank=1)[0] == "others"
+    assert run_scenario(scenario, {}, rank=1)[0] == "others"
 
 
 def test_tenants_share_no_names_of_programs_turns_or_keys():
-    async def scenario(forwarding, lives):
-        require_keys(forwarding, MINE, OTHERS)
+    async def scenario(edge, workers):
+        require_keys(edge, MINE, OTHERS)
         names = []
         for key in (KEY, OTHER_KEY):
             one = with_key(key, program="p", session="s", previous="t", key="k")
-            state = forwarding.admit(one)
+            state = edge.admit(one)
             names.append(
                 (
                     state.program,
                     state.session_id(),
                     state.attempt_id(),
                     state.previous_turn(),
-                    forwarding.key_of(state.call),
+                    edge.key_of(state.call),
                 )
             )
         return names
 
-    mine, others = played(scenario, {})
+    mine, others = run_scenario(scenario, {})
     assert not set(mine) & set(others)
 
 
 def test_waiting_for_the_configuration_ends_with_the_time_of_the_route_that_is_known():
-    async def scenario(forwarding, lives):
-        forwarding.node.relay.current = lambda: False
-        refusal = await refusal_for(forwarding, asked(within=30.0))
-        return refusal.result, clock.now() <= clock.seconds(2.2)
+    async def scenario(edge, workers):
+        edge.node.relay.current = lambda: False
+        error = await error_of_call(edge, make_call(within=30.0))
+        return error.result, clock.now() <= clock.seconds(2.2)
 
-    assert played(scenario, {}) == (result.ResultCode.NO_PLAN, True)
+    assert run_scenario(scenario, {}) == (result.ResultCode.NO_PLAN, True)
 
 
-def test_what_may_have_run_at_a_hedge_is_not_promised_away_by_the_first_attempt():
-    async def scenario(forwarding, lives):
-        async def turned_away_late(end):
+def test_a_rejection_of_the_first_attempt_does_not_hide_that_the_hedge_may_have_run():
+    async def scenario(edge, workers):
+        async def reject_late(end):
             await clock.sleep(clock.seconds(0.3))
             raise engine.Full
 
-        lives[0].slots.enter = turned_away_late
-        forwarding.instances.record_rejection("i-1")
-        refusal = await refusal_of(forwarding)
-        return refusal.ran, [len(life.runs) for life in lives], forwarding.counts["hedged"]
+        workers[0].slots.enter = reject_late
+        edge.instances.record_rejection("i-1")
+        error = await error_of(edge)
+        return error.ran, [len(worker.runs) for worker in workers], edge.counts["hedged"]
 
-    assert played(scenario, {}, {"lost": 1.0}, attempts=2, aim=0.1) == (result.Ran.UNKNOWN, [0, 1], 1)
+    assert run_scenario(scenario, {}, {"lost": 1.0}, attempts=2, aim=0.1) == (result.Ran.UNKNOWN, [0, 1], 1)
 
 
 def test_status_tells_by_route_what_was_refused_why_attempts_failed_and_where_time_went():
-    async def scenario(forwarding, lives):
-        for life in lives:
-            life.slots.slots = life.slots.queue = 0
-        refusal = await refusal_of(forwarding)
-        return refusal.result.number, forwarding.status()["routes"]["route"]
+    async def scenario(edge, workers):
+        for worker in workers:
+            worker.slots.slots = worker.slots.queue = 0
+        error = await error_of(edge)
+        return error.result.number, edge.status()["routes"]["route"]
 
-    number, counts = played(scenario, {}, {})
+    number, counts = run_scenario(scenario, {}, {})
     assert counts["refused"] == {str(number): 1}
     assert counts["failed attempts"] == {str(result.ResultCode.PUT_BACK.number): 2}
     assert set(counts["stages"]) == {"choose", "first"}
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -1,4 +1,4 @@
-"""What an edge knows of workers: the list, loads, failures, and that a draining worker gets nothing."""
+"""Tests of an edge's view of the workers: the list, loads, failures, and that a draining worker gets no requests."""
 
 import asyncio
 import collections.abc
@@ -10,22 +10,22 @@
 
 
 def worker(name: str, service: str = "chat", draining: bool = False, cold: float = 0.0) -> instance.Instance:
-    """A worker of the list."""
+    """A listed worker."""
     return instance.Instance(name, f"{name}:80", service, "a", "v1", 8, draining, clock.seconds(cold))
 
 
-def play(scenario: collections.abc.Callable) -> None:
-    """Run a scenario of one edge's knowledge in simulated time."""
+def run_scenario(scenario: collections.abc.Callable) -> None:
+    """Run a scenario with one edge's view of the workers in simulated time."""
     simulated = loop.SimLoop()
     simulated.run_until_complete(scenario(instances.Instances()))
 
 
 def names(found) -> list[str]:
-    """The names alone."""
+    """The names of workers."""
     return [one.name for one in found]
 
 
-def test_the_list_says_who_serves_what():
+def test_the_list_determines_the_workers_of_each_service():
     async def scenario(known):
         assert known.of("chat") == () and known.is_excluded("a") and known.age() is None
         known.update([worker("a"), worker("b", draining=True), worker("c", "tool")], clock.now())
@@ -35,11 +35,11 @@
         assert known.age() == clock.seconds(1)
         known.confirm(clock.now())
         known.update([worker("x")], clock.seconds(0.5) - clock.seconds(1))
-        assert known.age() == clock.ZERO and names(known.of("chat")) == ["a"], "an older list is left"
+        assert known.age() == clock.ZERO and names(known.of("chat")) == ["a"], "an older list is ignored"
         known.update([], clock.now())
         assert known.of("chat") == () and known.is_excluded("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_worker_seen_draining_stays_so_when_an_older_list_comes_late():
@@ -49,55 +49,55 @@
         known.update([worker("a"), worker("b")], clock.now())
         assert names(known.of("chat")) == ["a"] and known.is_excluded("b")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_draining_worker_is_never_chosen_and_is_barred_in_the_moment_of_sending():
+def test_a_draining_worker_is_never_chosen_and_is_excluded_at_the_time_of_sending():
     for seed in range(150):
-        chance = random.Random(seed)
+        random_source = random.Random(seed)
 
         async def scenario(known):
             drained, gone, alive, sent = set(), set(), {f"i-{number}" for number in range(6)}, 0
             for step in range(120):
-                lot = chance.random()
-                if lot < 0.08 and len(alive - drained) > 1:
-                    drained.add(chance.choice(sorted(alive - drained)))
-                if lot > 0.92 and drained & alive:
-                    gone.add(left := chance.choice(sorted(drained & alive)))
-                    alive.discard(left)
-                if 0.4 < lot < 0.45:
+                draw = random_source.random()
+                if draw < 0.08 and len(alive - drained) > 1:
+                    drained.add(random_source.choice(sorted(alive - drained)))
+                if draw > 0.92 and drained & alive:
+                    gone.add(removed := random_source.choice(sorted(drained & alive)))
+                    alive.discard(removed)
+                if 0.4 < draw < 0.45:
                     alive.add(f"i-{6 + step}")
                 listed = [worker(name, draining=name in drained) for name in sorted(alive)]
-                chance.shuffle(listed)
-                if chance.random() < 0.6:
+                random_source.shuffle(listed)
+                if random_source.random() < 0.6:
                     known.update(listed, clock.now())
                     shown = {one.name for one in listed if one.draining}
                     assert all(known.is_excluded(name) for name in shown | gone)
                 for parts in ((), ((f"{step % 7}", 900),)):
-                    last = chance.choice(["", *sorted(drained), *sorted(gone)])
-                    chosen = worker_selection.choose(known.candidates("chat"), parts, last, "a", chance)
-                    await asyncio.sleep(chance.random() * 0.3)
-                    if chosen.name and chance.random() < 0.5:
+                    last = random_source.choice(["", *sorted(drained), *sorted(gone)])
+                    chosen = worker_selection.choose(known.candidates("chat"), parts, last, "a", random_source)
+                    await asyncio.sleep(random_source.random() * 0.3)
+                    if chosen.name and random_source.random() < 0.5:
                         known.update(listed, clock.now())
                         if known.is_excluded(chosen.name):
                             assert chosen.name in drained | gone
                             continue
                         assert chosen.name not in drained | gone
                         sent += 1
-                    for tell in (
+                    for record in (
                         known.record_connection_close,
                         known.record_answer,
                         known.record_failure,
                         known.record_rejection,
                     ):
-                        if chosen.name and chance.random() < 0.1:
-                            tell(chosen.name)
+                        if chosen.name and random_source.random() < 0.1:
+                            record(chosen.name)
             assert sent > 20
 
-        play(scenario)
+        run_scenario(scenario)
 
 
-def test_own_requests_count_whole_and_those_of_others_fade():
+def test_own_requests_count_fully_and_the_reported_load_of_others_decays():
     async def scenario(known):
         known.update([worker("a")], clock.now())
         for _ in range(3):
@@ -111,15 +111,15 @@
         await asyncio.sleep(9)
         assert 2 <= known.load("a") < 2.01
         known.record_load("a", 0, 0, 0)
-        assert known.load("a") == 2.0, "never less than our own"
+        assert known.load("a") == 2.0, "never less than the edge's own requests"
         for _ in range(5):
             known.end("a")
         assert known.load("a") == 0.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_failures_make_a_worker_doubtful_for_a_while_that_grows_and_one_answer_forgives():
+def test_failures_make_a_worker_suspect_for_increasing_times_until_it_answers():
     async def scenario(known):
         known.update([worker("a")], clock.now())
         spans = []
@@ -139,10 +139,10 @@
         await asyncio.sleep(0.35)
         assert not known.candidates("chat")[0].suspect
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_worker_that_turned_a_request_away_is_crowded_for_a_moment():
+def test_a_worker_that_rejected_a_request_is_avoided_for_a_short_time():
     async def scenario(known):
         known.update([worker("a"), worker("b")], clock.now())
         known.record_rejection("a")
@@ -159,10 +159,10 @@
         assert not known.candidates("chat")[0].rejecting
         assert names(known.candidates("chat", frozenset("a"))) == ["b"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_one_closed_connection_is_nothing_but_several_in_a_row_say_that_a_worker_leaves():
+def test_only_several_closed_connections_in_a_row_make_a_worker_suspect():
     async def scenario(known):
         known.update([worker("a")], clock.now())
         for _ in range(5):
@@ -179,10 +179,10 @@
         await asyncio.sleep(1.6)
         assert not known.candidates("chat")[0].suspect
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_address_that_another_worker_has_bars_its_life_for_longer_each_time():
+def test_a_worker_whose_address_was_reused_is_excluded_for_longer_each_time():
     async def scenario(known):
         known.update([worker("a"), worker("b")], clock.now())
         for span in (4, 8):
@@ -193,7 +193,7 @@
             await asyncio.sleep(0.2)
             assert not known.is_excluded("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_cold_workers_become_warm_with_time():
@@ -203,10 +203,10 @@
         await asyncio.sleep(2.1)
         assert not known.candidates("chat")[0].warming_up
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_knowledge_of_workers_that_are_gone_goes_once_nothing_runs_there():
+def test_the_state_of_a_removed_worker_is_dropped_once_no_request_runs_there():
     async def scenario(known):
         known.update([worker("a"), worker("b", draining=True)], clock.now())
         known.begin("a")
@@ -220,4 +220,4 @@
             known.update([worker(f"i-{number}", draining=True)], clock.now())
         assert len(known.drained) < 70
 
-    play(scenario)
+    run_scenario(scenario)
--- a/aspencroft/proxy/turn_cache_test.py
+++ b/aspencroft/proxy/turn_cache_test.py
@@ -1,4 +1,4 @@
-"""Tests of an edge's memory of turns."""
+"""Tests of an edge's cache of turns."""
 
 import random
 
@@ -10,31 +10,31 @@
     return entry.Turn(name, previous, b"in " + name.encode(), b"out " + name.encode() + b"\n", "w1")
 
 
-def test_a_chain_is_whole_or_not_there():
-    kept = turn_cache.TurnCache()
-    kept.keep((turn("a", ""), turn("c", "b")))
-    assert kept.bytes_of("a") == b"in aout a\n" and kept.bytes_of("c") is None and not kept.holds("c")
-    kept.keep((turn("b", "a"),))
-    assert kept.bytes_of("c") == b"in aout a\nin bout b\nin cout c\n"
-    assert kept.bytes_of("unknown") is None
+def test_a_history_is_returned_only_if_it_is_complete():
+    cache = turn_cache.TurnCache()
+    cache.keep((turn("a", ""), turn("c", "b")))
+    assert cache.bytes_of("a") == b"in aout a\n" and cache.bytes_of("c") is None and not cache.holds("c")
+    cache.keep((turn("b", "a"),))
+    assert cache.bytes_of("c") == b"in aout a\nin bout b\nin cout c\n"
+    assert cache.bytes_of("unknown") is None
 
 
 def test_memory_is_bounded_and_branches_share_their_beginning():
     for seed in range(20):
-        chance = random.Random(seed)
-        kept, plain = turn_cache.TurnCache(2000), {}
+        random_source = random.Random(seed)
+        cache, predecessors = turn_cache.TurnCache(2000), {}
         for number in range(400):
             name = f"t{number}"
-            previous = chance.choice(["", *list(plain)[-5:]])
-            plain[name] = previous
-            kept.keep((turn(name, previous),))
-            assert kept.size <= 2000
-            assert kept.size == sum(len(one.input) + len(one.output) for one in kept.turns.values())
-            line, place = [], name
-            while place:
-                line.append(place)
-                place = plain[place]
-            found = kept.bytes_of(name)
+            previous = random_source.choice(["", *list(predecessors)[-5:]])
+            predecessors[name] = previous
+            cache.keep((turn(name, previous),))
+            assert cache.size <= 2000
+            assert cache.size == sum(len(one.input) + len(one.output) for one in cache.turns.values())
+            chain, attempt = [], name
+            while attempt:
+                chain.append(attempt)
+                attempt = predecessors[attempt]
+            found = cache.bytes_of(name)
             assert found is None or found == b"".join(
-                turn(one, plain[one]).input + turn(one, plain[one]).output for one in reversed(line)
+                turn(one, predecessors[one]).input + turn(one, predecessors[one]).output for one in reversed(chain)
             )
--- a/aspencroft/proxy/waiting_calls_test.py
+++ b/aspencroft/proxy/waiting_calls_test.py
@@ -1,4 +1,4 @@
-"""Which waiting calls go first."""
+"""Tests of the priority order of waiting calls."""
 
 import contextlib
 
@@ -16,7 +16,7 @@
 
 
 class CountedRank(int):
-    """A rank that counts how often ranks are compared."""
+    """A rank that counts its comparisons."""
 
     compared = 0
 
