--- a/aspencroft/proxy/admission_report.py
+++ b/aspencroft/proxy/admission_report.py
@@ -19,7 +19,7 @@
         self.counts: collections.Counter[int] = collections.Counter()
         self.rejected_without_configuration = 0
 
-    def note_rejected(self, rejection: result.RequestError) -> None:
+    def record_rejected(self, rejection: result.RequestError) -> None:
         """Count a call that was rejected before anything was reserved for it."""
         self.counts[rejection.result.number] += 1
         if rejection.result is not result.ResultCode.NO_PLAN:
@@ -33,7 +33,7 @@
                 self.address,
             )
 
-    def note_admitted(self) -> None:
+    def record_admitted(self) -> None:
         """Record that a call was admitted, which ends a period without a configuration."""
         if not self.rejected_without_configuration:
             return
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -43,7 +43,7 @@
         """The time at which the caller stops waiting, on the clock of the event loop."""
         return self.arrived + self.within
 
-    def within_tenant(self, name: str) -> str:
+    def qualify_name(self, name: str) -> str:
         """Qualify a name given by the caller with its tenant, so that tenants share no names; "" stays empty."""
         return f"{self.tenant}\n{name}" if self.tenant and name else name
 
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -118,15 +118,15 @@
 
     def attempt_id(self) -> str:
         """The caller's attempt id, qualified by its tenant as session groups store it."""
-        return self.call.within_tenant(self.call.attempt)
+        return self.call.qualify_name(self.call.attempt)
 
     def session_id(self) -> str:
         """The session of the call, qualified by its tenant as session groups store it."""
-        return self.call.within_tenant(self.call.session)
+        return self.call.qualify_name(self.call.session)
 
     def previous_turn(self) -> str:
         """The id of the previous turn, qualified by the tenant, so that no other tenant's turn can be named."""
-        return self.call.within_tenant(self.call.previous)
+        return self.call.qualify_name(self.call.previous)
 
     def is_turn(self) -> bool:
         """Whether the call is a turn that a session group charges to a budget or stores."""
@@ -221,7 +221,7 @@
         deadline = min(request.end(), request.arrived + route.timeout)
         if deadline <= clock.now():
             raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
-        program = request.within_tenant(request.program or request.session or request.attempt)
+        program = request.qualify_name(request.program or request.session or request.attempt)
         return CallState(request, route, deadline, request.body, program=program)
 
     async def wait_for_configuration(self, request: call.Call) -> None:
@@ -249,9 +249,9 @@
         try:
             state = self.admit(request)
         except result.RequestError as rejection:
-            self.admission.note_rejected(rejection)
+            self.admission.record_rejected(rejection)
             raise
-        self.admission.note_admitted()
+        self.admission.record_admitted()
         self.active += 1
         is_streaming = False
         try:
@@ -269,7 +269,7 @@
         except result.RequestError as error:
             self.add_trace(state, "refused", str(error))
             self.counts[f"refused {error.result.number}"] += 1
-            self.routes.note_refused(state.route.name, error)
+            self.routes.record_refused(state.route.name, error)
             self.abandon(state)
             if state.attempts.possibly_run and error.ran is result.Ran.NOT_RUN:
                 raise result.RequestError(error.result, result.Ran.UNKNOWN, error.detail, error.retry) from None
@@ -322,7 +322,7 @@
                 raise result.RequestError(error.result, result.Ran.NOT_RUN, error.detail, RETRY_SOON) from None
             raise
         finally:
-            self.routes.note_stage(state.route.name, route_counts.Stage.BEGIN, began)
+            self.routes.record_stage(state.route.name, route_counts.Stage.BEGIN, began)
 
     def group_of(self, key: str) -> int:
         """The session group that holds a program or an operation key."""
@@ -332,7 +332,7 @@
         """Reserve the turn's output tokens and fetch its history, which the request body then begins with."""
         request, route = state.call, state.route
         previous = state.previous_turn() if route.retained else ""
-        cached_turn = previous if previous and self.cached_turns.holds(previous) else ""
+        cached_turn = previous if previous and self.cached_turns.has_history(previous) else ""
         keep = max(route.keep, MIN_RETENTION, request.program_within or clock.ZERO)
         command = entry.BeginTurn(
             state.program,
@@ -360,7 +360,7 @@
             reply = await self.submit_to_group(state, state.program, dataclasses.replace(command, base=chain, have=""))
         state.last_worker = reply.worker
         if previous:
-            self.cached_turns.keep(reply.chain)
+            self.cached_turns.add(reply.chain)
             history = self.cached_turns.bytes_of(previous)
             if history is None:
                 raise result.RequestError(result.ResultCode.INTERNAL, detail="the history of the turn is incomplete")
@@ -481,7 +481,7 @@
                     reason = "more urgent calls are waiting"
                 else:
                     worker, reason = self.choose(state)
-        self.routes.note_stage(state.route.name, route_counts.Stage.CHOOSE, now)
+        self.routes.record_stage(state.route.name, route_counts.Stage.CHOOSE, now)
         if worker is None:
             raise result.RequestError(
                 result.ResultCode.OVERLOADED if bool(self.instances.listed) else result.ResultCode.NO_WORKER,
@@ -546,7 +546,7 @@
                 return await self.attempt(state, worker)
             except result.RequestError as error:
                 self.add_trace(state, "attempt failed", f"{worker.name}: {error}")
-                self.routes.note_failed_attempt(state.route.name, error)
+                self.routes.record_failed_attempt(state.route.name, error)
                 state.tried_workers |= {worker.name}
                 if error.ran is not result.Ran.NOT_RUN and not (state.repeatable() or state.may_resume()):
                     raise
@@ -581,7 +581,7 @@
                 return answer
             return await self.read_answer(state, worker, response, head)
         finally:
-            self.routes.note_stage(state.route.name, route_counts.Stage.FIRST, began)
+            self.routes.record_stage(state.route.name, route_counts.Stage.FIRST, began)
             state.attempts.in_flight -= 1
             if not is_streaming:
                 self.release(worker)
@@ -727,7 +727,7 @@
 
         On a resumable route only complete events are passed on, and a broken stream is resumed at another worker.
         """
-        reader, pace_timer = events.Reader(), stream_pace.Stopwatch()
+        reader, pace_timer = events.Reader(), stream_pace.PaceTimer()
         buffer = event_buffer.EventBuffer() if state.may_resume() else None
         source, is_complete = StreamSource(worker, response, parts, first), False
         try:
@@ -737,13 +737,13 @@
                         complete = part if buffer is None else buffer.feed(part)
                         if complete:
                             reader.feed(complete)
-                            pace_timer.saw(reader.count)
+                            pace_timer.record(reader.count)
                             yield complete
                     is_complete = True
                 except result.RequestError as error:
                     await self.close_broken(source, error)
                     source = await self.resume(state, source, buffer, error)
-                    pace_timer = stream_pace.Stopwatch()
+                    pace_timer = stream_pace.PaceTimer()
             if buffer is not None and (rest := buffer.rest()):
                 reader.feed(rest)
                 yield rest
@@ -754,7 +754,7 @@
             self.add_trace(state, "answered", f"{source.worker.name}: {reader.count} events")
         except result.RequestError as error:
             self.counts["streams broken"] += 1
-            self.routes.note_failed_attempt(state.route.name, error)
+            self.routes.record_failed_attempt(state.route.name, error)
             self.add_trace(state, "stream broken", str(error))
             raise
         finally:
@@ -766,7 +766,7 @@
             if state.turn_reserved:
                 self.finish_turn_later(state, messages.UNKNOWN)
 
-    async def close_complete(self, source: StreamSource, pace_timer: stream_pace.Stopwatch) -> None:
+    async def close_complete(self, source: StreamSource, pace_timer: stream_pace.PaceTimer) -> None:
         """Release the worker and the connection of a complete stream, and record its pace."""
         seconds_per_event = pace_timer.pace()
         if seconds_per_event:
@@ -872,11 +872,11 @@
         except result.RequestError as error:
             raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, str(error)) from None
         finally:
-            self.routes.note_stage(state.route.name, route_counts.Stage.END, began)
+            self.routes.record_stage(state.route.name, route_counts.Stage.END, began)
         state.turn_reserved = False
         if retained:
             turn = entry.Turn(state.attempt_id(), state.previous_turn(), request.body, output, worker.name)
-            self.cached_turns.keep((turn,))
+            self.cached_turns.add((turn,))
 
     # -- completion ------------------------------------------------------------------------------
 
--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -50,31 +50,29 @@
 
     def __init__(self):
         self.listed: dict[str, instance.Instance] = {}
-        self.drained: dict[str, datetime.timedelta] = {}
+        self.drained_at: dict[str, datetime.timedelta] = {}
         self.services: dict[str, tuple[instance.Instance, ...]] = {}
         self.known: dict[str, WorkerState] = collections.defaultdict(WorkerState)
         self.outliers = outlier_detection.OutlierDetector()
         self.paces = stream_pace.Paces()
-        self.seen_at: datetime.timedelta | None = None
-        self.fresh_at: datetime.timedelta | None = None
+        self.list_read_at: datetime.timedelta | None = None
+        self.list_confirmed_at: datetime.timedelta | None = None
 
-    def update(self, snapshot: list[instance.Instance], seen_at: datetime.timedelta) -> None:
+    def update(self, snapshot: list[instance.Instance], list_read_at: datetime.timedelta) -> None:
         """Apply the platform's list as it was read at a time of the loop's clock; an older one is ignored.
 
         A worker once seen draining stays excluded, because a list that arrives later may be out of date.
         """
-        if self.seen_at is not None and seen_at < self.seen_at:
+        if self.list_read_at is not None and list_read_at < self.list_read_at:
             return
-        self.seen_at = seen_at
-        self.confirm(seen_at)
+        self.list_read_at = list_read_at
+        self.confirm(list_read_at)
         self.listed = {worker.name: worker for worker in snapshot}
-        self.drained.update({worker.name: seen_at for worker in snapshot if worker.draining})
-        self.drained = {
-            name: drained_at for name, drained_at in self.drained.items() if seen_at - drained_at < DRAINING_RETENTION
-        }
+        self.drained_at.update({worker.name: list_read_at for worker in snapshot if worker.draining})
+        self.drained_at = {name: at for name, at in self.drained_at.items() if list_read_at - at < DRAINING_RETENTION}
         services = collections.defaultdict(list)
         for worker in snapshot:
-            if worker.name not in self.drained:
+            if worker.name not in self.drained_at:
                 services[worker.service].append(worker)
         self.services = {name: tuple(found) for name, found in services.items()}
         names = {name: frozenset(worker.name for worker in found) for name, found in self.services.items()}
@@ -85,11 +83,11 @@
 
     def confirm(self, at: datetime.timedelta) -> None:
         """Record that the last list applied was still current at this time."""
-        self.fresh_at = at if self.fresh_at is None else max(self.fresh_at, at)
+        self.list_confirmed_at = at if self.list_confirmed_at is None else max(self.list_confirmed_at, at)
 
     def age(self) -> datetime.timedelta | None:
         """The time since the list was last known to be current; none before the first list."""
-        return None if self.fresh_at is None else clock.now() - self.fresh_at
+        return None if self.list_confirmed_at is None else clock.now() - self.list_confirmed_at
 
     def of(self, service: str) -> tuple[instance.Instance, ...]:
         """The workers of a service that are neither draining nor gone."""
@@ -98,21 +96,21 @@
     def is_excluded(self, name: str) -> bool:
         """Whether no request may be sent to a worker now, because it is draining or gone."""
         worker = self.listed.get(name)
-        if worker is None or name in self.drained:
+        if worker is None or name in self.drained_at:
             return True
         state = self.known.get(name)
         return state is not None and state.misdirected_until > clock.now()
 
     def candidates(
-        self, service: str, without: frozenset[str] = frozenset(), repeatable: bool = True
+        self, service: str, without: frozenset[str] = frozenset(), idempotent: bool = True
     ) -> tuple[worker_selection.Candidate, ...]:
         """The workers to choose from, except those in ``without``, which were tried already.
 
-        Ejected outliers are omitted unless no other worker is left. A request that is not ``repeatable`` is lost if its
+        Ejected outliers are omitted unless no other worker is left. A request that is not ``idempotent`` is lost if its
         worker fails, so suspect workers come after the others for it.
         """
         now, found, ejected = clock.now(), [], []
-        list_age = now - self.seen_at if self.seen_at is not None else clock.ZERO
+        list_age = now - self.list_read_at if self.list_read_at is not None else clock.ZERO
         paces = self.paces.of(service)
         for worker in self.services.get(service, ()):
             if worker.name in without:
@@ -137,8 +135,8 @@
                     slowness,
                 )
                 if worker.name in self.outliers.records:
-                    candidate.suspect = candidate.suspect or self.outliers.is_suspect(worker.name, repeatable, now)
-                    if not self.outliers.admit(worker.name, repeatable, now):
+                    candidate.suspect = candidate.suspect or self.outliers.is_suspect(worker.name, idempotent, now)
+                    if not self.outliers.admit(worker.name, idempotent, now):
                         ejected.append(candidate)
                         continue
                 found.append(candidate)
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -218,6 +218,6 @@
         for number in range(200):
             await asyncio.sleep(1)
             known.update([worker(f"i-{number}", draining=True)], clock.now())
-        assert len(known.drained) < 70
+        assert len(known.drained_at) < 70
 
     run_scenario(scenario)
--- a/aspencroft/proxy/outlier_detection.py
+++ b/aspencroft/proxy/outlier_detection.py
@@ -192,15 +192,15 @@
                 total += record.total()
         return peer_rate(failures, total)
 
-    def admit(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
+    def admit(self, name: str, idempotent: bool, now: datetime.timedelta) -> bool:
         """Whether outlier detection lets a worker have the next request, which is charged to its slow start.
 
-        A returning worker gets only its share of the requests that are repeatable.
+        A returning worker gets only its share of the idempotent requests.
         """
         record = self.records.get(name)
         if record is None or record.traffic_share >= 1.0:
             return True
-        if now < record.ejected_until or not repeatable:
+        if now < record.ejected_until or not idempotent:
             return False
         record.request_credit += record.traffic_share
         if record.request_credit < 1.0:
@@ -208,7 +208,7 @@
         record.request_credit -= 1.0
         return True
 
-    def is_suspect(self, name: str, repeatable: bool, now: datetime.timedelta) -> bool:
+    def is_suspect(self, name: str, idempotent: bool, now: datetime.timedelta) -> bool:
         """Whether other workers should be preferred: this one could not be ejected because too many are, or it has
         some failures and the request may be sent only once.
         """
@@ -219,7 +219,7 @@
         failures, total = record.weight(), record.total()
         if record.ejection_denied:
             record.ejection_denied = exceeds_peer_rate(failures, total, self.rate(name, record.service, now))
-        if record.ejection_denied or repeatable or failures < 0.5:
+        if record.ejection_denied or idempotent or failures < 0.5:
             return record.ejection_denied
         return failures / total > SUSPECT_RATE + 2.0 * self.rate(name, record.service, now)
 
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -26,7 +26,7 @@
         self.sent: list[tuple[float, str, bool]] = []
         self.max_ejected = 0
 
-    async def run(self, seconds: float, rate: float = 30.0, repeatable: bool = True) -> None:
+    async def run(self, seconds: float, rate: float = 30.0, idempotent: bool = True) -> None:
         """Send requests for this time."""
         end = clock.now() + clock.seconds(seconds)
         while clock.now() < end:
@@ -39,7 +39,7 @@
                 now,
             )
             chosen = worker_selection.choose(
-                self.known.candidates("chat", repeatable=repeatable), (), "", "a", self.random_source
+                self.known.candidates("chat", idempotent=idempotent), (), "", "a", self.random_source
             ).name
             self.known.begin(chosen)
             probability, kind = self.fails(chosen, now.total_seconds())
@@ -162,9 +162,9 @@
     assert service.share("i-3", 20) < 0.08
 
 
-def test_requests_that_are_not_repeatable_prefer_workers_without_failures():
+def test_requests_that_are_not_idempotent_prefer_workers_without_failures():
     async def scenario(service):
-        await service.run(20, repeatable=False)
+        await service.run(20, idempotent=False)
 
     every = run_scenario(1, 6, lambda name, now: (0.12 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
     assert every.share("i-3", 5) < 0.1
@@ -174,8 +174,8 @@
         service.known.outliers.records["i-3"].ejected_until = clock.now()
         service.known.outliers.records["i-3"].traffic_share = 0.3
         began = clock.now().total_seconds()
-        await service.run(3, repeatable=False)
-        assert service.share("i-3", began) == 0.0, "a returning worker gets only requests that are repeatable"
+        await service.run(3, idempotent=False)
+        assert service.share("i-3", began) == 0.0, "a returning worker gets only idempotent requests"
         service.known.outliers.records["i-3"].ejected_until = clock.now()
         began = clock.now().total_seconds()
         await service.run(6)
@@ -194,8 +194,8 @@
         await service.run(20)
         without = frozenset(service.names) - {"i-3"}
         assert service.known.outliers.explain("i-3", clock.now())
-        for repeatable in (True, False):
-            assert [one.name for one in service.known.candidates("chat", without, repeatable)] == ["i-3"]
+        for idempotent in (True, False):
+            assert [one.name for one in service.known.candidates("chat", without, idempotent)] == ["i-3"]
 
     run_scenario(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
 
@@ -280,7 +280,7 @@
 
 
 def admitted(detector: outlier_detection.OutlierDetector, at: float) -> int:
-    """How many of a hundred repeatable requests the worker is admitted to."""
+    """How many of a hundred idempotent requests the worker is admitted to."""
     return sum(detector.admit("i-3", True, clock.seconds(at)) for _ in range(100))
 
 
@@ -309,7 +309,7 @@
     assert admitted(detector, 7.1) > 0, "its failure rate is now that of the others"
 
 
-def test_one_failure_makes_a_worker_suspect_for_requests_that_are_not_repeatable():
+def test_one_failure_makes_a_worker_suspect_for_requests_that_are_not_idempotent():
     detector = outlier_detection.OutlierDetector()
     detector.set_workers({"chat": frozenset(("i-1", "i-2", "i-3"))})
     now = clock.seconds(5)
--- a/aspencroft/proxy/route_counts.py
+++ b/aspencroft/proxy/route_counts.py
@@ -80,15 +80,15 @@
             route = OTHER_ROUTES
         return self.routes.setdefault(route, RouteCount())
 
-    def note_refused(self, route: str, error: result.RequestError) -> None:
+    def record_refused(self, route: str, error: result.RequestError) -> None:
         """Count a call that was admitted and then rejected."""
         self.of(route).refused[error.result.number] += 1
 
-    def note_failed_attempt(self, route: str, error: result.RequestError) -> None:
+    def record_failed_attempt(self, route: str, error: result.RequestError) -> None:
         """Count a failed attempt at a worker; another attempt may follow."""
         self.of(route).failed_attempts[error.result.number] += 1
 
-    def note_stage(self, route: str, stage: Stage, began: datetime.timedelta) -> None:
+    def record_stage(self, route: str, stage: Stage, began: datetime.timedelta) -> None:
         """Record that a call left a stage; ``began`` is when it entered, on the clock of the event loop."""
         self.of(route).stages[stage].add(clock.now() - began)
 
--- a/aspencroft/proxy/stream_pace.py
+++ b/aspencroft/proxy/stream_pace.py
@@ -87,14 +87,14 @@
                 del pace.workers[name]
 
 
-class Stopwatch:
+class PaceTimer:
     """Measures the pace of the events of one stream, from the first to the last."""
 
     def __init__(self):
         self.first: tuple[int, datetime.timedelta] | None = None
         self.last: tuple[int, datetime.timedelta] | None = None
 
-    def saw(self, events: int) -> None:
+    def record(self, events: int) -> None:
         """Record that the stream has this many events so far."""
         if not events or (self.last is not None and events == self.last[0]):
             return
--- a/aspencroft/proxy/stream_pace_test.py
+++ b/aspencroft/proxy/stream_pace_test.py
@@ -81,14 +81,14 @@
 
 def test_a_stream_is_timed_from_the_first_events_seen_and_not_when_it_is_short():
     async def scenario(_):
-        timer = stream_pace.Stopwatch()
+        timer = stream_pace.PaceTimer()
         for count in (0, 2, 2, 3, 4):
-            timer.saw(count)
+            timer.record(count)
             await asyncio.sleep(0.1)
         assert timer.pace() is None, "two gaps are too few"
-        timer.saw(6)
+        timer.record(6)
         await asyncio.sleep(5)
-        timer.saw(6)
+        timer.record(6)
         assert abs(timer.pace() - 0.4 / 4) < 1e-6, "the time after the last event does not count"
 
     run_scenario(scenario)
--- a/aspencroft/proxy/turn_cache.py
+++ b/aspencroft/proxy/turn_cache.py
@@ -15,7 +15,7 @@
         self.turns: collections.OrderedDict[str, entry.Turn] = collections.OrderedDict()
         self.size = 0
 
-    def keep(self, turns: tuple[entry.Turn, ...]) -> None:
+    def add(self, turns: tuple[entry.Turn, ...]) -> None:
         """Add turns; the least recently used ones are evicted."""
         for turn in turns:
             if turn.attempt in self.turns:
@@ -39,7 +39,7 @@
         history.reverse()
         return history
 
-    def holds(self, attempt: str) -> bool:
+    def has_history(self, attempt: str) -> bool:
         """Whether a turn and all its predecessors are cached."""
         return self.history(attempt) is not None
 
--- a/aspencroft/proxy/turn_cache_test.py
+++ b/aspencroft/proxy/turn_cache_test.py
@@ -12,9 +12,9 @@
 
 def test_a_history_is_returned_only_if_it_is_complete():
     cache = turn_cache.TurnCache()
-    cache.keep((turn("a", ""), turn("c", "b")))
-    assert cache.bytes_of("a") == b"in aout a\n" and cache.bytes_of("c") is None and not cache.holds("c")
-    cache.keep((turn("b", "a"),))
+    cache.add((turn("a", ""), turn("c", "b")))
+    assert cache.bytes_of("a") == b"in aout a\n" and cache.bytes_of("c") is None and not cache.has_history("c")
+    cache.add((turn("b", "a"),))
     assert cache.bytes_of("c") == b"in aout a\nin bout b\nin cout c\n"
     assert cache.bytes_of("unknown") is None
 
@@ -27,7 +27,7 @@
             name = f"t{number}"
             previous = random_source.choice(["", *list(predecessors)[-5:]])
             predecessors[name] = previous
-            cache.keep((turn(name, previous),))
+            cache.add((turn(name, previous),))
             assert cache.size <= 2000
             assert cache.size == sum(len(one.input) + len(one.output) for one in cache.turns.values())
             chain, attempt = [], name
