--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -132,7 +132,7 @@
         """Whether the call is a turn that a session group charges to a budget or stores."""
         return self.route.kind == http_route.STREAM and bool(self.call.budget or self.route.retained)
 
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether the request is idempotent, so that it may run more than once."""
         return self.route.kind == http_route.SAFE
 
@@ -438,7 +438,7 @@
             )
         state.route = route
         service = draw_service(route, self.node.environment.randomness)
-        candidates = self.instances.candidates(service, state.tried_workers, state.repeatable())
+        candidates = self.instances.candidates(service, state.tried_workers, state.is_idempotent())
         service_set = self.working_sets.of(service)
         choice = worker_selection.choose(
             candidates,
@@ -504,7 +504,7 @@
 
     async def forward(self, state: CallState) -> call.Answer:
         """Send the call to workers until one answers, as often as the kind of the route and its attempts allow."""
-        if not state.repeatable() or state.route.attempts < 2 or not state.route.aim:
+        if not state.is_idempotent() or state.route.attempts < 2 or not state.route.aim:
             return await self.try_workers_in_turn(state)
         first = asyncio.ensure_future(self.try_workers_in_turn(state))
         try:
@@ -548,7 +548,7 @@
                 self.add_trace(state, "attempt failed", f"{worker.name}: {error}")
                 self.routes.record_failed_attempt(state.route.name, error)
                 state.tried_workers |= {worker.name}
-                if error.ran is not result.Ran.NOT_RUN and not (state.repeatable() or state.may_resume()):
+                if error.ran is not result.Ran.NOT_RUN and not (state.is_idempotent() or state.may_resume()):
                     raise
                 if state.hedged or state.exhausted() or clock.now() >= state.deadline:
                     raise
@@ -620,7 +620,7 @@
     async def check_head(self, state: CallState, response: pool.Response, head: call.Head) -> None:
         """Raise unless the response may be passed on: the worker rejected the call, or it is unclear whether it ran."""
         declined = head.misdirected or head.not_run
-        if declined and (head.attempt or not response.reused or state.repeatable()):
+        if declined and (head.attempt or not response.reused or state.is_idempotent()):
             state.attempts.possibly_run -= 1
             await self.discard_answer(response, reuse=bool(head.attempt))
             raise result.RequestError(result.ResultCode.PUT_BACK, detail=str(head.status), retry=RETRY_SOON)
@@ -629,7 +629,7 @@
             unclear = "a response without an attempt id on a reused connection"
         elif not head.stamped and 200 <= head.status < 300:
             unclear = "a response without the seal of the worker"
-        elif head.status in NOT_RUN_STATUSES and not state.repeatable():
+        elif head.status in NOT_RUN_STATUSES and not state.is_idempotent():
             unclear = f"status {head.status} without a statement that the request did not run"
         if unclear:
             await response.close(False)
--- a/aspencroft/simulation/forwarding_test.py
+++ b/aspencroft/simulation/forwarding_test.py
@@ -107,7 +107,7 @@
 
 
 def test_work_that_is_repeated_though_it_may_not_be_is_seen():
-    with changed(forwarder.CallState, "repeatable", lambda self: True):
+    with changed(forwarder.CallState, "is_idempotent", lambda self: True):
         assert "TWICE" in told(301, ("answers lost",), 3)
 
 
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -468,14 +468,14 @@
     Mutation(
         "a refusal without an id is trusted on a connection used before",
         "proxy/forwarder.py",
-        "        if declined and (head.attempt or not response.reused or state.repeatable()):\n",
+        "        if declined and (head.attempt or not response.reused or state.is_idempotent()):\n",
         "        if declined:\n",
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
         "a worker's 503 without its word passes as a promise",
         "proxy/forwarder.py",
-        "        elif head.status in NOT_RUN_STATUSES and not state.repeatable():\n",
+        "        elif head.status in NOT_RUN_STATUSES and not state.is_idempotent():\n",
         "        elif False:\n",
         ("simulation/call_troubles_test.py",),
     ),
