--- a/aspencroft/proxy/completion_queue.py
+++ b/aspencroft/proxy/completion_queue.py
@@ -17,25 +17,25 @@
 
     def __init__(self, own: node.Node):
         self.node = own
-        self.rows = {group: asyncio.Queue(QUEUE_SIZE) for group in range(1, own.settings.group_count)}
+        self.queues = {group: asyncio.Queue(QUEUE_SIZE) for group in range(1, own.settings.group_count)}
         self.in_flight = 0
         self.counts: collections.Counter = collections.Counter()
 
     def offer(self, group: int, command) -> None:
         """Queue a command; if the queue is full the command is dropped, and the group's timer ends the turn or key."""
-        if self.rows[group].full():
+        if self.queues[group].full():
             self.counts["left to the group"] += 1
         else:
-            self.rows[group].put_nowait(command)
+            self.queues[group].put_nowait(command)
 
     def open(self) -> bool:
         """Whether commands are queued or in flight."""
-        return self.in_flight > 0 or any(not queue.empty() for queue in self.rows.values())
+        return self.in_flight > 0 or any(not queue.empty() for queue in self.queues.values())
 
     async def run(self) -> None:
         """Run all senders."""
         async with supervision.Group() as group:
-            for group_id in self.rows:
+            for group_id in self.queues:
                 for _ in range(SENDERS_PER_GROUP):
                     group.create_task(
                         supervision.stand(f"endings {group_id}", self.sender(group_id), self.node.standing)
@@ -46,7 +46,7 @@
 
         async def work() -> None:
             while True:
-                command = await self.rows[group_id].get()
+                command = await self.queues[group_id].get()
                 self.in_flight += 1
                 try:
                     await self.node.submit(group_id, command, SUBMIT_TIMEOUT)
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -458,7 +458,7 @@
 
 async def drain_endings(edge: forwarder.Forwarder, group: GroupStandIn) -> None:
     """Bring to the group what an edge tells it behind its answers."""
-    row = edge.completions.rows[1]
+    row = edge.completions.queues[1]
     while True:
         command = await row.get()
         try:
