--- a/aspencroft/proxy/fairness_test.py
+++ b/aspencroft/proxy/fairness_test.py
@@ -56,10 +56,10 @@
             address = f"w{number}:80"
             self.loop.create_task(worker.serve(wire.SimNetwork(self.wire, f"w{number}"), address))
             listed.append(instance.Instance(worker.name, address, service, "north", "v1", 6, False, clock.ZERO))
-        known = instances.Instances()
-        known.update(listed, clock.now())
+        view = instances.Instances()
+        view.update(listed, clock.now())
         connections = pool.Pool(self.node.environment, collections.Counter())
-        self.forwarder = forwarder.Forwarder(self.node, worker_server.StandDialect(), known, connections)
+        self.forwarder = forwarder.Forwarder(self.node, worker_server.StandDialect(), view, connections)
 
     async def served(self, path: str, attempt: str, work_ms: int = WORK_MS) -> bool:
         """Make a call; return whether it was answered."""
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -166,10 +166,10 @@
 class Forwarder:
     """Forwards the calls of one edge; the task of the caller's connection takes each call through all stages."""
 
-    def __init__(self, own: node.Node, dialect: Dialect, known: instances.Instances, connections: pool.Pool):
+    def __init__(self, own: node.Node, dialect: Dialect, view: instances.Instances, connections: pool.Pool):
         self.node = own
         self.dialect = dialect
-        self.instances = known
+        self.instances = view
         self.pool = connections
         self.access = caller_access.CallerAccess(own)
         self.quotas = quota_client.QuotaClient(own)
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -62,13 +62,13 @@
 
     async def start_and_run():
         node = make_node(network, http_route.of("route", {**ROUTE, **route}))
-        known, workers = instances.Instances(), []
+        view, workers = instances.Instances(), []
         for number, fault in enumerate(faults):
             worker = worker_server.Worker(f"i-{number}", "tool", "north", worker_server.Work(), random.Random(2))
             worker.faults = worker_server.Faults(**fault)
             workers.append(worker)
             event_loop.create_task(worker.serve(wire.SimNetwork(network, f"w{number}"), f"w{number}:80"))
-        known.update(
+        view.update(
             [
                 instance.Instance(worker.name, f"w{number}:80", "tool", "north", "v1", 6, False, clock.ZERO)
                 for number, worker in enumerate(workers)
@@ -76,7 +76,7 @@
             clock.now(),
         )
         connections = pool.Pool(node.environment, collections.Counter())
-        edge = forwarder.Forwarder(node, worker_server.StandDialect(), known, connections)
+        edge = forwarder.Forwarder(node, worker_server.StandDialect(), view, connections)
         await clock.sleep(clock.seconds(0.01))
         return await scenario(edge, workers)
 
--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -78,7 +78,7 @@
         names = {name: frozenset(worker.name for worker in found) for name, found in self.services.items()}
         self.outliers.set_workers(names)
         self.paces.set_workers(names)
-        for name in [name for name, known in self.known.items() if name not in self.listed and not known.running]:
+        for name in [name for name, state in self.known.items() if name not in self.listed and not state.running]:
             del self.known[name]
 
     def confirm(self, at: datetime.timedelta) -> None:
@@ -148,39 +148,39 @@
 
     def end(self, name: str) -> None:
         """Record the end of a request to a worker."""
-        known = self.known[name]
-        known.running = max(0, known.running - 1)
-        if not known.running and name not in self.listed:
+        state = self.known[name]
+        state.running = max(0, state.running - 1)
+        if not state.running and name not in self.listed:
             del self.known[name]
 
     def record_load(self, name: str, running: int, waiting: int, slots: int) -> None:
         """Record the load that a worker reported with a response."""
-        known = self.known[name]
-        known.reported_load, known.running_when_reported, known.reported_at = (
+        state = self.known[name]
+        state.reported_load, state.running_when_reported, state.reported_at = (
             running + waiting,
-            known.running,
+            state.running,
             clock.now(),
         )
         if slots > 0:
-            known.slots = slots
+            state.slots = slots
 
     def load(self, name: str) -> float:
         """A worker's load in requests: our own, and those of other edges as last reported, decayed with age."""
-        known = self.known.get(name)
-        return known.load(clock.now()) if known is not None else 0.0
+        state = self.known.get(name)
+        return state.load(clock.now()) if state is not None else 0.0
 
     def record_answer(self, name: str, kind: str = outlier_detection.GOOD) -> None:
         """Record that a worker answered a request, with its outcome, a kind of ``outlier_detection``.
 
         Any answer shows that the worker is reachable, so earlier connection failures and rejections are cleared.
         """
-        known = self.known[name]
-        known.failures = known.rejections = known.misdirections = 0
-        known.suspect_until = known.rejecting_until = clock.ZERO
-        if known.connection_closed:
-            known.connection_closed = False
+        state = self.known[name]
+        state.failures = state.rejections = state.misdirections = 0
+        state.suspect_until = state.rejecting_until = clock.ZERO
+        if state.connection_closed:
+            state.connection_closed = False
         else:
-            known.connection_closes, known.leaving_until = 0, clock.ZERO
+            state.connection_closes, state.leaving_until = 0, clock.ZERO
         self.record_outcome(name, kind)
 
     def record_failure(self, name: str, kind: str = outlier_detection.LOST) -> None:
@@ -192,13 +192,13 @@
         self.record_outcome(name, kind)
         if kind in ("", outlier_detection.LATE, outlier_detection.STALE):
             return
-        known, now = self.known[name], clock.now()
-        if now - known.failed_at > FAILURE_STREAK_TIMEOUT:
-            known.failures = 0
-        if known.suspect_until <= now:
-            known.failures += 1
-        known.failed_at = now
-        known.suspect_until = now + min(MAX_SUSPECT_TIME, MIN_SUSPECT_TIME * 2 ** min(known.failures - 1, 16))
+        state, now = self.known[name], clock.now()
+        if now - state.failed_at > FAILURE_STREAK_TIMEOUT:
+            state.failures = 0
+        if state.suspect_until <= now:
+            state.failures += 1
+        state.failed_at = now
+        state.suspect_until = now + min(MAX_SUSPECT_TIME, MIN_SUSPECT_TIME * 2 ** min(state.failures - 1, 16))
 
     def record_pace(self, name: str, seconds_per_event: float) -> None:
         """Record the pace of a worker's stream."""
@@ -214,20 +214,20 @@
 
     def record_rejection(self, name: str) -> None:
         """Record that a worker rejected a request without running it; other workers are preferred for a short time."""
-        known, now = self.known[name], clock.now()
-        if known.rejecting_until <= now:
-            known.rejections += 1
-        known.rejecting_until = now + min(MAX_REJECTION_PAUSE, MIN_REJECTION_PAUSE * 2 ** min(known.rejections - 1, 16))
+        state, now = self.known[name], clock.now()
+        if state.rejecting_until <= now:
+            state.rejections += 1
+        state.rejecting_until = now + min(MAX_REJECTION_PAUSE, MIN_REJECTION_PAUSE * 2 ** min(state.rejections - 1, 16))
 
     def record_connection_close(self, name: str) -> None:
         """Record that a response closed its connection: several in a row mean that the worker is about to stop."""
-        known = self.known[name]
-        known.connection_closes, known.connection_closed = known.connection_closes + 1, True
-        if known.connection_closes >= CLOSES_BEFORE_LEAVING:
-            known.leaving_until = clock.now() + LEAVING_SUSPECT_TIME
+        state = self.known[name]
+        state.connection_closes, state.connection_closed = state.connection_closes + 1, True
+        if state.connection_closes >= CLOSES_BEFORE_LEAVING:
+            state.leaving_until = clock.now() + LEAVING_SUSPECT_TIME
 
     def record_misdirection(self, name: str) -> None:
         """Record that another worker has the address; exclude this one, each time for longer if it stays listed."""
-        known = self.known[name]
-        known.misdirections += 1
-        known.misdirected_until = clock.now() + MISDIRECTED_EXCLUSION * 2 ** min(known.misdirections - 1, 8)
+        state = self.known[name]
+        state.misdirections += 1
+        state.misdirected_until = clock.now() + MISDIRECTED_EXCLUSION * 2 ** min(state.misdirections - 1, 8)
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -26,28 +26,28 @@
 
 
 def test_the_list_determines_the_workers_of_each_service():
-    async def scenario(known):
-        assert known.of("chat") == () and known.is_excluded("a") and known.age() is None
-        known.update([worker("a"), worker("b", draining=True), worker("c", "tool")], clock.now())
-        assert names(known.of("chat")) == ["a"] and names(known.of("tool")) == ["c"]
-        assert [known.is_excluded(name) for name in "abcd"] == [False, True, False, True]
+    async def scenario(view):
+        assert view.of("chat") == () and view.is_excluded("a") and view.age() is None
+        view.update([worker("a"), worker("b", draining=True), worker("c", "tool")], clock.now())
+        assert names(view.of("chat")) == ["a"] and names(view.of("tool")) == ["c"]
+        assert [view.is_excluded(name) for name in "abcd"] == [False, True, False, True]
         await asyncio.sleep(1)
-        assert known.age() == clock.seconds(1)
-        known.confirm(clock.now())
-        known.update([worker("x")], clock.seconds(0.5) - clock.seconds(1))
-        assert known.age() == clock.ZERO and names(known.of("chat")) == ["a"], "an older list is ignored"
-        known.update([], clock.now())
-        assert known.of("chat") == () and known.is_excluded("a")
+        assert view.age() == clock.seconds(1)
+        view.confirm(clock.now())
+        view.update([worker("x")], clock.seconds(0.5) - clock.seconds(1))
+        assert view.age() == clock.ZERO and names(view.of("chat")) == ["a"], "an older list is ignored"
+        view.update([], clock.now())
+        assert view.of("chat") == () and view.is_excluded("a")
 
     run_scenario(scenario)
 
 
 def test_a_worker_seen_draining_stays_so_when_an_older_list_comes_late():
-    async def scenario(known):
-        known.update([worker("a"), worker("b", draining=True)], clock.now())
+    async def scenario(view):
+        view.update([worker("a"), worker("b", draining=True)], clock.now())
         await asyncio.sleep(0.1)
-        known.update([worker("a"), worker("b")], clock.now())
-        assert names(known.of("chat")) == ["a"] and known.is_excluded("b")
+        view.update([worker("a"), worker("b")], clock.now())
+        assert names(view.of("chat")) == ["a"] and view.is_excluded("b")
 
     run_scenario(scenario)
 
@@ -56,7 +56,7 @@
     for seed in range(150):
         random_source = random.Random(seed)
 
-        async def scenario(known):
+        async def scenario(view):
             drained, gone, alive, sent = set(), set(), {f"i-{number}" for number in range(6)}, 0
             for step in range(120):
                 draw = random_source.random()
@@ -70,25 +70,25 @@
                 listed = [worker(name, draining=name in drained) for name in sorted(alive)]
                 random_source.shuffle(listed)
                 if random_source.random() < 0.6:
-                    known.update(listed, clock.now())
+                    view.update(listed, clock.now())
                     shown = {one.name for one in listed if one.draining}
-                    assert all(known.is_excluded(name) for name in shown | gone)
+                    assert all(view.is_excluded(name) for name in shown | gone)
                 for parts in ((), ((f"{step % 7}", 900),)):
                     last = random_source.choice(["", *sorted(drained), *sorted(gone)])
-                    chosen = worker_selection.choose(known.candidates("chat"), parts, last, "a", random_source)
+                    chosen = worker_selection.choose(view.candidates("chat"), parts, last, "a", random_source)
                     await asyncio.sleep(random_source.random() * 0.3)
                     if chosen.name and random_source.random() < 0.5:
-                        known.update(listed, clock.now())
-                        if known.is_excluded(chosen.name):
+                        view.update(listed, clock.now())
+                        if view.is_excluded(chosen.name):
                             assert chosen.name in drained | gone
                             continue
                         assert chosen.name not in drained | gone
                         sent += 1
                     for record in (
-                        known.record_connection_close,
-                        known.record_answer,
-                        known.record_failure,
-                        known.record_rejection,
+                        view.record_connection_close,
+                        view.record_answer,
+                        view.record_failure,
+                        view.record_rejection,
                     ):
                         if chosen.name and random_source.random() < 0.1:
                             record(chosen.name)
@@ -98,126 +98,126 @@
 
 
 def test_own_requests_count_fully_and_the_reported_load_of_others_decays():
-    async def scenario(known):
-        known.update([worker("a")], clock.now())
+    async def scenario(view):
+        view.update([worker("a")], clock.now())
         for _ in range(3):
-            known.begin("a")
-        known.record_load("a", 7, 2, 16)
-        assert known.load("a") == 9.0 and known.candidates("chat")[0].slots == 16
-        known.end("a")
-        assert known.load("a") == 8.0
+            view.begin("a")
+        view.record_load("a", 7, 2, 16)
+        assert view.load("a") == 9.0 and view.candidates("chat")[0].slots == 16
+        view.end("a")
+        assert view.load("a") == 8.0
         await asyncio.sleep(1)
-        assert 2 < known.load("a") < 5
+        assert 2 < view.load("a") < 5
         await asyncio.sleep(9)
-        assert 2 <= known.load("a") < 2.01
-        known.record_load("a", 0, 0, 0)
-        assert known.load("a") == 2.0, "never less than the edge's own requests"
+        assert 2 <= view.load("a") < 2.01
+        view.record_load("a", 0, 0, 0)
+        assert view.load("a") == 2.0, "never less than the edge's own requests"
         for _ in range(5):
-            known.end("a")
-        assert known.load("a") == 0.0
+            view.end("a")
+        assert view.load("a") == 0.0
 
     run_scenario(scenario)
 
 
 def test_failures_make_a_worker_suspect_for_increasing_times_until_it_answers():
-    async def scenario(known):
-        known.update([worker("a")], clock.now())
+    async def scenario(view):
+        view.update([worker("a")], clock.now())
         spans = []
         for _ in range(8):
-            known.record_failure("a")
-            known.record_failure("a")
+            view.record_failure("a")
+            view.record_failure("a")
             began = clock.now()
-            assert known.candidates("chat")[0].suspect and not known.is_excluded("a")
-            while known.candidates("chat")[0].suspect:
+            assert view.candidates("chat")[0].suspect and not view.is_excluded("a")
+            while view.candidates("chat")[0].suspect:
                 await asyncio.sleep(0.05)
             spans.append((clock.now() - began).total_seconds())
         assert spans[0] < 0.35 and spans[1] > 1.4 * spans[0] and 7 < spans[-1] < 9, spans
-        known.record_failure("a")
-        known.record_answer("a")
-        assert not known.candidates("chat")[0].suspect
-        known.record_failure("a")
+        view.record_failure("a")
+        view.record_answer("a")
+        assert not view.candidates("chat")[0].suspect
+        view.record_failure("a")
         await asyncio.sleep(0.35)
-        assert not known.candidates("chat")[0].suspect
+        assert not view.candidates("chat")[0].suspect
 
     run_scenario(scenario)
 
 
 def test_a_worker_that_rejected_a_request_is_avoided_for_a_short_time():
-    async def scenario(known):
-        known.update([worker("a"), worker("b")], clock.now())
-        known.record_rejection("a")
-        assert [one.rejecting for one in known.candidates("chat")] == [True, False]
+    async def scenario(view):
+        view.update([worker("a"), worker("b")], clock.now())
+        view.record_rejection("a")
+        assert [one.rejecting for one in view.candidates("chat")] == [True, False]
         await asyncio.sleep(0.06)
-        assert not known.candidates("chat")[0].rejecting
+        assert not view.candidates("chat")[0].rejecting
         for _ in range(8):
-            known.record_rejection("a")
+            view.record_rejection("a")
             await asyncio.sleep(0.9)
-        known.record_rejection("a")
+        view.record_rejection("a")
         await asyncio.sleep(0.7)
-        assert known.candidates("chat")[0].rejecting
+        assert view.candidates("chat")[0].rejecting
         await asyncio.sleep(0.2)
-        assert not known.candidates("chat")[0].rejecting
-        assert names(known.candidates("chat", frozenset("a"))) == ["b"]
+        assert not view.candidates("chat")[0].rejecting
+        assert names(view.candidates("chat", frozenset("a"))) == ["b"]
 
     run_scenario(scenario)
 
 
 def test_only_several_closed_connections_in_a_row_make_a_worker_suspect():
-    async def scenario(known):
-        known.update([worker("a")], clock.now())
+    async def scenario(view):
+        view.update([worker("a")], clock.now())
         for _ in range(5):
-            known.record_answer("a")
-            known.record_connection_close("a")
-            assert not known.candidates("chat")[0].suspect
-            known.record_answer("a")
-            known.record_answer("a")
-            assert not known.candidates("chat")[0].suspect
+            view.record_answer("a")
+            view.record_connection_close("a")
+            assert not view.candidates("chat")[0].suspect
+            view.record_answer("a")
+            view.record_answer("a")
+            assert not view.candidates("chat")[0].suspect
         for _ in range(3):
-            known.record_answer("a")
-            known.record_connection_close("a")
-        assert known.candidates("chat")[0].suspect and not known.is_excluded("a")
+            view.record_answer("a")
+            view.record_connection_close("a")
+        assert view.candidates("chat")[0].suspect and not view.is_excluded("a")
         await asyncio.sleep(1.6)
-        assert not known.candidates("chat")[0].suspect
+        assert not view.candidates("chat")[0].suspect
 
     run_scenario(scenario)
 
 
 def test_a_worker_whose_address_was_reused_is_excluded_for_longer_each_time():
-    async def scenario(known):
-        known.update([worker("a"), worker("b")], clock.now())
+    async def scenario(view):
+        view.update([worker("a"), worker("b")], clock.now())
         for span in (4, 8):
-            known.record_misdirection("a")
-            assert known.is_excluded("a") and names(known.of("chat")) == ["b"]
+            view.record_misdirection("a")
+            assert view.is_excluded("a") and names(view.of("chat")) == ["b"]
             await asyncio.sleep(span - 0.1)
-            assert known.is_excluded("a")
+            assert view.is_excluded("a")
             await asyncio.sleep(0.2)
-            assert not known.is_excluded("a")
+            assert not view.is_excluded("a")
 
     run_scenario(scenario)
 
 
 def test_cold_workers_become_warm_with_time():
-    async def scenario(known):
-        known.update([worker("a", cold=2.0)], clock.now())
-        assert known.candidates("chat")[0].warming_up
+    async def scenario(view):
+        view.update([worker("a", cold=2.0)], clock.now())
+        assert view.candidates("chat")[0].warming_up
         await asyncio.sleep(2.1)
-        assert not known.candidates("chat")[0].warming_up
+        assert not view.candidates("chat")[0].warming_up
 
     run_scenario(scenario)
 
 
 def test_the_state_of_a_removed_worker_is_dropped_once_no_request_runs_there():
-    async def scenario(known):
-        known.update([worker("a"), worker("b", draining=True)], clock.now())
-        known.begin("a")
-        known.record_load("b", 1, 0, 8)
-        known.update([], clock.now())
-        assert set(known.known) == {"a"}
-        known.end("a")
-        assert not known.known
+    async def scenario(view):
+        view.update([worker("a"), worker("b", draining=True)], clock.now())
+        view.begin("a")
+        view.record_load("b", 1, 0, 8)
+        view.update([], clock.now())
+        assert set(view.known) == {"a"}
+        view.end("a")
+        assert not view.known
         for number in range(200):
             await asyncio.sleep(1)
-            known.update([worker(f"i-{number}", draining=True)], clock.now())
-        assert len(known.drained_at) < 70
+            view.update([worker(f"i-{number}", draining=True)], clock.now())
+        assert len(view.drained_at) < 70
 
     run_scenario(scenario)
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -20,7 +20,7 @@
 
     def __init__(self, seed: int, count: int, fails: collections.abc.Callable):
         self.random_source = random.Random(seed)
-        self.known = instances.Instances()
+        self.view = instances.Instances()
         self.names = [f"i-{number}" for number in range(count)]
         self.fails = fails
         self.sent: list[tuple[float, str, bool]] = []
@@ -31,7 +31,7 @@
         end = clock.now() + clock.seconds(seconds)
         while clock.now() < end:
             now = clock.now()
-            self.known.update(
+            self.view.update(
                 [
                     instance.Instance(name, f"{name}:80", "chat", "a", "v1", 16, False, clock.ZERO)
                     for name in self.names
@@ -39,21 +39,21 @@
                 now,
             )
             chosen = worker_selection.choose(
-                self.known.candidates("chat", idempotent=idempotent), (), "", "a", self.random_source
+                self.view.candidates("chat", idempotent=idempotent), (), "", "a", self.random_source
             ).name
-            self.known.begin(chosen)
+            self.view.begin(chosen)
             probability, kind = self.fails(chosen, now.total_seconds())
             success = self.random_source.random() >= probability
             self.sent.append((now.total_seconds(), chosen, success))
             await asyncio.sleep(self.random_source.expovariate(rate))
             if success:
-                self.known.record_answer(chosen)
+                self.view.record_answer(chosen)
             elif kind == outlier_detection.FAILED:
-                self.known.record_answer(chosen, kind)
+                self.view.record_answer(chosen, kind)
             else:
-                self.known.record_failure(chosen, kind)
-            self.known.end(chosen)
-            records = self.known.outliers.records.values()
+                self.view.record_failure(chosen, kind)
+            self.view.end(chosen)
+            records = self.view.outliers.records.values()
             self.max_ejected = max(self.max_ejected, sum(one.ejected_until > clock.now() for one in records))
 
     def share(self, name: str, since: float, until: float = 1e9) -> float:
@@ -93,7 +93,7 @@
                 seed,
                 service.share("i-3", 8),
             )
-            assert service.known.outliers.counts["ejected"] >= 2
+            assert service.view.outliers.counts["ejected"] >= 2
 
 
 def test_workers_are_rarely_ejected_when_all_fail_at_the_same_rate():
@@ -106,7 +106,7 @@
 
             ejected += run_scenario(
                 seed, 6, lambda name, now: (probability, outlier_detection.FAILED), scenario
-            ).known.outliers.counts["ejected"]
+            ).view.outliers.counts["ejected"]
         assert ejected <= 5, (probability, ejected)
 
 
@@ -133,20 +133,20 @@
 
     service = run_scenario(3, 2, lambda name, now: (0.5 if name == "i-0" else 0.0, outlier_detection.FAILED), scenario)
     assert service.max_ejected == 0 and service.share("i-0", 10) < 0.1
-    assert service.known.outliers.counts["not ejected"]
+    assert service.view.outliers.counts["not ejected"]
 
 
 def test_a_recovered_worker_returns_with_small_shares_of_traffic():
     async def scenario(service):
         await service.run(10)
-        assert service.known.outliers.explain("i-3", clock.now())
+        assert service.view.outliers.explain("i-3", clock.now())
         await service.run(50)
-        assert not service.known.outliers.explain("i-3", clock.now())
+        assert not service.view.outliers.explain("i-3", clock.now())
 
     service = run_scenario(
         1, 6, lambda name, now: (0.8 if name == "i-3" and now < 10 else 0.0, outlier_detection.BROKE), scenario
     )
-    until = max(record.ejected_until for record in service.known.outliers.records.values()).total_seconds()
+    until = max(record.ejected_until for record in service.view.outliers.records.values()).total_seconds()
     assert service.share("i-3", until, until + 1.5) < 0.1, "small shares first"
     assert service.share("i-3", 40) > 0.1, "its full share in the end"
 
@@ -158,7 +158,7 @@
     service = run_scenario(
         2, 6, lambda name, now: (0.9 if name == "i-3" and now % 6 < 3 else 0.0, outlier_detection.LOST), scenario
     )
-    assert service.known.outliers.records["i-3"].ejection_time >= clock.seconds(8)
+    assert service.view.outliers.records["i-3"].ejection_time >= clock.seconds(8)
     assert service.share("i-3", 20) < 0.08
 
 
@@ -171,12 +171,12 @@
 
     async def return_after_ejection(service):
         await service.run(10)
-        service.known.outliers.records["i-3"].ejected_until = clock.now()
-        service.known.outliers.records["i-3"].traffic_share = 0.3
+        service.view.outliers.records["i-3"].ejected_until = clock.now()
+        service.view.outliers.records["i-3"].traffic_share = 0.3
         began = clock.now().total_seconds()
         await service.run(3, idempotent=False)
         assert service.share("i-3", began) == 0.0, "a returning worker gets only idempotent requests"
-        service.known.outliers.records["i-3"].ejected_until = clock.now()
+        service.view.outliers.records["i-3"].ejected_until = clock.now()
         began = clock.now().total_seconds()
         await service.run(6)
         assert service.share("i-3", began) > 0.0
@@ -193,9 +193,9 @@
     async def scenario(service):
         await service.run(20)
         without = frozenset(service.names) - {"i-3"}
-        assert service.known.outliers.explain("i-3", clock.now())
+        assert service.view.outliers.explain("i-3", clock.now())
         for idempotent in (True, False):
-            assert [one.name for one in service.known.candidates("chat", without, idempotent)] == ["i-3"]
+            assert [one.name for one in service.view.candidates("chat", without, idempotent)] == ["i-3"]
 
     run_scenario(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
 
@@ -203,7 +203,7 @@
 def test_a_worker_that_could_not_be_ejected_is_no_longer_suspect_once_it_recovers():
     async def scenario(service):
         await service.run(50)
-        assert not service.known.outliers.is_suspect("i-0", True, clock.now())
+        assert not service.view.outliers.is_suspect("i-0", True, clock.now())
 
     run_scenario(
         3, 2, lambda name, now: (0.5 if name == "i-0" and now < 15 else 0.0, outlier_detection.FAILED), scenario
@@ -241,11 +241,11 @@
 def test_records_of_removed_workers_are_dropped():
     async def scenario(service):
         await service.run(10)
-        assert service.known.outliers.records
-        service.known.update([], clock.now())
-        assert not service.known.outliers.records
-        service.known.record_failure("i-0", outlier_detection.LOST)
-        assert not service.known.outliers.records
+        assert service.view.outliers.records
+        service.view.update([], clock.now())
+        assert not service.view.outliers.records
+        service.view.record_failure("i-0", outlier_detection.LOST)
+        assert not service.view.outliers.records
 
     run_scenario(1, 6, lambda name, now: (0.3, outlier_detection.BROKE), scenario)
 
@@ -254,13 +254,13 @@
     async def scenario(service):
         while not service.max_ejected:
             await service.run(0.5)
-        explanation = service.known.outliers.explain("i-3", clock.now())
+        explanation = service.view.outliers.explain("i-3", clock.now())
         assert (
             explanation.startswith("i-3 is ejected for another")
             and "broke" in explanation
             and "% expected" in explanation
         )
-        assert collections.Counter(service.known.outliers.explain(name, clock.now()) for name in service.names)[""] == 5
+        assert collections.Counter(service.view.outliers.explain(name, clock.now()) for name in service.names)[""] == 5
 
     run_scenario(1, 6, lambda name, now: (0.9 if name == "i-3" else 0.0, outlier_detection.BROKE), scenario)
 
