--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -52,7 +52,7 @@
         self.listed: dict[str, instance.Instance] = {}
         self.drained_at: dict[str, datetime.timedelta] = {}
         self.services: dict[str, tuple[instance.Instance, ...]] = {}
-        self.known: dict[str, WorkerState] = collections.defaultdict(WorkerState)
+        self.states: dict[str, WorkerState] = collections.defaultdict(WorkerState)
         self.outliers = outlier_detection.OutlierDetector()
         self.paces = stream_pace.Paces()
         self.list_read_at: datetime.timedelta | None = None
@@ -78,8 +78,8 @@
         names = {name: frozenset(worker.name for worker in found) for name, found in self.services.items()}
         self.outliers.set_workers(names)
         self.paces.set_workers(names)
-        for name in [name for name, state in self.known.items() if name not in self.listed and not state.running]:
-            del self.known[name]
+        for name in [name for name, state in self.states.items() if name not in self.listed and not state.running]:
+            del self.states[name]
 
     def confirm(self, at: datetime.timedelta) -> None:
         """Record that the last list applied was still current at this time."""
@@ -98,7 +98,7 @@
         worker = self.listed.get(name)
         if worker is None or name in self.drained_at:
             return True
-        state = self.known.get(name)
+        state = self.states.get(name)
         return state is not None and state.misdirected_until > clock.now()
 
     def candidates(
@@ -115,7 +115,7 @@
         for worker in self.services.get(service, ()):
             if worker.name in without:
                 continue
-            state = self.known.get(worker.name)
+            state = self.states.get(worker.name)
             slowness = paces.slowness(worker.name, worker.zone, now)
             if state is None:
                 found.append(
@@ -144,18 +144,18 @@
 
     def begin(self, name: str) -> None:
         """Record that a request is being sent to a worker."""
-        self.known[name].running += 1
+        self.states[name].running += 1
 
     def end(self, name: str) -> None:
         """Record the end of a request to a worker."""
-        state = self.known[name]
+        state = self.states[name]
         state.running = max(0, state.running - 1)
         if not state.running and name not in self.listed:
-            del self.known[name]
+            del self.states[name]
 
     def record_load(self, name: str, running: int, waiting: int, slots: int) -> None:
         """Record the load that a worker reported with a response."""
-        state = self.known[name]
+        state = self.states[name]
         state.reported_load, state.running_when_reported, state.reported_at = (
             running + waiting,
             state.running,
@@ -166,7 +166,7 @@
 
     def load(self, name: str) -> float:
         """A worker's load in requests: our own, and those of other edges as last reported, decayed with age."""
-        state = self.known.get(name)
+        state = self.states.get(name)
         return state.load(clock.now()) if state is not None else 0.0
 
     def record_answer(self, name: str, kind: str = outlier_detection.GOOD) -> None:
@@ -174,7 +174,7 @@
 
         Any answer shows that the worker is reachable, so earlier connection failures and rejections are cleared.
         """
-        state = self.known[name]
+        state = self.states[name]
         state.failures = state.rejections = state.misdirections = 0
         state.suspect_until = state.rejecting_until = clock.ZERO
         if state.connection_closed:
@@ -192,7 +192,7 @@
         self.record_outcome(name, kind)
         if kind in ("", outlier_detection.LATE, outlier_detection.STALE):
             return
-        state, now = self.known[name], clock.now()
+        state, now = self.states[name], clock.now()
         if now - state.failed_at > FAILURE_STREAK_TIMEOUT:
             state.failures = 0
         if state.suspect_until <= now:
@@ -214,20 +214,20 @@
 
     def record_rejection(self, name: str) -> None:
         """Record that a worker rejected a request without running it; other workers are preferred for a short time."""
-        state, now = self.known[name], clock.now()
+        state, now = self.states[name], clock.now()
         if state.rejecting_until <= now:
             state.rejections += 1
         state.rejecting_until = now + min(MAX_REJECTION_PAUSE, MIN_REJECTION_PAUSE * 2 ** min(state.rejections - 1, 16))
 
     def record_connection_close(self, name: str) -> None:
         """Record that a response closed its connection: several in a row mean that the worker is about to stop."""
-        state = self.known[name]
+        state = self.states[name]
         state.connection_closes, state.connection_closed = state.connection_closes + 1, True
         if state.connection_closes >= CLOSES_BEFORE_LEAVING:
             state.leaving_until = clock.now() + LEAVING_SUSPECT_TIME
 
     def record_misdirection(self, name: str) -> None:
         """Record that another worker has the address; exclude this one, each time for longer if it stays listed."""
-        state = self.known[name]
+        state = self.states[name]
         state.misdirections += 1
         state.misdirected_until = clock.now() + MISDIRECTED_EXCLUSION * 2 ** min(state.misdirections - 1, 8)
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -212,9 +212,9 @@
         view.begin("a")
         view.record_load("b", 1, 0, 8)
         view.update([], clock.now())
-        assert set(view.known) == {"a"}
+        assert set(view.states) == {"a"}
         view.end("a")
-        assert not view.known
+        assert not view.states
         for number in range(200):
             await asyncio.sleep(1)
             view.update([worker(f"i-{number}", draining=True)], clock.now())
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -386,7 +386,7 @@
         if self.trouble.in_place:
             await self.ask(edge, self.call_of("before"))
             edge.instances.end("i-1")
-            edge.instances.known["i-1"].running = 3
+            edge.instances.states["i-1"].running = 3
         if self.trouble.edge_ends is not None:
             return await self.killed_edge(edge)
         if self.trouble.caller_leaves is None and not self.trouble.frozen:
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -392,7 +392,7 @@
         for name, forwarding in self.forwarders.items():
             connections = forwarding.pool
             resting = sum(len(row) for row in connections.resting.values())
-            running = {one: known.running for one, known in forwarding.instances.known.items() if known.running}
+            running = {one: known.running for one, known in forwarding.instances.states.items() if known.running}
             if forwarding.active:
                 found.append(f"LEFT {name}: {forwarding.active} calls count as under way")
             if connections.total != resting or sum(connections.open.values()) != resting:
