--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -50,46 +50,44 @@
 
     def __init__(self):
         self.listed: dict[str, instance.Instance] = {}
-        self.drained: dict[str, datetime.timedelta] = {}
+        self.drained_at: dict[str, datetime.timedelta] = {}
         self.services: dict[str, tuple[instance.Instance, ...]] = {}
-        self.known: dict[str, WorkerState] = collections.defaultdict(WorkerState)
+        self.states: dict[str, WorkerState] = collections.defaultdict(WorkerState)
         self.outliers = outlier_detection.OutlierDetector()
         self.paces = stream_pace.Paces()
-        self.seen_at: datetime.timedelta | None = None
-        self.fresh_at: datetime.timedelta | None = None
+        self.list_read_at: datetime.timedelta | None = None
+        self.list_confirmed_at: datetime.timedelta | None = None
 
-    def update(self, snapshot: list[instance.Instance], seen_at: datetime.timedelta) -> None:
+    def update(self, snapshot: list[instance.Instance], list_read_at: datetime.timedelta) -> None:
         """Apply the platform's list as it was read at a time of the loop's clock; an older one is ignored.
 
         A worker once seen draining stays excluded, because a list that arrives later may be out of date.
         """
-        if self.seen_at is not None and seen_at < self.seen_at:
+        if self.list_read_at is not None and list_read_at < self.list_read_at:
             return
-        self.seen_at = seen_at
-        self.confirm(seen_at)
+        self.list_read_at = list_read_at
+        self.confirm(list_read_at)
         self.listed = {worker.name: worker for worker in snapshot}
-        self.drained.update({worker.name: seen_at for worker in snapshot if worker.draining})
-        self.drained = {
-            name: drained_at for name, drained_at in self.drained.items() if seen_at - drained_at < DRAINING_RETENTION
-        }
+        self.drained_at.update({worker.name: list_read_at for worker in snapshot if worker.draining})
+        self.drained_at = {name: at for name, at in self.drained_at.items() if list_read_at - at < DRAINING_RETENTION}
         services = collections.defaultdict(list)
         for worker in snapshot:
-            if worker.name not in self.drained:
+            if worker.name not in self.drained_at:
                 services[worker.service].append(worker)
         self.services = {name: tuple(found) for name, found in services.items()}
         names = {name: frozenset(worker.name for worker in found) for name, found in self.services.items()}
         self.outliers.set_workers(names)
         self.paces.set_workers(names)
-        for name in [name for name, known in self.known.items() if name not in self.listed and not known.running]:
-            del self.known[name]
+        for name in [name for name, state in self.states.items() if name not in self.listed and not state.running]:
+            del self.states[name]
 
     def confirm(self, at: datetime.timedelta) -> None:
         """Record that the last list applied was still current at this time."""
-        self.fresh_at = at if self.fresh_at is None else max(self.fresh_at, at)
+        self.list_confirmed_at = at if self.list_confirmed_at is None else max(self.list_confirmed_at, at)
 
     def age(self) -> datetime.timedelta | None:
         """The time since the list was last known to be current; none before the first list."""
-        return None if self.fresh_at is None else clock.now() - self.fresh_at
+        return None if self.list_confirmed_at is None else clock.now() - self.list_confirmed_at
 
     def of(self, service: str) -> tuple[instance.Instance, ...]:
         """The workers of a service that are neither draining nor gone."""
@@ -98,26 +96,26 @@
     def is_excluded(self, name: str) -> bool:
         """Whether no request may be sent to a worker now, because it is draining or gone."""
         worker = self.listed.get(name)
-        if worker is None or name in self.drained:
+        if worker is None or name in self.drained_at:
             return True
-        state = self.known.get(name)
+        state = self.states.get(name)
         return state is not None and state.misdirected_until > clock.now()
 
     def candidates(
-        self, service: str, without: frozenset[str] = frozenset(), repeatable: bool = True
+        self, service: str, without: frozenset[str] = frozenset(), idempotent: bool = True
     ) -> tuple[worker_selection.Candidate, ...]:
         """The workers to choose from, except those in ``without``, which were tried already.
 
-        Ejected outliers are omitted unless no other worker is left. A request that is not ``repeatable`` is lost if its
+        Ejected outliers are omitted unless no other worker is left. A request that is not ``idempotent`` is lost if its
         worker fails, so suspect workers come after the others for it.
         """
         now, found, ejected = clock.now(), [], []
-        list_age = now - self.seen_at if self.seen_at is not None else clock.ZERO
+        list_age = now - self.list_read_at if self.list_read_at is not None else clock.ZERO
         paces = self.paces.of(service)
         for worker in self.services.get(service, ()):
             if worker.name in without:
                 continue
-            state = self.known.get(worker.name)
+            state = self.states.get(worker.name)
             slowness = paces.slowness(worker.name, worker.zone, now)
             if state is None:
                 found.append(
@@ -137,8 +135,8 @@
                     slowness,
                 )
                 if worker.name in self.outliers.records:
-                    candidate.suspect = candidate.suspect or self.outliers.is_suspect(worker.name, repeatable, now)
-                    if not self.outliers.admit(worker.name, repeatable, now):
+                    candidate.suspect = candidate.suspect or self.outliers.is_suspect(worker.name, idempotent, now)
+                    if not self.outliers.admit(worker.name, idempotent, now):
                         ejected.append(candidate)
                         continue
                 found.append(candidate)
@@ -146,43 +144,43 @@
 
     def begin(self, name: str) -> None:
         """Record that a request is being sent to a worker."""
-        self.known[name].running += 1
+        self.states[name].running += 1
 
     def end(self, name: str) -> None:
         """Record the end of a request to a worker."""
-        known = self.known[name]
-        known.running = max(0, known.running - 1)
-        if not known.running and name not in self.listed:
-            del self.known[name]
+        state = self.states[name]
+        state.running = max(0, state.running - 1)
+        if not state.running and name not in self.listed:
+            del self.states[name]
 
     def record_load(self, name: str, running: int, waiting: int, slots: int) -> None:
         """Record the load that a worker reported with a response."""
-        known = self.known[name]
-        known.reported_load, known.running_when_reported, known.reported_at = (
+        state = self.states[name]
+        state.reported_load, state.running_when_reported, state.reported_at = (
             running + waiting,
-            known.running,
+            state.running,
             clock.now(),
         )
         if slots > 0:
-            known.slots = slots
+            state.slots = slots
 
     def load(self, name: str) -> float:
         """A worker's load in requests: our own, and those of other edges as last reported, decayed with age."""
-        known = self.known.get(name)
-        return known.load(clock.now()) if known is not None else 0.0
+        state = self.states.get(name)
+        return state.load(clock.now()) if state is not None else 0.0
 
     def record_answer(self, name: str, kind: str = outlier_detection.GOOD) -> None:
         """Record that a worker answered a request, with its outcome, a kind of ``outlier_detection``.
 
         Any answer shows that the worker is reachable, so earlier connection failures and rejections are cleared.
         """
-        known = self.known[name]
-        known.failures = known.rejections = known.misdirections = 0
-        known.suspect_until = known.rejecting_until = clock.ZERO
-        if known.connection_closed:
-            known.connection_closed = False
+        state = self.states[name]
+        state.failures = state.rejections = state.misdirections = 0
+        state.suspect_until = state.rejecting_until = clock.ZERO
+        if state.connection_closed:
+            state.connection_closed = False
         else:
-            known.connection_closes, known.leaving_until = 0, clock.ZERO
+            state.connection_closes, state.leaving_until = 0, clock.ZERO
         self.record_outcome(name, kind)
 
     def record_failure(self, name: str, kind: str = outlier_detection.LOST) -> None:
@@ -194,13 +192,13 @@
         self.record_outcome(name, kind)
         if kind in ("", outlier_detection.LATE, outlier_detection.STALE):
             return
-        known, now = self.known[name], clock.now()
-        if now - known.failed_at > FAILURE_STREAK_TIMEOUT:
-            known.failures = 0
-        if known.suspect_until <= now:
-            known.failures += 1
-        known.failed_at = now
-        known.suspect_until = now + min(MAX_SUSPECT_TIME, MIN_SUSPECT_TIME * 2 ** min(known.failures - 1, 16))
+        state, now = self.states[name], clock.now()
+        if now - state.failed_at > FAILURE_STREAK_TIMEOUT:
+            state.failures = 0
+        if state.suspect_until <= now:
+            state.failures += 1
+        state.failed_at = now
+        state.suspect_until = now + min(MAX_SUSPECT_TIME, MIN_SUSPECT_TIME * 2 ** min(state.failures - 1, 16))
 
     def record_pace(self, name: str, seconds_per_event: float) -> None:
         """Record the pace of a worker's stream."""
@@ -216,20 +214,20 @@
 
     def record_rejection(self, name: str) -> None:
         """Record that a worker rejected a request without running it; other workers are preferred for a short time."""
-        known, now = self.known[name], clock.now()
-        if known.rejecting_until <= now:
-            known.rejections += 1
-        known.rejecting_until = now + min(MAX_REJECTION_PAUSE, MIN_REJECTION_PAUSE * 2 ** min(known.rejections - 1, 16))
+        state, now = self.states[name], clock.now()
+        if state.rejecting_until <= now:
+            state.rejections += 1
+        state.rejecting_until = now + min(MAX_REJECTION_PAUSE, MIN_REJECTION_PAUSE * 2 ** min(state.rejections - 1, 16))
 
     def record_connection_close(self, name: str) -> None:
         """Record that a response closed its connection: several in a row mean that the worker is about to stop."""
-        known = self.known[name]
-        known.connection_closes, known.connection_closed = known.connection_closes + 1, True
-        if known.connection_closes >= CLOSES_BEFORE_LEAVING:
-            known.leaving_until = clock.now() + LEAVING_SUSPECT_TIME
+        state = self.states[name]
+        state.connection_closes, state.connection_closed = state.connection_closes + 1, True
+        if state.connection_closes >= CLOSES_BEFORE_LEAVING:
+            state.leaving_until = clock.now() + LEAVING_SUSPECT_TIME
 
     def record_misdirection(self, name: str) -> None:
         """Record that another worker has the address; exclude this one, each time for longer if it stays listed."""
-        known = self.known[name]
-        known.misdirections += 1
-        known.misdirected_until = clock.now() + MISDIRECTED_EXCLUSION * 2 ** min(known.misdirections - 1, 8)
+        state = self.states[name]
+        state.misdirections += 1
+        state.misdirected_until = clock.now() + MISDIRECTED_EXCLUSION * 2 ** min(state.misdirections - 1, 8)
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -386,7 +386,7 @@
         if self.trouble.in_place:
             await self.ask(edge, self.call_of("before"))
             edge.instances.end("i-1")
-            edge.instances.known["i-1"].running = 3
+            edge.instances.states["i-1"].running = 3
         if self.trouble.edge_ends is not None:
             return await self.killed_edge(edge)
         if self.trouble.caller_leaves is None and not self.trouble.frozen:
@@ -458,7 +458,7 @@
 
 async def drain_endings(edge: forwarder.Forwarder, group: GroupStandIn) -> None:
     """Bring to the group what an edge tells it behind its answers."""
-    row = edge.completions.rows[1]
+    row = edge.completions.queues[1]
     while True:
         command = await row.get()
         try:
