--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -64,7 +64,7 @@
         self.operations: dict[str, messages.Operation] = {}
         self.program_active_at: dict[str, datetime.timedelta] = {}
         self.turn_opened_at: dict[str, datetime.timedelta] = {}
-        self.key_noted_at: dict[str, datetime.timedelta] = {}
+        self.key_updated_at: dict[str, datetime.timedelta] = {}
         self.program_of_open_turn: dict[str, str] = {}
         self.scan: collections.abc.Iterator[tuple[str, str]] = iter(())
         self.calls = call_sessions.CallSessions()
@@ -115,7 +115,7 @@
         span = max(MIN_KEY_RETENTION, operation.keep) + RETENTION_MARGIN
         if operation.outcome != messages.DONE:
             span += operation.within + UNFINISHED_KEY_MARGIN
-        return now - self.key_noted_at.setdefault(operation.key, now) > span
+        return now - self.key_updated_at.setdefault(operation.key, now) > span
 
     def open_turn(self, command: messages.OpenTurn, now: datetime.timedelta) -> Decision:
         """Start a turn after the last one of its chain, while used plus reserved tokens are below the budget."""
@@ -201,7 +201,7 @@
         event = messages.OperationClaimed(
             command.key, command.lane, command.go, command.digest, command.within, command.keep
         )
-        self.key_noted_at[command.key] = now
+        self.key_updated_at[command.key] = now
         return (event,), messages.Operation(
             command.key, command.lane, command.go, command.digest, True, "", b"", command.within, command.keep
         )
@@ -212,7 +212,7 @@
         if known is None or known.go != command.go or known.outcome:
             return (), messages.Closed("" if known is None else known.outcome)
         answer = command.answer if len(command.answer) <= MAX_ANSWER_BYTES else b""
-        self.key_noted_at[command.key] = now
+        self.key_updated_at[command.key] = now
         return (messages.OperationClosed(command.key, command.go, command.outcome, answer),), messages.Closed(
             command.outcome
         )
@@ -268,7 +268,7 @@
     def drop_operation(self, key: str) -> None:
         """Drop an operation key and its answer."""
         self.operations.pop(key, None)
-        self.key_noted_at.pop(key, None)
+        self.key_updated_at.pop(key, None)
 
     def due(self, now: datetime.timedelta, is_edge_gone: collections.abc.Callable[[str], bool]) -> tuple[Command, ...]:
         """Return the timer commands that are due.
@@ -304,7 +304,7 @@
 
     def reset_clocks(self) -> None:
         """Reset all timers when this node stops being the primary, so that a later tenure starts them anew."""
-        self.program_active_at, self.turn_opened_at, self.key_noted_at, self.scan = {}, {}, {}, iter(())
+        self.program_active_at, self.turn_opened_at, self.key_updated_at, self.scan = {}, {}, {}, iter(())
         self.calls.reset_clocks()
 
     def snapshot(self) -> bytes:
--- a/aspencroft/sessions/lane_sessions_test.py
+++ b/aspencroft/sessions/lane_sessions_test.py
@@ -81,7 +81,7 @@
     assert state.due(now, lambda edge: edge == "edge")[0].go == "go"
     for _ in range(9):
         assert len(state.due(now, lambda edge: False)) == 0
-    assert len(state.key_noted_at) == 3 * lane_sessions.SCAN_LIMIT
+    assert len(state.key_updated_at) == 3 * lane_sessions.SCAN_LIMIT
     late, forgotten = now + 10 * lane_sessions.MIN_KEY_RETENTION, set()
     for _ in range(3 * lane_sessions.SCAN_LIMIT // lane_sessions.DUE_LIMIT + 20):
         due_commands = state.due(late, lambda edge: False)
--- a/aspencroft/sessions/request_quota.py
+++ b/aspencroft/sessions/request_quota.py
@@ -23,12 +23,12 @@
 """Number of steps in a window of a record, which gives the age of a grant in whole steps, rounded down."""
 MAX_TENANTS = 50_000
 MAX_WINDOW = clock.seconds(3600)
-EXPIRED_AT_ONCE = 8
+REPLIES_CHECKED_PER_REQUEST = 8
 """Maximum number of remembered replies checked for expiry on each request, which is more than one request adds."""
-IDLE_LOOKED_AT = 16
+IDLE_WINDOWS_PER_STEP = 16
 """Windows checked in one scan step."""
 JUST_BEFORE = datetime.timedelta(microseconds=1)
-SHORTEST_RETRY = clock.seconds(0.01)
+MIN_RETRY_AFTER = clock.seconds(0.01)
 
 
 class GrantedStep(typing.NamedTuple):
@@ -38,7 +38,7 @@
     requests: int
 
 
-class AnsweredQuestion(typing.NamedTuple):
+class AnsweredRequest(typing.NamedTuple):
     """The newest reservation request of an edge for a tenant, and the reply to it."""
 
     number: int
@@ -75,7 +75,7 @@
         self.total = 0
         self.unrecorded: collections.deque[GrantedStep] = collections.deque()
         """The steps that are not in any record."""
-        self.answered: dict[str, AnsweredQuestion] = {}
+        self.answered: dict[str, AnsweredRequest] = {}
         """By requesting edge, oldest request first."""
         self.presumed = GrantedStep(clock.ZERO, 0)
         """Grants that an earlier primary may have made without a record.
@@ -104,7 +104,7 @@
             self.expired_until = oldest.at
         while self.unrecorded and now - self.unrecorded[0].at > window:
             self.unrecorded.popleft()
-        for edge, answered in list(itertools.islice(self.answered.items(), EXPIRED_AT_ONCE)):
+        for edge, answered in list(itertools.islice(self.answered.items(), REPLIES_CHECKED_PER_REQUEST)):
             if now - answered.at > window:
                 del self.answered[edge]
         if now - self.presumed.at > window:
@@ -118,7 +118,7 @@
     def remember(self, command: entry.ReserveRequests, now: datetime.timedelta, reply: entry.RequestsReserved) -> None:
         """Remember a reply, so that a retry after its loss gets the same one."""
         self.answered.pop(command.edge, None)
-        self.answered[command.edge] = AnsweredQuestion(command.question, now, reply)
+        self.answered[command.edge] = AnsweredRequest(command.question, now, reply)
 
     def add(self, now: datetime.timedelta, count: int, window: datetime.timedelta) -> None:
         """Count a grant; all grants within one step count as made at the time of the last one."""
@@ -190,8 +190,8 @@
     def time_until_free(self, now: datetime.timedelta, window: datetime.timedelta) -> datetime.timedelta:
         """Return the time until the oldest grants leave the window."""
         if not self.steps:
-            return SHORTEST_RETRY
-        return max(SHORTEST_RETRY, self.steps[0].at + window - now)
+            return MIN_RETRY_AFTER
+        return max(MIN_RETRY_AFTER, self.steps[0].at + window - now)
 
 
 class RecordedWindow(typing.NamedTuple):
@@ -298,7 +298,7 @@
 
     def forget_idle_windows(self, now: datetime.timedelta) -> None:
         """Check some windows and drop the idle ones; a later request of their tenant starts from the record."""
-        for tenant in list(itertools.islice(self.windows, IDLE_LOOKED_AT)):
+        for tenant in list(itertools.islice(self.windows, IDLE_WINDOWS_PER_STEP)):
             window = self.windows.pop(tenant)
             window.expire(now, window.length)
             if window.steps or window.in_record or window.presumption is not Presumption.RECORDED:
