--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -245,13 +245,13 @@
     """Command: grant up to ``count`` requests of a tenant, so that no window of that length exceeds ``limit``.
 
     ``run_ahead`` is the maximum number of granted requests that may be missing from the log. ``edge`` is the
-    incarnation of the requesting edge, and ``question`` the number of its request about this tenant: a retry with the
+    incarnation of the requesting edge, and ``request_number`` counts its requests about this tenant: a retry with the
     same number gets the same reply.
     """
 
     tenant: str
     edge: str
-    question: int
+    request_number: int
     count: int
     limit: int
     run_ahead: int
--- a/aspencroft/sessions/request_quota.py
+++ b/aspencroft/sessions/request_quota.py
@@ -113,12 +113,12 @@
     def known_reply(self, command: entry.ReserveRequests) -> entry.RequestsReserved | None:
         """Return the earlier reply if the command is a retry of the edge's newest request, otherwise None."""
         answered = self.answered.get(command.edge)
-        return answered.reply if answered is not None and answered.number == command.question else None
+        return answered.reply if answered is not None and answered.number == command.request_number else None
 
     def remember(self, command: entry.ReserveRequests, now: datetime.timedelta, reply: entry.RequestsReserved) -> None:
         """Remember a reply, so that a retry after its loss gets the same one."""
         self.answered.pop(command.edge, None)
-        self.answered[command.edge] = AnsweredRequest(command.question, now, reply)
+        self.answered[command.edge] = AnsweredRequest(command.request_number, now, reply)
 
     def add(self, now: datetime.timedelta, count: int, window: datetime.timedelta) -> None:
         """Count a grant; all grants within one step count as made at the time of the last one."""
--- a/aspencroft/sessions/request_quota_test.py
+++ b/aspencroft/sessions/request_quota_test.py
@@ -18,8 +18,10 @@
 REQUEST_NUMBERS = itertools.count(1)
 
 
-def reserve(count=1, limit=10, run_ahead=1000, tenant="t", question=0):
-    return entry.ReserveRequests(tenant, "edge", question or next(REQUEST_NUMBERS), count, limit, run_ahead, WINDOW)
+def reserve(count=1, limit=10, run_ahead=1000, tenant="t", request_number=0):
+    return entry.ReserveRequests(
+        tenant, "edge", request_number or next(REQUEST_NUMBERS), count, limit, run_ahead, WINDOW
+    )
 
 
 def most_in_a_window(times) -> int:
@@ -202,8 +204,10 @@
 
 def test_a_repeated_reservation_is_counted_once():
     replicas = Replicas()
-    first = replicas.ask(reserve(4, 10, question=-1), START)
-    repeated = [replicas.ask(reserve(4, 10, question=-1), START + clock.seconds(0.1 * number)) for number in range(5)]
+    first = replicas.ask(reserve(4, 10, request_number=-1), START)
+    repeated = [
+        replicas.ask(reserve(4, 10, request_number=-1), START + clock.seconds(0.1 * number)) for number in range(5)
+    ]
     assert repeated == [first] * 5
     assert replicas.ask(reserve(10, 10), START + clock.seconds(1)).granted == 6
 
