--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -106,7 +106,7 @@
 
     def is_program_expired(self, program: messages.Program, now: datetime.timedelta) -> bool:
         """Return whether no turn is in flight and the retention period since the last one has passed."""
-        if program.under_way:
+        if program.in_flight:
             return False
         return now - self.program_active_at.setdefault(program.name, now) > program.keep
 
@@ -132,9 +132,9 @@
             known = messages.Program(command.program, command.lane, command.budget, 0, command.keep, (), ())
         past = known.chain(command.helper).past
         last = past[-1].number if past else 0
-        if any(turn.go == command.go for turn in known.under_way):
+        if any(turn.go == command.go for turn in known.in_flight):
             return (), messages.TurnGranted(last + 1, past, command.reserve)
-        if any(turn.helper == command.helper for turn in known.under_way):
+        if any(turn.helper == command.helper for turn in known.in_flight):
             raise result.RequestError(
                 result.ResultCode.TURN_UNDER_WAY,
                 detail=f"a turn after turn {last} is in flight",
@@ -165,7 +165,7 @@
         known = self.programs.get(command.program)
         if known is None:
             raise result.RequestError(result.ResultCode.UNKNOWN_PROGRAM, result.Ran.UNKNOWN, command.program)
-        if not any(turn.go == command.go for turn in known.under_way):
+        if not any(turn.go == command.go for turn in known.in_flight):
             if any(turn.go == command.go for turn in known.chain(command.helper).past[-1:]):
                 return (), messages.Closed(messages.DONE)
             raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the turn has already ended")
@@ -232,7 +232,7 @@
         turn = messages.OpenGo(event.helper, event.after, event.go, event.reserve, event.within, event.edge)
         self.program_of_open_turn[event.go] = event.program
         self.programs[event.program] = dataclasses.replace(
-            known, keep=max(known.keep, event.keep), under_way=known.under_way + (turn,)
+            known, keep=max(known.keep, event.keep), in_flight=known.in_flight + (turn,)
         )
 
     def apply_turn_closed(self, event: messages.TurnClosed) -> None:
@@ -279,7 +279,7 @@
         """
         commands: list[Command] = []
         for attempt, name in self.program_of_open_turn.items():
-            turn = next(each for each in self.programs[name].under_way if each.go == attempt)
+            turn = next(each for each in self.programs[name].in_flight if each.go == attempt)
             if (
                 is_edge_gone(turn.edge)
                 or now - self.turn_opened_at.setdefault(attempt, now) > turn.within + RETENTION_MARGIN
@@ -355,24 +355,24 @@
         self.programs = {program.name: program for program in snapshot.programs}
         self.operations = {operation.key: operation for operation in snapshot.operations}
         self.program_of_open_turn = {
-            turn.go: program.name for program in snapshot.programs for turn in program.under_way
+            turn.go: program.name for program in snapshot.programs for turn in program.in_flight
         }
 
 
 def close_program_turn(program: messages.Program, event: messages.TurnClosed) -> messages.Program:
     """Return a program after a turn of it ended."""
-    ended = next(turn for turn in program.under_way if turn.go == event.go)
-    under_way = tuple(turn for turn in program.under_way if turn.go != event.go)
+    ended = next(turn for turn in program.in_flight if turn.go == event.go)
+    in_flight = tuple(turn for turn in program.in_flight if turn.go != event.go)
     if event.outcome == messages.NOT_RUN:
-        return dataclasses.replace(program, under_way=under_way)
+        return dataclasses.replace(program, in_flight=in_flight)
     if event.outcome == messages.UNKNOWN:
-        return dataclasses.replace(program, under_way=under_way, used=program.used + ended.reserve)
+        return dataclasses.replace(program, in_flight=in_flight, used=program.used + ended.reserve)
     chain = program.chain(event.helper)
     finished = messages.Past(ended.after + 1, event.go, event.input, event.output, event.used)
     chains = tuple(other for other in program.chains if other.helper != event.helper)
     return dataclasses.replace(
         program,
-        under_way=under_way,
+        in_flight=in_flight,
         used=program.used + event.used,
         chains=chains + (messages.Chain(event.helper, chain.past + (finished,)),),
     )
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -230,7 +230,7 @@
     used: int
     keep: datetime.timedelta
     chains: tuple[Chain, ...]
-    under_way: tuple[OpenGo, ...]
+    in_flight: tuple[OpenGo, ...]
 
     def chain(self, helper: str) -> Chain:
         """Return the chain of a helper, empty if it has no turns."""
@@ -241,7 +241,7 @@
 
     def reserved(self) -> int:
         """Return the tokens reserved by turns in flight."""
-        return sum(turn.reserve for turn in self.under_way)
+        return sum(turn.reserve for turn in self.in_flight)
 
 
 @codec.kind(121)
