--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -193,7 +193,7 @@
                 ),
                 self.within(one),
             )
-            if not state.mine:
+            if not state.is_holder:
                 self.answer_known(one, state)
                 return False
             one.claimed = True
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -401,7 +401,7 @@
             self.key_of(one), state.attempt_id(), digest, state.end - clock.now(), window, self.node.incarnation_id()
         )
         held = await self.submit_to_group(state, self.key_of(one), command)
-        if held.mine:
+        if held.is_holder:
             self.add_trace(state, "key claimed")
             return None
         state.key_reserved = False
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -118,13 +118,13 @@
 @codec.kind(147)
 @dataclasses.dataclass(frozen=True)
 class KeyHeld:
-    """Reply: ``mine`` if the requesting attempt holds the key and is to run.
+    """Reply: ``is_holder`` if the requesting attempt holds the key and is to run.
 
     Otherwise the outcome of the attempt that holds it, empty while that is in flight, and its answer. The outcome
     NOT_KEPT means that it is done and that its answer was too large to store.
     """
 
-    mine: bool
+    is_holder: bool
     outcome: str
     status: int
     headers: tuple[Header, ...]
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -191,7 +191,7 @@
                 )
             if known.digest != command.digest:
                 raise result.RequestError(result.ResultCode.OPERATION_MISMATCH)
-            return (), dataclasses.replace(known, mine=known.go == command.go and not known.outcome)
+            return (), dataclasses.replace(known, is_holder=known.go == command.go and not known.outcome)
         if len(self.operations) >= MAX_OPERATIONS:
             raise result.RequestError(
                 result.ResultCode.OVERLOADED,
--- a/aspencroft/sessions/lane_sessions_test.py
+++ b/aspencroft/sessions/lane_sessions_test.py
@@ -57,9 +57,9 @@
     claim = messages.ClaimOperation("key", "void", "go 1", b"d", clock.seconds(5), clock.ZERO)
     events, reply = state.decide(claim, now, 1)
     state.apply(events[0])
-    assert reply.mine
+    assert reply.is_holder
     _, second = state.decide(dataclasses.replace(claim, go="go 2"), now, 1)
-    assert not second.mine and second.outcome == ""
+    assert not second.is_holder and second.outcome == ""
     try:
         state.decide(dataclasses.replace(claim, go="go 3", digest=b"e"), now, 1)
         raise AssertionError("a different request was answered under the key")
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -160,13 +160,13 @@
 @codec.kind(114)
 @dataclasses.dataclass(frozen=True)
 class Operation:
-    """Reply: the state of a key; ``mine`` if the requesting attempt holds it and has not ended."""
+    """Reply: the state of a key; ``is_holder`` if the requesting attempt holds it and has not ended."""
 
     key: str
     lane: str
     go: str
     digest: bytes
-    mine: bool
+    is_holder: bool
     outcome: str
     answer: bytes
     within: datetime.timedelta
--- a/aspencroft/sessions/operation_keys_test.py
+++ b/aspencroft/sessions/operation_keys_test.py
@@ -32,11 +32,11 @@
             except result.RequestError as refusal:
                 assert refusal.result is result.ResultCode.STALE_TURN
                 continue
-            if reply.mine:
+            if reply.is_holder:
                 runs += [command.attempt] if command.attempt not in runs else []
             if reply.outcome == messages.DONE:
                 assert (reply.status, reply.body) == (200, f"run {runs[-1]}".encode())
-            if reply.mine and rng.random() < 0.3:
+            if reply.is_holder and rng.random() < 0.3:
                 outcome = rng.choice([messages.DONE, messages.UNKNOWN, messages.NOT_RUN])
                 if outcome == messages.NOT_RUN:
                     runs.remove(command.attempt)
@@ -51,7 +51,7 @@
 def test_a_key_is_held_its_window_beyond_the_last_moment_in_which_its_work_could_run():
     for outcome in (messages.DONE, messages.UNKNOWN, ""):
         calls, now = call_sessions.CallSessions(), START
-        assert execute(calls, claim("a"), now).mine
+        assert execute(calls, claim("a"), now).is_holder
         if outcome:
             execute(calls, close("a", outcome), now + WITHIN)
         calls = successor_of(calls)
@@ -59,9 +59,9 @@
         run_due_commands(calls, now)
         run_due_commands(calls, now + WITHIN + MINUTE + MARGIN)
         reply = execute(calls, claim("b"), now + WITHIN + MINUTE + MARGIN)
-        assert not reply.mine and reply.outcome == (outcome or messages.UNKNOWN)
+        assert not reply.is_holder and reply.outcome == (outcome or messages.UNKNOWN)
         run_due_commands(calls, now + 2 * (WITHIN + MINUTE + MARGIN + clock.seconds(1)))
-        assert execute(calls, claim("b"), now + clock.seconds(200)).mine
+        assert execute(calls, claim("b"), now + clock.seconds(200)).is_holder
 
 
 def test_an_answer_that_comes_late_is_held_a_window_from_then_on():
@@ -73,7 +73,7 @@
     assert execute(calls, close("a"), now + clock.seconds(60)) == messages.Closed(messages.DONE)
     run_due_commands(calls, now + clock.seconds(60) + MINUTE)
     reply = execute(calls, claim("b"), now + clock.seconds(120))
-    assert (reply.mine, reply.outcome, reply.status, reply.headers, reply.body) == (
+    assert (reply.is_holder, reply.outcome, reply.status, reply.headers, reply.body) == (
         False,
         messages.DONE,
         200,
@@ -103,23 +103,23 @@
     assert execute(calls, claim("b"), START).outcome == ""
     run_due_commands(calls, START, lambda edge: edge == "lost 1")
     reply = execute(calls, claim("b"), START)
-    assert not reply.mine and reply.outcome == messages.UNKNOWN
+    assert not reply.is_holder and reply.outcome == messages.UNKNOWN
 
 
 def test_a_key_not_run_is_free_at_once_but_not_for_the_same_attempt():
     calls = call_sessions.CallSessions()
     execute(calls, claim("a"), START)
     assert execute(calls, close("b", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
-    assert execute(calls, claim("a"), START).mine
-    assert not execute(calls, claim("a", edge="e2"), START).mine
+    assert execute(calls, claim("a"), START).is_holder
+    assert not execute(calls, claim("a", edge="e2"), START).is_holder
     assert execute(calls, close("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
     assert execute(calls, close("a", messages.NOT_RUN), START) == messages.Closed(messages.NOT_RUN)
     for attempt in "ab":
         refusal = rejection_of(successor_of(calls), claim(attempt), START + clock.seconds(59))
         assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, result.Ran.NOT_RUN)
-    assert execute(calls, claim("c"), START).mine
+    assert execute(calls, claim("c"), START).is_holder
     assert execute(calls, close("a"), START) == messages.Closed("")
-    assert execute(calls, claim("c"), START).mine
+    assert execute(calls, claim("c"), START).is_holder
     run_due_commands(calls, START + clock.seconds(71))
     assert not calls.keys.released
 
@@ -134,7 +134,7 @@
         for _ in range(2):
             assert execute(calls, close("a", key=key, body=body), START) == messages.Closed(messages.DONE)
         reply = execute(calls, claim("b", key=key), START)
-        assert (reply.mine, reply.outcome, reply.body) == (
+        assert (reply.is_holder, reply.outcome, reply.body) == (
             False,
             outcome,
             body if outcome == messages.DONE else b"",
