--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -226,7 +226,7 @@
         """
         if state.outcome == sessions_messages.DONE and state.answer:
             kept = json.loads(state.answer)
-            self.tell(one, "answered from the key's record", state.go)
+            self.tell(one, "answered from the key's record", state.attempt)
             pieces = 1 if one.turns() and kept["text"] else 0
             if pieces:
                 one.out.put_nowait(adapter.Piece(0, kept["text"], kept["used"]))
@@ -237,7 +237,7 @@
             sessions_messages.UNKNOWN: (result.ResultCode.OPERATION_UNKNOWN, result.Ran.UNKNOWN),
         }
         code, ran = refusals.get(state.outcome, (result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN))
-        self.last(one, call.Ended(0, 0, 0, None, result.RequestError(code, ran, state.go)))
+        self.last(one, call.Ended(0, 0, 0, None, result.RequestError(code, ran, state.attempt)))
 
     async def draw_stage(self) -> None:
         """Draw a worker for each call; those that find all full are parked."""
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -132,7 +132,7 @@
             known = messages.Program(command.program, command.lane, command.budget, 0, command.keep, (), ())
         past = known.chain(command.helper).past
         last = past[-1].number if past else 0
-        if any(turn.go == command.go for turn in known.in_flight):
+        if any(turn.attempt == command.attempt for turn in known.in_flight):
             return (), messages.TurnGranted(last + 1, past, command.reserve)
         if any(turn.helper == command.helper for turn in known.in_flight):
             raise result.RequestError(
@@ -157,7 +157,7 @@
             **{field.name: getattr(command, field.name) for field in dataclasses.fields(command)}
         )
         self.program_active_at[command.program] = now
-        self.turn_opened_at[command.go] = now
+        self.turn_opened_at[command.attempt] = now
         return (event,), messages.TurnGranted(last + 1, past, command.reserve)
 
     def close_turn(self, command: messages.CloseTurn, now: datetime.timedelta) -> Decision:
@@ -165,14 +165,14 @@
         known = self.programs.get(command.program)
         if known is None:
             raise result.RequestError(result.ResultCode.UNKNOWN_PROGRAM, result.Ran.UNKNOWN, command.program)
-        if not any(turn.go == command.go for turn in known.in_flight):
-            if any(turn.go == command.go for turn in known.chain(command.helper).past[-1:]):
+        if not any(turn.attempt == command.attempt for turn in known.in_flight):
+            if any(turn.attempt == command.attempt for turn in known.chain(command.helper).past[-1:]):
                 return (), messages.Closed(messages.DONE)
             raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the turn has already ended")
         event = messages.TurnClosed(
             command.program,
             command.helper,
-            command.go,
+            command.attempt,
             command.outcome,
             command.input,
             command.output,
@@ -191,7 +191,7 @@
                 )
             if known.digest != command.digest:
                 raise result.RequestError(result.ResultCode.OPERATION_MISMATCH)
-            return (), dataclasses.replace(known, is_holder=known.go == command.go and not known.outcome)
+            return (), dataclasses.replace(known, is_holder=known.attempt == command.attempt and not known.outcome)
         if len(self.operations) >= MAX_OPERATIONS:
             raise result.RequestError(
                 result.ResultCode.OVERLOADED,
@@ -199,21 +199,21 @@
                 retry=OVERLOADED_RETRY_AFTER,
             )
         event = messages.OperationClaimed(
-            command.key, command.lane, command.go, command.digest, command.within, command.keep
+            command.key, command.lane, command.attempt, command.digest, command.within, command.keep
         )
         self.key_updated_at[command.key] = now
         return (event,), messages.Operation(
-            command.key, command.lane, command.go, command.digest, True, "", b"", command.within, command.keep
+            command.key, command.lane, command.attempt, command.digest, True, "", b"", command.within, command.keep
         )
 
     def close_operation(self, command: messages.CloseOperation, now: datetime.timedelta) -> Decision:
         """Record the outcome of the attempt that holds an operation key."""
         known = self.operations.get(command.key)
-        if known is None or known.go != command.go or known.outcome:
+        if known is None or known.attempt != command.attempt or known.outcome:
             return (), messages.Closed("" if known is None else known.outcome)
         answer = command.answer if len(command.answer) <= MAX_ANSWER_BYTES else b""
         self.key_updated_at[command.key] = now
-        return (messages.OperationClosed(command.key, command.go, command.outcome, answer),), messages.Closed(
+        return (messages.OperationClosed(command.key, command.attempt, command.outcome, answer),), messages.Closed(
             command.outcome
         )
 
@@ -229,8 +229,8 @@
         known = self.programs.get(event.program) or messages.Program(
             event.program, event.lane, event.budget, 0, event.keep, (), ()
         )
-        turn = messages.OpenGo(event.helper, event.after, event.go, event.reserve, event.within, event.edge)
-        self.program_of_open_turn[event.go] = event.program
+        turn = messages.OpenGo(event.helper, event.after, event.attempt, event.reserve, event.within, event.edge)
+        self.program_of_open_turn[event.attempt] = event.program
         self.programs[event.program] = dataclasses.replace(
             known, keep=max(known.keep, event.keep), in_flight=known.in_flight + (turn,)
         )
@@ -238,8 +238,8 @@
     def apply_turn_closed(self, event: messages.TurnClosed) -> None:
         """End a turn in flight."""
         self.programs[event.program] = close_program_turn(self.programs[event.program], event)
-        self.turn_opened_at.pop(event.go, None)
-        self.program_of_open_turn.pop(event.go, None)
+        self.turn_opened_at.pop(event.attempt, None)
+        self.program_of_open_turn.pop(event.attempt, None)
 
     def apply_program_forgotten(self, event: messages.ProgramForgotten) -> None:
         """Drop a program."""
@@ -249,7 +249,7 @@
     def apply_operation_claimed(self, event: messages.OperationClaimed) -> None:
         """Reserve an operation key."""
         self.operations[event.key] = messages.Operation(
-            event.key, event.lane, event.go, event.digest, False, "", b"", event.within, event.keep
+            event.key, event.lane, event.attempt, event.digest, False, "", b"", event.within, event.keep
         )
 
     def apply_operation_closed(self, event: messages.OperationClosed) -> None:
@@ -279,7 +279,7 @@
         """
         commands: list[Command] = []
         for attempt, name in self.program_of_open_turn.items():
-            turn = next(each for each in self.programs[name].in_flight if each.go == attempt)
+            turn = next(each for each in self.programs[name].in_flight if each.attempt == attempt)
             if (
                 is_edge_gone(turn.edge)
                 or now - self.turn_opened_at.setdefault(attempt, now) > turn.within + RETENTION_MARGIN
@@ -355,20 +355,20 @@
         self.programs = {program.name: program for program in snapshot.programs}
         self.operations = {operation.key: operation for operation in snapshot.operations}
         self.program_of_open_turn = {
-            turn.go: program.name for program in snapshot.programs for turn in program.in_flight
+            turn.attempt: program.name for program in snapshot.programs for turn in program.in_flight
         }
 
 
 def close_program_turn(program: messages.Program, event: messages.TurnClosed) -> messages.Program:
     """Return a program after a turn of it ended."""
-    ended = next(turn for turn in program.in_flight if turn.go == event.go)
-    in_flight = tuple(turn for turn in program.in_flight if turn.go != event.go)
+    ended = next(turn for turn in program.in_flight if turn.attempt == event.attempt)
+    in_flight = tuple(turn for turn in program.in_flight if turn.attempt != event.attempt)
     if event.outcome == messages.NOT_RUN:
         return dataclasses.replace(program, in_flight=in_flight)
     if event.outcome == messages.UNKNOWN:
         return dataclasses.replace(program, in_flight=in_flight, used=program.used + ended.reserve)
     chain = program.chain(event.helper)
-    finished = messages.Past(ended.after + 1, event.go, event.input, event.output, event.used)
+    finished = messages.Past(ended.after + 1, event.attempt, event.input, event.output, event.used)
     chains = tuple(other for other in program.chains if other.helper != event.helper)
     return dataclasses.replace(
         program,
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -15,7 +15,7 @@
     """A finished turn of a chain."""
 
     number: int
-    go: str
+    attempt: str
     input: str
     output: str
     used: int
@@ -30,7 +30,7 @@
     helper: str
     after: int
     lane: str
-    go: str
+    attempt: str
     reserve: int
     budget: int
     keep: datetime.timedelta
@@ -47,7 +47,7 @@
     helper: str
     after: int
     lane: str
-    go: str
+    attempt: str
     reserve: int
     budget: int
     keep: datetime.timedelta
@@ -72,7 +72,7 @@
 
     program: str
     helper: str
-    go: str
+    attempt: str
     outcome: str
     input: str
     output: str
@@ -86,7 +86,7 @@
 
     program: str
     helper: str
-    go: str
+    attempt: str
     outcome: str
     input: str
     output: str
@@ -116,7 +116,7 @@
 
     key: str
     lane: str
-    go: str
+    attempt: str
     digest: bytes
     within: datetime.timedelta
     keep: datetime.timedelta
@@ -129,7 +129,7 @@
 
     key: str
     lane: str
-    go: str
+    attempt: str
     digest: bytes
     within: datetime.timedelta
     keep: datetime.timedelta
@@ -141,7 +141,7 @@
     """Command: report the outcome of the attempt that holds the key; NOT_RUN releases the key."""
 
     key: str
-    go: str
+    attempt: str
     outcome: str
     answer: bytes
 
@@ -152,7 +152,7 @@
     """Event: the attempt that holds the key ended."""
 
     key: str
-    go: str
+    attempt: str
     outcome: str
     answer: bytes
 
@@ -164,7 +164,7 @@
 
     key: str
     lane: str
-    go: str
+    attempt: str
     digest: bytes
     is_holder: bool
     outcome: str
@@ -204,7 +204,7 @@
 
     helper: str
     after: int
-    go: str
+    attempt: str
     reserve: int
     within: datetime.timedelta
     edge: str
