--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -382,7 +382,7 @@
             self.park(one, front=True)
             return
         asked = one.request
-        past = tuple((turn.input, turn.output) for turn in one.granted.past) if one.granted else ()
+        past = tuple((turn.input, turn.output) for turn in one.granted.turns) if one.granted else ()
         work = adapter.Work(
             one.go(),
             one.service,
@@ -502,7 +502,7 @@
                 await self.close_operation(one, json.dumps(kept).encode())
             except result.RequestError as refusal:
                 self.tell(one, "key not closed", str(refusal))
-        past = sum(len(before.input) + len(before.output) for before in one.granted.past) if one.granted else 0
+        past = sum(len(before.input) + len(before.output) for before in one.granted.turns) if one.granted else 0
         letters = past + len(json.dumps(asked.input)) + len(text)
         called = residency_messages.Called(self.session(one), one.service, used_by, letters // TOKEN_LETTERS, took)
         self.tell_duty("keeps", called)
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -130,10 +130,10 @@
                     retry=OVERLOADED_RETRY_AFTER,
                 )
             known = messages.Program(command.program, command.lane, command.budget, 0, command.keep, (), ())
-        past = known.chain(command.helper).past
-        last = past[-1].number if past else 0
+        turns = known.chain(command.helper).turns
+        last = turns[-1].number if turns else 0
         if any(turn.attempt == command.attempt for turn in known.in_flight):
-            return (), messages.TurnGranted(last + 1, past, command.reserve)
+            return (), messages.TurnGranted(last + 1, turns, command.reserve)
         if any(turn.helper == command.helper for turn in known.in_flight):
             raise result.RequestError(
                 result.ResultCode.TURN_UNDER_WAY,
@@ -149,7 +149,7 @@
                 result.ResultCode.OUT_OF_BUDGET,
                 detail=f"{known.used} tokens used and {known.reserved()} reserved of a budget of {known.budget}",
             )
-        if sum(len(turn.input) + len(turn.output) for turn in past) > MAX_HISTORY_CHARACTERS:
+        if sum(len(turn.input) + len(turn.output) for turn in turns) > MAX_HISTORY_CHARACTERS:
             raise result.RequestError(
                 result.ResultCode.TOO_LARGE, detail="the history of the chain is at its size limit"
             )
@@ -158,7 +158,7 @@
         )
         self.program_active_at[command.program] = now
         self.turn_opened_at[command.attempt] = now
-        return (event,), messages.TurnGranted(last + 1, past, command.reserve)
+        return (event,), messages.TurnGranted(last + 1, turns, command.reserve)
 
     def close_turn(self, command: messages.CloseTurn, now: datetime.timedelta) -> Decision:
         """End a turn in flight; repeating the command has no further effect."""
@@ -166,7 +166,7 @@
         if known is None:
             raise result.RequestError(result.ResultCode.UNKNOWN_PROGRAM, result.Ran.UNKNOWN, command.program)
         if not any(turn.attempt == command.attempt for turn in known.in_flight):
-            if any(turn.attempt == command.attempt for turn in known.chain(command.helper).past[-1:]):
+            if any(turn.attempt == command.attempt for turn in known.chain(command.helper).turns[-1:]):
                 return (), messages.Closed(messages.DONE)
             raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the turn has already ended")
         event = messages.TurnClosed(
@@ -374,7 +374,7 @@
         program,
         in_flight=in_flight,
         used=program.used + event.used,
-        chains=chains + (messages.Chain(event.helper, chain.past + (finished,)),),
+        chains=chains + (messages.Chain(event.helper, chain.turns + (finished,)),),
     )
 
 
--- a/aspencroft/sessions/lane_sessions_test.py
+++ b/aspencroft/sessions/lane_sessions_test.py
@@ -40,7 +40,7 @@
                 continue
             if isinstance(command, messages.OpenTurn):
                 assert after == len(history[helper]) and charged + 10 * len(in_flight) < 60
-                assert [(turn.input, turn.output) for turn in reply.past] == history[helper]
+                assert [(turn.input, turn.output) for turn in reply.turns] == history[helper]
                 in_flight[helper] = (attempt, f"in {attempt}")
             for event in events:
                 state.apply(event)
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -61,7 +61,7 @@
     """Reply: the turn's number, the earlier turns of its chain, and how many tokens it may generate."""
 
     number: int
-    past: tuple[Past, ...]
+    turns: tuple[Past, ...]
     reserve: int
 
 
@@ -216,7 +216,7 @@
     """The turns of one helper of a program; an empty name stands for the program's main chain."""
 
     helper: str
-    past: tuple[Past, ...]
+    turns: tuple[Past, ...]
 
 
 @codec.kind(120)
