--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -130,7 +130,7 @@
             command.most,
             budget,
             command.retained,
-            command.keep,
+            command.retention_period,
             command.within,
             command.edge,
             worker,
@@ -267,7 +267,7 @@
             self.history.retain(
                 entry.Turn(event.attempt, known.previous, event.input, event.output, event.worker),
                 known.program if has_account else "",
-                known.keep,
+                known.retention_period,
             )
         else:
             self.history.add_finished(
@@ -279,7 +279,7 @@
                     charged,
                     known.budget,
                     known.retained,
-                    known.keep,
+                    known.retention_period,
                 )
             )
         if started:
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -176,7 +176,7 @@
                             dataclasses.asdict(turn),
                             program="",
                             state="kept",
-                            keep=command.keep,
+                            retention_period=command.retention_period,
                             since=now,
                             outcome=messages.DONE,
                             retained=True,
@@ -186,10 +186,14 @@
                     )
             before = self.find_row(self.rows, attempt=command.previous)
         if program is None:
-            program = dict(name=command.program, budget=0, used=0, keep=command.keep, worker="", since=now)
+            program = dict(
+                name=command.program, budget=0, used=0, retention_period=command.retention_period, worker="", since=now
+            )
             self.programs.append(program)
         hint = before["worker"] if before and before["worker"] else program["worker"]
-        program.update(budget=budget, keep=max(program["keep"], command.keep), since=now)
+        program.update(
+            budget=budget, retention_period=max(program["retention_period"], command.retention_period), since=now
+        )
         self.rows.append(
             dict(
                 attempt=command.attempt,
@@ -199,7 +203,7 @@
                 most=command.most,
                 counted=budget > 0,
                 retained=command.retained,
-                keep=command.keep,
+                retention_period=command.retention_period,
                 within=command.within,
                 edge=command.edge,
                 state="running",
@@ -236,7 +240,7 @@
                     counted=False,
                     charged=0,
                     since=now,
-                    keep=clock.ZERO,
+                    retention_period=clock.ZERO,
                 )
             )
             return messages.Closed(messages.NOT_RUN)
@@ -337,11 +341,11 @@
         """Check that the forgotten items were retained long enough, and drop them."""
         for attempt in event.turns:
             row = self.find_row(self.rows, attempt=attempt, state="kept")
-            assert now - row["since"] > row["keep"] + MARGIN, row
+            assert now - row["since"] > row["retention_period"] + MARGIN, row
             assert not any(
                 other["previous"] == attempt and other["state"] in ("kept", "running") for other in self.rows
             )
-            if row["keep"] < MINUTE:
+            if row["retention_period"] < MINUTE:
                 row.update(state="ended", retained=False, since=now)
             else:
                 self.rows.remove(row)
@@ -351,7 +355,7 @@
             self.rows.remove(row)
         for name in event.programs:
             row = self.find_row(self.programs, name=name)
-            assert now - row["since"] > max(MINUTE, row["keep"]) + MARGIN
+            assert now - row["since"] > max(MINUTE, row["retention_period"]) + MARGIN
             assert not any(other["program"] == name and other["state"] in ("kept", "running") for other in self.rows)
             self.programs.remove(row)
         for key in event.keys:
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -45,7 +45,7 @@
     most: int
     budget: int
     retained: bool
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     within: datetime.timedelta
     edge: str
     have: str
@@ -159,7 +159,7 @@
     most: int
     budget: int
     retained: bool
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     within: datetime.timedelta
     edge: str
     worker: str
@@ -315,14 +315,14 @@
 class Account:
     """A program: its token budget (zero for none), tokens used and reserved, turns in flight and retained, last worker.
 
-    ``keep`` is its retention period, the longest that any of its turns asked for.
+    ``retention_period`` is the longest that any of its turns asked for.
     """
 
     program: str
     budget: int
     used: int
     reserved: int
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     in_flight: int
     retained: int
     worker: str
@@ -334,7 +334,7 @@
 
     turn: Turn
     program: str
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     size: int
 
 
@@ -349,7 +349,7 @@
     charged: int
     budget: int
     retained: bool
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True)
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -108,11 +108,11 @@
         """Return whether no turn is in flight and the retention period since the last one has passed."""
         if program.in_flight:
             return False
-        return now - self.program_active_at.setdefault(program.name, now) > program.keep
+        return now - self.program_active_at.setdefault(program.name, now) > program.retention_period
 
     def is_key_expired(self, operation: messages.Operation, now: datetime.timedelta) -> bool:
         """Return whether a key was retained for at least a minute after the last moment at which its work could run."""
-        span = max(MIN_KEY_RETENTION, operation.keep) + RETENTION_MARGIN
+        span = max(MIN_KEY_RETENTION, operation.retention_period) + RETENTION_MARGIN
         if operation.outcome != messages.DONE:
             span += operation.within + UNFINISHED_KEY_MARGIN
         return now - self.key_updated_at.setdefault(operation.key, now) > span
@@ -129,7 +129,7 @@
                     detail="the limit of programs of the group is reached",
                     retry=OVERLOADED_RETRY_AFTER,
                 )
-            known = messages.Program(command.program, command.lane, command.budget, 0, command.keep, (), ())
+            known = messages.Program(command.program, command.lane, command.budget, 0, command.retention_period, (), ())
         turns = known.chain(command.helper).turns
         last = turns[-1].number if turns else 0
         if any(turn.attempt == command.attempt for turn in known.in_flight):
@@ -199,11 +199,19 @@
                 retry=OVERLOADED_RETRY_AFTER,
             )
         event = messages.OperationClaimed(
-            command.key, command.lane, command.attempt, command.digest, command.within, command.keep
+            command.key, command.lane, command.attempt, command.digest, command.within, command.retention_period
         )
         self.key_updated_at[command.key] = now
         return (event,), messages.Operation(
-            command.key, command.lane, command.attempt, command.digest, True, "", b"", command.within, command.keep
+            command.key,
+            command.lane,
+            command.attempt,
+            command.digest,
+            True,
+            "",
+            b"",
+            command.within,
+            command.retention_period,
         )
 
     def close_operation(self, command: messages.CloseOperation, now: datetime.timedelta) -> Decision:
@@ -227,12 +235,14 @@
     def apply_turn_opened(self, event: messages.TurnOpened) -> None:
         """Add a turn in flight."""
         known = self.programs.get(event.program) or messages.Program(
-            event.program, event.lane, event.budget, 0, event.keep, (), ()
+            event.program, event.lane, event.budget, 0, event.retention_period, (), ()
         )
         turn = messages.OpenGo(event.helper, event.after, event.attempt, event.reserve, event.within, event.edge)
         self.program_of_open_turn[event.attempt] = event.program
         self.programs[event.program] = dataclasses.replace(
-            known, keep=max(known.keep, event.keep), in_flight=known.in_flight + (turn,)
+            known,
+            retention_period=max(known.retention_period, event.retention_period),
+            in_flight=known.in_flight + (turn,),
         )
 
     def apply_turn_closed(self, event: messages.TurnClosed) -> None:
@@ -249,7 +259,7 @@
     def apply_operation_claimed(self, event: messages.OperationClaimed) -> None:
         """Reserve an operation key."""
         self.operations[event.key] = messages.Operation(
-            event.key, event.lane, event.attempt, event.digest, False, "", b"", event.within, event.keep
+            event.key, event.lane, event.attempt, event.digest, False, "", b"", event.within, event.retention_period
         )
 
     def apply_operation_closed(self, event: messages.OperationClosed) -> None:
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -33,7 +33,7 @@
     attempt: str
     reserve: int
     budget: int
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     within: datetime.timedelta
     edge: str
 
@@ -50,7 +50,7 @@
     attempt: str
     reserve: int
     budget: int
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     within: datetime.timedelta
     edge: str
 
@@ -119,7 +119,7 @@
     attempt: str
     digest: bytes
     within: datetime.timedelta
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @codec.kind(111)
@@ -132,7 +132,7 @@
     attempt: str
     digest: bytes
     within: datetime.timedelta
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @codec.kind(112)
@@ -170,7 +170,7 @@
     outcome: str
     answer: bytes
     within: datetime.timedelta
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @codec.kind(115)
@@ -228,7 +228,7 @@
     lane: str
     budget: int
     used: int
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     chains: tuple[Chain, ...]
     in_flight: tuple[OpenGo, ...]
 
--- a/aspencroft/sessions/token_budget.py
+++ b/aspencroft/sessions/token_budget.py
@@ -63,14 +63,16 @@
         """Reserve the maximum number of tokens that a turn may generate."""
         if not event.program:
             return
-        known = self.accounts.get(event.program) or entry.Account(event.program, 0, 0, 0, event.keep, 0, 0, "")
+        known = self.accounts.get(event.program) or entry.Account(
+            event.program, 0, 0, 0, event.retention_period, 0, 0, ""
+        )
         # Built field by field, as ``dataclasses.replace`` is several times slower and this runs for each turn.
         self.accounts[event.program] = entry.Account(
             event.program,
             event.budget,
             known.used,
             known.reserved + event.reserved(),
-            max(known.keep, event.keep),
+            max(known.retention_period, event.retention_period),
             known.in_flight + 1,
             known.retained,
             known.worker,
@@ -86,7 +88,7 @@
             account.budget,
             account.used + settlement.charged,
             account.reserved - settlement.released,
-            account.keep,
+            account.retention_period,
             account.in_flight - settlement.was_in_flight,
             account.retained + settlement.is_retained,
             worker or account.worker,
@@ -102,7 +104,7 @@
                 account.budget,
                 account.used,
                 account.reserved,
-                account.keep,
+                account.retention_period,
                 account.in_flight,
                 account.retained - 1,
                 account.worker,
@@ -115,7 +117,7 @@
             account = self.accounts.get(name)
             if account is None:
                 continue
-            span = max(account.keep, retention.MIN_RETENTION) + retention.RETENTION_MARGIN
+            span = max(account.retention_period, retention.MIN_RETENTION) + retention.RETENTION_MARGIN
             if now - self.last_active_at.setdefault(name, now) > span:
                 if not account.in_flight and not account.retained:
                     expired.append(name)
--- a/aspencroft/sessions/token_budget_test.py
+++ b/aspencroft/sessions/token_budget_test.py
@@ -110,7 +110,7 @@
 
 def test_a_budget_outlives_takeovers_and_every_kept_turn_of_its_program():
     calls, now = call_sessions.CallSessions(), START
-    execute(calls, begin("a", budget=100, keep=clock.seconds(300)), now)
+    execute(calls, begin("a", budget=100, retention_period=clock.seconds(300)), now)
     execute(calls, end("a"), now)
     for _ in range(4):
         now += clock.seconds(71)
--- a/aspencroft/sessions/turn_history.py
+++ b/aspencroft/sessions/turn_history.py
@@ -160,7 +160,7 @@
     def apply_began(self, event: entry.TurnBegan) -> None:
         """Add a turn in flight, and retain the chain that came with it."""
         for turn in event.base:
-            self.retain(turn, "", event.keep)
+            self.retain(turn, "", event.retention_period)
         self.in_flight[event.attempt] = dataclasses.replace(event, base=()) if event.base else event
         self.pin(event.previous)
 
@@ -180,7 +180,7 @@
         """Remember an attempt that must not begin again."""
         self.finished[finished.attempt] = finished
 
-    def retain(self, turn: entry.Turn, program: str, keep: datetime.timedelta) -> None:
+    def retain(self, turn: entry.Turn, program: str, retention_period: datetime.timedelta) -> None:
         """Retain a turn's history, unless it is retained already.
 
         The turn counts as ended at the next tick, so that the time since the last tick does not add to its age.
@@ -193,7 +193,7 @@
         added = turn_bytes(turn)
         previous = self.retained.get(turn.previous)
         self.retained[turn.attempt] = entry.RetainedTurn(
-            turn, program, keep, added + (previous.size if previous else 0)
+            turn, program, retention_period, added + (previous.size if previous else 0)
         )
         self.bytes += added
         self.pin(turn.previous)
@@ -245,7 +245,7 @@
                 known is not None
                 and attempt not in expired
                 and now - self.answered_at.setdefault(attempt, now - self.age(attempt))
-                > known.keep + retention.RETENTION_MARGIN
+                > known.retention_period + retention.RETENTION_MARGIN
                 and self.successors.get(attempt, 0) == unpinned[attempt]
             ):
                 expired[attempt] = None
@@ -273,9 +273,9 @@
             return None
         self.bytes -= turn_bytes(known.turn)
         self.unpin(known.turn.previous)
-        if known.keep < retention.MIN_RETENTION:
+        if known.retention_period < retention.MIN_RETENTION:
             self.finished[attempt] = entry.FinishedAttempt(
-                attempt, messages.DONE, known.program, known.turn.previous, 0, 0, False, known.keep
+                attempt, messages.DONE, known.program, known.turn.previous, 0, 0, False, known.retention_period
             )
         return known
 
--- a/aspencroft/sessions/turn_history_test.py
+++ b/aspencroft/sessions/turn_history_test.py
@@ -81,12 +81,12 @@
 @pytest.mark.parametrize("retained", [True, False])
 def test_an_ended_attempt_never_begins_again(outcome, retained):
     calls = call_sessions.CallSessions()
-    execute(calls, begin("a", retained=retained, keep=clock.seconds(5)), START)
+    execute(calls, begin("a", retained=retained, retention_period=clock.seconds(5)), START)
     execute(calls, end("a", outcome), START)
     for late in (0, 9, 20, 59):
         now = START + clock.seconds(late)
         run_due_commands(calls, now)
-        refusal = rejection_of(calls, begin("a", retained=retained, keep=clock.seconds(5)), now)
+        refusal = rejection_of(calls, begin("a", retained=retained, retention_period=clock.seconds(5)), now)
         assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, turn_history.RAN_BY_OUTCOME[outcome])
         assert rejection_of(successor_of(calls), begin("a"), now).result is result.ResultCode.STALE_TURN
     run_due_commands(calls, START + clock.seconds(80))
@@ -247,8 +247,8 @@
 
 def test_a_late_end_whose_chain_is_gone_is_refused():
     calls = call_sessions.CallSessions()
-    add_chain(calls, "a", START, keep=clock.seconds(1))
-    execute(calls, begin("b", "a", keep=clock.seconds(1)), START)
+    add_chain(calls, "a", START, retention_period=clock.seconds(1))
+    execute(calls, begin("b", "a", retention_period=clock.seconds(1)), START)
     run_due_commands(calls, START + clock.seconds(14))
     run_due_commands(calls, START + clock.seconds(15))
     assert "a" not in calls.history.retained and calls.history.finished["b"].outcome == messages.UNKNOWN
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -245,7 +245,7 @@
     Mutation(
         "a key is forgotten early",
         "sessions/lane_sessions.py",
-        "        span = max(MIN_KEY_RETENTION, operation.keep) + RETENTION_MARGIN\n",
+        "        span = max(MIN_KEY_RETENTION, operation.retention_period) + RETENTION_MARGIN\n",
         "        span = RETENTION_MARGIN\n",
         (
             "simulation/keeping_test.py::test_a_key_holds_a_minute_over_edges_takeovers_a_full_stop_and_jumping_clocks_then_is_free",
@@ -254,8 +254,8 @@
     Mutation(
         "a takeover does not start keep times anew",
         "sessions/lane_sessions.py",
-        "        return now - self.program_active_at.setdefault(program.name, now) > program.keep\n",
-        "        return now - self.program_active_at.setdefault(program.name, now - program.keep * 0.9) > program.keep\n",
+        "        return now - self.program_active_at.setdefault(program.name, now) > program.retention_period\n",
+        "        return now - self.program_active_at.setdefault(program.name, now - program.retention_period * 0.9) > program.retention_period\n",
         (
             "simulation/keeping_test.py::test_history_is_there_until_its_keep_time_ends_also_after_takeovers_and_its_room_is_given_back",
         ),
