--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -131,7 +131,7 @@
             budget,
             command.retained,
             command.retention_period,
-            command.within,
+            command.time_limit,
             command.edge,
             worker,
             imported,
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -21,7 +21,7 @@
 
 MINUTE, MARGIN = clock.seconds(60), clock.seconds(10)
 START = clock.seconds(1000)
-WITHIN = clock.seconds(3)
+TIME_LIMIT = clock.seconds(3)
 KEEP = clock.seconds(60)
 INPUT = bytes(17_000)
 
@@ -29,7 +29,7 @@
 def begin(attempt: str, previous: str = "", **changes) -> entry.BeginTurn:
     """Build the start of a turn of program p at edge e, without a budget, retained for a minute."""
     return dataclasses.replace(
-        entry.BeginTurn("p", "s", attempt, previous, 10, 0, True, KEEP, WITHIN, "e", "", ()), **changes
+        entry.BeginTurn("p", "s", attempt, previous, 10, 0, True, KEEP, TIME_LIMIT, "e", "", ()), **changes
     )
 
 
@@ -43,7 +43,7 @@
 
 def claim(attempt: str, **changes) -> entry.ClaimKey:
     """Build the reservation of key k at edge e."""
-    return dataclasses.replace(entry.ClaimKey("k", attempt, b"d", WITHIN, MINUTE, "e"), **changes)
+    return dataclasses.replace(entry.ClaimKey("k", attempt, b"d", TIME_LIMIT, MINUTE, "e"), **changes)
 
 
 def close(attempt: str, outcome: str = messages.DONE, **changes) -> entry.CloseKey:
@@ -204,7 +204,7 @@
                 counted=budget > 0,
                 retained=command.retained,
                 retention_period=command.retention_period,
-                within=command.within,
+                time_limit=command.time_limit,
                 edge=command.edge,
                 state="running",
                 outcome="",
@@ -295,7 +295,7 @@
             dict(
                 key=command.key,
                 attempt=command.attempt,
-                within=command.within,
+                time_limit=command.time_limit,
                 window=command.window,
                 edge=command.edge,
                 outcome="",
@@ -360,7 +360,7 @@
             self.programs.remove(row)
         for key in event.keys:
             row = self.find_row(self.keys, key=key)
-            assert row["outcome"] and now - row["since"] > row["within"] + row["window"]
+            assert row["outcome"] and now - row["since"] > row["time_limit"] + row["window"]
             assert now - row["closed"] > row["window"]
             self.keys.remove(row)
         for attempt in event.freed:
@@ -373,7 +373,9 @@
         running = [("attempt", row) for row in self.rows if row["state"] == "running"]
         running += [("key", row) for row in self.keys if not row["outcome"]]
         return {
-            row[name] for name, row in running if is_gone(row["edge"]) or now - row["since"] > row["within"] + MARGIN
+            row[name]
+            for name, row in running
+            if is_gone(row["edge"]) or now - row["since"] > row["time_limit"] + MARGIN
         }
 
     def restart_timers(self, now) -> None:
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -46,7 +46,7 @@
     budget: int
     retained: bool
     retention_period: datetime.timedelta
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
     have: str
     base: tuple[Turn, ...]
@@ -101,7 +101,7 @@
 @codec.kind(146)
 @dataclasses.dataclass(frozen=True)
 class ClaimKey:
-    """Command: reserve an operation key for one attempt, which runs for at most ``within``.
+    """Command: reserve an operation key for one attempt, which runs for at most ``time_limit``.
 
     The key is retained for ``window`` after the last moment at which the work could run. The digest is not compared:
     requests with the same key are the same operation.
@@ -110,7 +110,7 @@
     key: str
     attempt: str
     digest: bytes
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     window: datetime.timedelta
     edge: str
 
@@ -160,7 +160,7 @@
     budget: int
     retained: bool
     retention_period: datetime.timedelta
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
     worker: str
     base: tuple[Turn, ...]
@@ -190,7 +190,7 @@
 
     key: str
     attempt: str
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     window: datetime.timedelta
     edge: str
 
@@ -358,7 +358,7 @@
 
     key: str
     attempt: str
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     window: datetime.timedelta
     edge: str
     outcome: str
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -114,7 +114,7 @@
         """Return whether a key was retained for at least a minute after the last moment at which its work could run."""
         span = max(MIN_KEY_RETENTION, operation.retention_period) + RETENTION_MARGIN
         if operation.outcome != messages.DONE:
-            span += operation.within + UNFINISHED_KEY_MARGIN
+            span += operation.time_limit + UNFINISHED_KEY_MARGIN
         return now - self.key_updated_at.setdefault(operation.key, now) > span
 
     def open_turn(self, command: messages.OpenTurn, now: datetime.timedelta) -> Decision:
@@ -199,7 +199,7 @@
                 retry=OVERLOADED_RETRY_AFTER,
             )
         event = messages.OperationClaimed(
-            command.key, command.lane, command.attempt, command.digest, command.within, command.retention_period
+            command.key, command.lane, command.attempt, command.digest, command.time_limit, command.retention_period
         )
         self.key_updated_at[command.key] = now
         return (event,), messages.Operation(
@@ -210,7 +210,7 @@
             True,
             "",
             b"",
-            command.within,
+            command.time_limit,
             command.retention_period,
         )
 
@@ -237,7 +237,7 @@
         known = self.programs.get(event.program) or messages.Program(
             event.program, event.lane, event.budget, 0, event.retention_period, (), ()
         )
-        turn = messages.OpenGo(event.helper, event.after, event.attempt, event.reserve, event.within, event.edge)
+        turn = messages.OpenGo(event.helper, event.after, event.attempt, event.reserve, event.time_limit, event.edge)
         self.program_of_open_turn[event.attempt] = event.program
         self.programs[event.program] = dataclasses.replace(
             known,
@@ -259,7 +259,7 @@
     def apply_operation_claimed(self, event: messages.OperationClaimed) -> None:
         """Reserve an operation key."""
         self.operations[event.key] = messages.Operation(
-            event.key, event.lane, event.attempt, event.digest, False, "", b"", event.within, event.retention_period
+            event.key, event.lane, event.attempt, event.digest, False, "", b"", event.time_limit, event.retention_period
         )
 
     def apply_operation_closed(self, event: messages.OperationClosed) -> None:
@@ -292,7 +292,7 @@
             turn = next(each for each in self.programs[name].in_flight if each.attempt == attempt)
             if (
                 is_edge_gone(turn.edge)
-                or now - self.turn_opened_at.setdefault(attempt, now) > turn.within + RETENTION_MARGIN
+                or now - self.turn_opened_at.setdefault(attempt, now) > turn.time_limit + RETENTION_MARGIN
             ):
                 commands.append(messages.CloseTurn(name, turn.helper, attempt, messages.UNKNOWN, "", "", 0))
         for _ in range(SCAN_LIMIT):
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -34,7 +34,7 @@
     reserve: int
     budget: int
     retention_period: datetime.timedelta
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
 
 
@@ -51,7 +51,7 @@
     reserve: int
     budget: int
     retention_period: datetime.timedelta
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
 
 
@@ -118,7 +118,7 @@
     lane: str
     attempt: str
     digest: bytes
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     retention_period: datetime.timedelta
 
 
@@ -131,7 +131,7 @@
     lane: str
     attempt: str
     digest: bytes
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     retention_period: datetime.timedelta
 
 
@@ -169,7 +169,7 @@
     is_holder: bool
     outcome: str
     answer: bytes
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     retention_period: datetime.timedelta
 
 
@@ -206,7 +206,7 @@
     after: int
     attempt: str
     reserve: int
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
 
 
--- a/aspencroft/sessions/operation_keys.py
+++ b/aspencroft/sessions/operation_keys.py
@@ -58,7 +58,7 @@
                 retry=OVERLOADED_RETRY_AFTER,
             )
         self.reserved_at[command.key] = now
-        event = entry.KeyClaimed(command.key, command.attempt, command.within, command.window, command.edge)
+        event = entry.KeyClaimed(command.key, command.attempt, command.time_limit, command.window, command.edge)
         return (event,), entry.KeyHeld(True, "", 0, (), b"")
 
     def decide_finish(self, command: entry.CloseKey, now: datetime.timedelta) -> entry.Decision:
@@ -88,14 +88,14 @@
         else:
             assert known is not None
             # The window starts at the last moment at which the work could have run, so a late answer extends it.
-            self.reserved_at[command.key] = max(self.reserved_at.get(command.key, now), now - known.within)
+            self.reserved_at[command.key] = max(self.reserved_at.get(command.key, now), now - known.time_limit)
             event = key_closed(command)
         return (event,), messages.Closed(command.outcome)
 
     def apply_reserved(self, event: entry.KeyClaimed) -> None:
         """Reserve a key."""
         self.records[event.key] = entry.Key(
-            event.key, event.attempt, event.within, event.window, event.edge, "", 0, (), b""
+            event.key, event.attempt, event.time_limit, event.window, event.edge, "", 0, (), b""
         )
         self.in_flight[event.key] = None
 
@@ -113,7 +113,7 @@
         self.records[event.key] = entry.Key(
             event.key,
             event.attempt,
-            known.within,
+            known.time_limit,
             known.window,
             known.edge,
             event.outcome,
@@ -131,14 +131,17 @@
         for key in self.in_flight:
             record = self.records[key]
             is_edge_gone = is_gone(record.edge)
-            if now - self.reserved_at.setdefault(key, now) > record.within + retention.RETENTION_MARGIN or is_edge_gone:
+            if (
+                now - self.reserved_at.setdefault(key, now) > record.time_limit + retention.RETENTION_MARGIN
+                or is_edge_gone
+            ):
                 overdue.append(entry.CloseKey(key, record.attempt, messages.UNKNOWN, 0, (), b""))
         return overdue
 
     def find_expired(self, names: collections.abc.Iterable[str], now: datetime.timedelta) -> tuple[str, ...]:
         """Return those of the given keys that have an outcome and whose window has passed.
 
-        The window starts at the last moment at which the work could have run, ``within`` after the reservation, so
+        The window starts at the last moment at which the work could have run, ``time_limit`` after the reservation, so
         that no second request runs while the first one still may.
         """
         expired = []
@@ -146,7 +149,7 @@
             record = self.records.get(name)
             if record is None:
                 continue
-            span = record.within + record.window + retention.RETENTION_MARGIN
+            span = record.time_limit + record.window + retention.RETENTION_MARGIN
             if now - self.reserved_at.setdefault(name, now) > span:
                 if record.outcome:
                     expired.append(name)
--- a/aspencroft/sessions/operation_keys_test.py
+++ b/aspencroft/sessions/operation_keys_test.py
@@ -9,7 +9,7 @@
     MARGIN,
     MINUTE,
     START,
-    WITHIN,
+    TIME_LIMIT,
     begin,
     claim,
     close,
@@ -53,14 +53,14 @@
         calls, now = call_sessions.CallSessions(), START
         assert execute(calls, claim("a"), now).is_holder
         if outcome:
-            execute(calls, close("a", outcome), now + WITHIN)
+            execute(calls, close("a", outcome), now + TIME_LIMIT)
         calls = successor_of(calls)
         now += clock.seconds(50)
         run_due_commands(calls, now)
-        run_due_commands(calls, now + WITHIN + MINUTE + MARGIN)
-        reply = execute(calls, claim("b"), now + WITHIN + MINUTE + MARGIN)
+        run_due_commands(calls, now + TIME_LIMIT + MINUTE + MARGIN)
+        reply = execute(calls, claim("b"), now + TIME_LIMIT + MINUTE + MARGIN)
         assert not reply.is_holder and reply.outcome == (outcome or messages.UNKNOWN)
-        run_due_commands(calls, now + 2 * (WITHIN + MINUTE + MARGIN + clock.seconds(1)))
+        run_due_commands(calls, now + 2 * (TIME_LIMIT + MINUTE + MARGIN + clock.seconds(1)))
         assert execute(calls, claim("b"), now + clock.seconds(200)).is_holder
 
 
--- a/aspencroft/sessions/session_snapshot_test.py
+++ b/aspencroft/sessions/session_snapshot_test.py
@@ -8,7 +8,7 @@
     INPUT,
     MINUTE,
     START,
-    WITHIN,
+    TIME_LIMIT,
     begin,
     due_commands,
     end,
@@ -20,10 +20,10 @@
 def test_scan_steps_of_large_call_sessions_are_bounded_and_reach_everything():
     calls, now, many = call_sessions.CallSessions(), START, 3 * retention.SCAN_LIMIT
     for number in range(many):
-        calls.apply(entry.KeyClaimed(f"k{number}", f"a{number}", WITHIN, MINUTE, "e"))
+        calls.apply(entry.KeyClaimed(f"k{number}", f"a{number}", TIME_LIMIT, MINUTE, "e"))
         calls.apply(entry.KeyClosed(f"k{number}", f"a{number}", messages.DONE, 200, (), b""))
     for number in range(2 * retention.DUE_LIMIT):
-        calls.apply(entry.KeyClaimed(f"o{number}", f"o{number}", WITHIN, MINUTE, "lost"))
+        calls.apply(entry.KeyClaimed(f"o{number}", f"o{number}", TIME_LIMIT, MINUTE, "lost"))
     assert len(calls.due(now, lambda edge: edge == "lost")) == retention.DUE_LIMIT
     assert len(calls.keys.reserved_at) <= retention.SCAN_LIMIT + 2 * retention.DUE_LIMIT
     for _ in range(9):
--- a/aspencroft/sessions/token_budget_test.py
+++ b/aspencroft/sessions/token_budget_test.py
@@ -129,8 +129,8 @@
     calls, late = call_sessions.CallSessions(), START + clock.seconds(200)
     execute(calls, begin("a", budget=10), START)
     execute(calls, end("a"), START)
-    execute(calls, begin("b", "a", program="q", within=clock.seconds(500)), START)
-    execute(calls, begin("c", program="r", budget=10, within=clock.seconds(500)), START)
+    execute(calls, begin("b", "a", program="q", time_limit=clock.seconds(500)), START)
+    execute(calls, begin("c", program="r", budget=10, time_limit=clock.seconds(500)), START)
     run_due_commands(calls, late)
     assert {name: (account.used, account.reserved) for name, account in calls.budgets.accounts.items()} == {
         "p": (7, 0),
--- a/aspencroft/sessions/turn_history.py
+++ b/aspencroft/sessions/turn_history.py
@@ -220,7 +220,7 @@
         for attempt, started in self.in_flight.items():
             is_edge_gone = is_gone(started.edge)
             if (
-                now - self.began_at.setdefault(attempt, now) > started.within + retention.RETENTION_MARGIN
+                now - self.began_at.setdefault(attempt, now) > started.time_limit + retention.RETENTION_MARGIN
                 or is_edge_gone
             ):
                 overdue.append(
--- a/aspencroft/sessions/turn_history_test.py
+++ b/aspencroft/sessions/turn_history_test.py
@@ -20,7 +20,7 @@
     KEEP,
     MARGIN,
     START,
-    WITHIN,
+    TIME_LIMIT,
     begin,
     claim,
     close,
@@ -150,7 +150,7 @@
 def test_a_chain_is_kept_as_long_as_a_turn_that_goes_on_from_it_is_kept_or_under_way():
     calls, now = call_sessions.CallSessions(), START
     add_chain(calls, "abc", now)
-    execute(calls, begin("d", "b", within=clock.seconds(500)), now)
+    execute(calls, begin("d", "b", time_limit=clock.seconds(500)), now)
     run_due_commands(calls, now + clock.seconds(200))
     assert set(calls.history.retained) == {"a", "b"}
     execute(calls, end("d"), now + clock.seconds(200))
@@ -232,10 +232,10 @@
         execute(calls, begin(attempt, "a", budget=100, edge=edge), START)
     assert [command.attempt for command in run_due_commands(calls, START, lambda edge: edge == "lost 1")] == ["b", "d"]
     assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (20, 10)
-    assert not run_due_commands(calls, START + WITHIN + MARGIN)
-    assert [command.attempt for command in run_due_commands(calls, START + WITHIN + MARGIN + clock.seconds(0.1))] == [
-        "c"
-    ]
+    assert not run_due_commands(calls, START + TIME_LIMIT + MARGIN)
+    assert [
+        command.attempt for command in run_due_commands(calls, START + TIME_LIMIT + MARGIN + clock.seconds(0.1))
+    ] == ["c"]
     assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (30, 0)
     for _ in range(2):
         assert execute(calls, end("b", used=4), START) == messages.Closed(messages.DONE)
