--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -352,7 +352,9 @@
                     state.turn_reserved = False
                 raise
             chain = await self.find_chain_in_other_groups(state, previous)
-            reply = await self.submit_to_group(state, state.program, dataclasses.replace(command, base=chain, have=""))
+            reply = await self.submit_to_group(
+                state, state.program, dataclasses.replace(command, base=chain, held_turn="")
+            )
         state.last_worker = reply.worker
         if previous:
             self.chains.keep(reply.chain)
--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -136,7 +136,7 @@
             worker,
             imported,
         )
-        return (event,), self.history.start_reply(command.previous, command.have, worker, imported)
+        return (event,), self.history.start_reply(command.previous, command.held_turn, worker, imported)
 
     def has_room(self, command: entry.BeginTurn, imported: tuple[entry.Turn, ...]) -> bool:
         """Return whether the payload limit has room for a turn's history; it is lower for the first turn of a chain."""
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -219,8 +219,8 @@
         """Return the expected reply to the start of a turn that is granted."""
         chain = self.chain(command.previous)
         names = [row["attempt"] for row in chain]
-        if command.have in names:
-            return entry.TurnBegun(self.turns(chain[names.index(command.have) + 1 :]), hint, False)
+        if command.held_turn in names:
+            return entry.TurnBegun(self.turns(chain[names.index(command.held_turn) + 1 :]), hint, False)
         return entry.TurnBegun(self.turns(chain), hint, True)
 
     def end(self, command: entry.EndTurn, now) -> object:
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -34,7 +34,7 @@
     """Command: start the turn of an attempt that continues ``previous``, within the program's token budget.
 
     ``most`` is the maximum number of tokens that the turn may generate. A ``budget`` of zero sets none. ``edge`` is the
-    incarnation of the requesting edge. ``have`` names a turn whose chain the edge already holds. ``base`` is the chain
+    incarnation of the requesting edge. ``held_turn`` names a turn whose chain the edge already holds. ``base`` is the chain
     of ``previous``, fetched from another group, oldest turn first.
     """
 
@@ -48,7 +48,7 @@
     retention_period: datetime.timedelta
     time_limit: datetime.timedelta
     edge: str
-    have: str
+    held_turn: str
     base: tuple[Turn, ...]
 
 
--- a/aspencroft/sessions/turn_history.py
+++ b/aspencroft/sessions/turn_history.py
@@ -86,7 +86,7 @@
                 raise result.RequestError(
                     result.ResultCode.TURN_UNDER_WAY, detail="the attempt is in flight as a different turn"
                 )
-            return self.start_reply(known.previous, command.have, known.worker, ())
+            return self.start_reply(known.previous, command.held_turn, known.worker, ())
         if command.attempt in self.retained:
             raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.RAN, "the attempt has already ended")
         if command.attempt in self.finished:
@@ -136,11 +136,13 @@
                 result.ResultCode.TURN_NOT_ENDED, detail=attempt, retry=TURN_NOT_ENDED_RETRY_AFTER
             )
 
-    def start_reply(self, previous: str, have: str, worker: str, imported: tuple[entry.Turn, ...]) -> entry.TurnBegun:
-        """Return the reply to a turn's start: the chain up to ``previous``, or only the part of it after ``have``."""
+    def start_reply(
+        self, previous: str, held_turn: str, worker: str, imported: tuple[entry.Turn, ...]
+    ) -> entry.TurnBegun:
+        """Return the reply to a turn's start: the chain up to ``previous``, or only the part of it after ``held_turn``."""
         new = {turn.attempt: turn for turn in imported}
         chain, attempt = [], previous
-        while attempt and attempt != have:
+        while attempt and attempt != held_turn:
             turn = new[attempt] if attempt in new else self.retained[attempt].turn
             chain.append(turn)
             attempt = turn.previous
--- a/aspencroft/sessions/turn_history_test.py
+++ b/aspencroft/sessions/turn_history_test.py
@@ -49,13 +49,13 @@
     assert b"".join(turn.input + turn.output for turn in whole.chain).decode() == "".join(
         f"in {name}\nout {name}\n" for name in "abcd"
     )
-    for have, names, complete in (
+    for held_turn, names, complete in (
         ("d", "", False),
         ("b", "cd", False),
         ("x", "abcd", True),
         ("nobody", "abcd", True),
     ):
-        reply = execute(calls, begin("e", "d", have=have), START)
+        reply = execute(calls, begin("e", "d", held_turn=held_turn), START)
         assert ("".join(turn.attempt for turn in reply.chain), reply.complete) == (names, complete)
     branch = execute(calls, begin("y", "x"), START)
     assert ("".join(turn.attempt for turn in branch.chain), branch.worker) == ("abx", "i-7")
