--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -34,8 +34,8 @@
     """Command: start the turn of an attempt that continues ``previous``, within the program's token budget.
 
     ``most`` is the maximum number of tokens that the turn may generate. A ``budget`` of zero sets none. ``edge`` is the
-    incarnation of the requesting edge. ``held_turn`` names a turn whose chain the edge already holds. ``base`` is the chain
-    of ``previous``, fetched from another group, oldest turn first.
+    incarnation of the requesting edge. ``held_turn`` names a turn whose chain the edge already holds. ``base`` is the
+    chain of ``previous``, fetched from another group, oldest turn first.
     """
 
     program: str
--- a/aspencroft/sessions/turn_history.py
+++ b/aspencroft/sessions/turn_history.py
@@ -139,7 +139,7 @@
     def start_reply(
         self, previous: str, held_turn: str, worker: str, imported: tuple[entry.Turn, ...]
     ) -> entry.TurnBegun:
-        """Return the reply to a turn's start: the chain up to ``previous``, or only the part of it after ``held_turn``."""
+        """Return the reply to a turn's start: the chain up to ``previous``, or only its part after ``held_turn``."""
         new = {turn.attempt: turn for turn in imported}
         chain, attempt = [], previous
         while attempt and attempt != held_turn:
