--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -368,7 +368,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LedgerSnapshot:
+class CallSessionsSnapshot:
     """The state of the opaque calls of a session group, without the ages of turns and the quotas."""
 
     accounts: tuple[Account, ...]
@@ -383,7 +383,7 @@
 class TurnAges:
     """The group's own time, and when each retained turn ended by it, in the order of the turns.
 
-    It follows the ``LedgerSnapshot`` in a snapshot.
+    It follows the ``CallSessionsSnapshot`` in a snapshot.
     """
 
     time: datetime.timedelta
--- a/aspencroft/sessions/session_snapshot.py
+++ b/aspencroft/sessions/session_snapshot.py
@@ -19,7 +19,7 @@
 class Restored(typing.NamedTuple):
     """A decoded snapshot, and the offset of the first byte after it."""
 
-    snapshot: entry.LedgerSnapshot
+    snapshot: entry.CallSessionsSnapshot
     ages: entry.TurnAges
     quotas: entry.QuotaRecords
     end: int
@@ -27,7 +27,7 @@
 
 def empty() -> Restored:
     """Return the snapshot of an empty group."""
-    return Restored(entry.LedgerSnapshot((), (), (), (), (), ()), entry.TurnAges(clock.ZERO, ()), NO_QUOTAS, 0)
+    return Restored(entry.CallSessionsSnapshot((), (), (), (), (), ()), entry.TurnAges(clock.ZERO, ()), NO_QUOTAS, 0)
 
 
 def encode_chunks(
@@ -36,7 +36,7 @@
     ages: entry.TurnAges,
     quotas: entry.QuotaRecords = NO_QUOTAS,
 ) -> collections.abc.Iterator[bytes]:
-    """Encode an ``entry.LedgerSnapshot``, then the ages of turns, then the quota records if there are any.
+    """Encode an ``entry.CallSessionsSnapshot``, then the ages of turns, then the quota records if there are any.
 
     :param tables: the records of all fields of the snapshot but the last, in the order of the fields
     :param released: the last field
@@ -77,7 +77,7 @@
 
     :raises codec.CodecError: if the bytes are not a valid snapshot
     """
-    snapshot, end = codec.unpack_from(entry.LedgerSnapshot, body, start)
+    snapshot, end = codec.unpack_from(entry.CallSessionsSnapshot, body, start)
     ages = entry.TurnAges(clock.ZERO, (clock.ZERO,) * len(snapshot.turns))
     if end < len(body):
         ages, end = codec.unpack_from(entry.TurnAges, body, end)
--- a/aspencroft/sessions/turn_history.py
+++ b/aspencroft/sessions/turn_history.py
@@ -41,7 +41,7 @@
     turn has by then is known from the group's own time.
     """
 
-    def __init__(self, group_clock: retention.GroupClock, snapshot: entry.LedgerSnapshot, ages: entry.TurnAges):
+    def __init__(self, group_clock: retention.GroupClock, snapshot: entry.CallSessionsSnapshot, ages: entry.TurnAges):
         self.group_clock = group_clock
         self.retained = {retained.turn.attempt: retained for retained in snapshot.turns}
         self.in_flight = {started.attempt: started for started in snapshot.in_flight}
