--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -97,7 +97,7 @@
         repeated = self.history.repeated_start(command)
         if repeated is not None:
             return (), repeated
-        if not command.attempt or command.most < 0 or command.budget < 0:
+        if not command.attempt or command.max_tokens < 0 or command.budget < 0:
             raise result.RequestError(
                 result.ResultCode.MALFORMED, detail="attempt is missing, or a token count is negative"
             )
@@ -127,7 +127,7 @@
             command.session,
             command.attempt,
             command.previous,
-            command.most,
+            command.max_tokens,
             budget,
             command.retained,
             command.retention_period,
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -152,7 +152,7 @@
         budget = min(budgets, default=0)
         if program is not None and budget:
             reserved = sum(
-                other["most"]
+                other["max_tokens"]
                 for other in self.rows
                 if other["state"] == "running" and other["program"] == command.program and other["counted"]
             )
@@ -200,7 +200,7 @@
                 program=command.program,
                 session=command.session,
                 previous=command.previous,
-                most=command.most,
+                max_tokens=command.max_tokens,
                 counted=budget > 0,
                 retained=command.retained,
                 retention_period=command.retention_period,
@@ -257,7 +257,9 @@
             ):
                 return result.ResultCode.STALE_TURN
         program = self.find_row(self.programs, name=row["program"])
-        charge = {messages.DONE: command.used, messages.NOT_RUN: 0, messages.UNKNOWN: row["most"]}[command.outcome]
+        charge = {messages.DONE: command.used, messages.NOT_RUN: 0, messages.UNKNOWN: row["max_tokens"]}[
+            command.outcome
+        ]
         charge = charge if row["counted"] else 0
         if program is not None:
             program["used"] += charge - row["charged"]
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -33,16 +33,16 @@
 class BeginTurn:
     """Command: start the turn of an attempt that continues ``previous``, within the program's token budget.
 
-    ``most`` is the maximum number of tokens that the turn may generate. A ``budget`` of zero sets none. ``edge`` is the
-    incarnation of the requesting edge. ``held_turn`` names a turn whose chain the edge already holds. ``base`` is the
-    chain of ``previous``, fetched from another group, oldest turn first.
+    The turn may generate up to ``max_tokens``. A ``budget`` of zero sets none. ``edge`` is the incarnation of the
+    requesting edge. ``held_turn`` names a turn whose chain the edge already holds. ``base`` is the chain of
+    ``previous``, fetched from another group, oldest turn first.
     """
 
     program: str
     session: str
     attempt: str
     previous: str
-    most: int
+    max_tokens: int
     budget: int
     retained: bool
     retention_period: datetime.timedelta
@@ -147,7 +147,7 @@
 @codec.kind(149)
 @dataclasses.dataclass(frozen=True)
 class TurnBegan:
-    """Event: a turn is in flight. If it has a budget (the one in force), ``most`` tokens are reserved.
+    """Event: a turn is in flight. If it has a budget (the one in force), ``max_tokens`` are reserved.
 
     The turns of ``base`` are retained from now on. The same record, without ``base``, is the state of a turn in flight.
     """
@@ -156,7 +156,7 @@
     session: str
     attempt: str
     previous: str
-    most: int
+    max_tokens: int
     budget: int
     retained: bool
     retention_period: datetime.timedelta
@@ -167,7 +167,7 @@
 
     def reserved(self) -> int:
         """Return the tokens reserved for the turn; none without a budget."""
-        return self.most if self.budget else 0
+        return self.max_tokens if self.budget else 0
 
 
 @codec.kind(154)
--- a/aspencroft/sessions/token_budget_test.py
+++ b/aspencroft/sessions/token_budget_test.py
@@ -20,14 +20,14 @@
 def test_concurrent_turns_over_many_edges_stay_under_the_budget_plus_one_turn():
     for seed in range(50):
         rng, calls, now = random.Random(seed), call_sessions.CallSessions(), START
-        generated, running, most, budget = 0, {}, 10, 200
+        generated, running, max_tokens, budget = 0, {}, 10, 200
         for number in range(300):
             now += clock.seconds(0.05)
             if running and rng.random() < 0.5:
                 attempt = rng.choice(list(running))
                 edge = running.pop(attempt)
                 outcome = rng.choice([messages.DONE, messages.NOT_RUN, messages.UNKNOWN, "edge lost"])
-                used = rng.randrange(most + 1)
+                used = rng.randrange(max_tokens + 1)
                 if outcome == "edge lost":
                     for command in due_commands(calls, now, lambda incarnation: incarnation == edge):
                         execute(calls, command, now)
@@ -40,7 +40,7 @@
                     execute(calls, command, now)
             else:
                 edge = f"e{rng.randrange(8)} {number}"
-                command = begin(f"t{number}", budget=budget, most=most, edge=edge)
+                command = begin(f"t{number}", budget=budget, max_tokens=max_tokens, edge=edge)
                 try:
                     for _ in range(rng.choice([1, 2])):
                         execute(calls, command, now)
@@ -49,7 +49,7 @@
                     assert refusal.result is result.ResultCode.OUT_OF_BUDGET and refusal.ran is result.Ran.NOT_RUN
             if rng.random() < 0.05:
                 calls = successor_of(calls)
-            assert generated + most * len(running) <= budget + most - 1
+            assert generated + max_tokens * len(running) <= budget + max_tokens - 1
         assert generated > budget / 4
 
 
@@ -74,7 +74,7 @@
 def test_without_a_budget_nothing_is_counted():
     calls = call_sessions.CallSessions()
     for number in range(50):
-        execute(calls, begin(f"t{number}", most=10**9), START)
+        execute(calls, begin(f"t{number}", max_tokens=10**9), START)
         execute(calls, end(f"t{number}", used=10**9), START)
     assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (0, 0)
     execute(calls, begin("counted", budget=10), START)
