--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -230,9 +230,9 @@
             self.history.find_expired(command.turns, now),
             self.history.find_expired_finished(command.ended, now),
             self.keys.find_expired(command.keys, now),
-            self.keys.find_expired_released(command.freed, now),
+            self.keys.find_expired_released(command.released_attempts, now),
         )
-        is_any_expired = event.programs or event.turns or event.ended or event.keys or event.freed
+        is_any_expired = event.programs or event.turns or event.ended or event.keys or event.released_attempts
         return ((event,) if is_any_expired else ()), messages.Closed("")
 
     # -- events --------------------------------------------------------------------------------
@@ -321,7 +321,7 @@
             self.budgets.forget(name)
         for name in event.keys:
             self.keys.forget(name)
-        for name in event.freed:
+        for name in event.released_attempts:
             self.keys.forget_released(name)
 
     # -- timers --------------------------------------------------------------------------------
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -114,7 +114,7 @@
         self.rows: list[dict] = []
         self.programs: list[dict] = []
         self.keys: list[dict] = []
-        self.freed: list[dict] = []
+        self.released_attempts: list[dict] = []
 
     def find_row(self, rows: list[dict], **fields) -> dict | None:
         """Return the first row with the given values."""
@@ -291,7 +291,7 @@
                 row["headers"],
                 row["body"],
             )
-        if self.find_row(self.freed, attempt=command.attempt):
+        if self.find_row(self.released_attempts, attempt=command.attempt):
             return result.ResultCode.STALE_TURN
         self.keys.append(
             dict(
@@ -316,8 +316,8 @@
         if command.outcome == messages.NOT_RUN and (row is None or not row["outcome"]):
             if row is not None:
                 self.keys.remove(row)
-            if self.find_row(self.freed, attempt=command.attempt) is None:
-                self.freed.append(dict(attempt=command.attempt, since=now))
+            if self.find_row(self.released_attempts, attempt=command.attempt) is None:
+                self.released_attempts.append(dict(attempt=command.attempt, since=now))
             return messages.Closed(messages.NOT_RUN)
         if row is None:
             return messages.Closed("")
@@ -365,10 +365,10 @@
             assert row["outcome"] and now - row["since"] > row["time_limit"] + row["window"]
             assert now - row["closed"] > row["window"]
             self.keys.remove(row)
-        for attempt in event.freed:
-            row = self.find_row(self.freed, attempt=attempt)
+        for attempt in event.released_attempts:
+            row = self.find_row(self.released_attempts, attempt=attempt)
             assert now - row["since"] > MINUTE
-            self.freed.remove(row)
+            self.released_attempts.remove(row)
 
     def overdue(self, now, is_gone) -> set[str]:
         """Return the work in flight whose edge is gone or whose time limit has passed."""
@@ -382,7 +382,7 @@
 
     def restart_timers(self, now) -> None:
         """Restart all timers, as a new primary does, except for retained turns, whose age the group knows."""
-        for row in (*self.rows, *self.programs, *self.keys, *self.freed):
+        for row in (*self.rows, *self.programs, *self.keys, *self.released_attempts):
             if row.get("state") == "kept":
                 continue
             row["since"] = now
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -213,14 +213,14 @@
 class Forget:
     """Timer command and event: retention periods expired.
 
-    ``ended`` (finished attempts) and ``freed`` (attempts that released their key) hold names of attempts.
+    ``ended`` (finished attempts) and ``released_attempts`` (those that released their key) hold names of attempts.
     """
 
     programs: tuple[str, ...]
     turns: tuple[str, ...]
     ended: tuple[str, ...]
     keys: tuple[str, ...]
-    freed: tuple[str, ...]
+    released_attempts: tuple[str, ...]
 
 
 @codec.kind(187)
