--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -228,11 +228,13 @@
         event = entry.Forget(
             self.budgets.find_expired(command.programs, now),
             self.history.find_expired(command.turns, now),
-            self.history.find_expired_finished(command.ended, now),
+            self.history.find_expired_finished(command.finished_attempts, now),
             self.keys.find_expired(command.keys, now),
             self.keys.find_expired_released(command.released_attempts, now),
         )
-        is_any_expired = event.programs or event.turns or event.ended or event.keys or event.released_attempts
+        is_any_expired = (
+            event.programs or event.turns or event.finished_attempts or event.keys or event.released_attempts
+        )
         return ((event,) if is_any_expired else ()), messages.Closed("")
 
     # -- events --------------------------------------------------------------------------------
@@ -315,7 +317,7 @@
             forgotten = self.history.forget(name)
             if forgotten is not None:
                 self.budgets.release_retained_turn(forgotten.program)
-        for name in event.ended:
+        for name in event.finished_attempts:
             self.history.forget_finished(name)
         for name in event.programs:
             self.budgets.forget(name)
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -351,7 +351,7 @@
                 row.update(state="ended", retained=False, since=now)
             else:
                 self.rows.remove(row)
-        for attempt in event.ended:
+        for attempt in event.finished_attempts:
             row = self.find_row(self.rows, attempt=attempt, state="ended")
             assert now - row["since"] > MINUTE
             self.rows.remove(row)
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -213,12 +213,12 @@
 class Forget:
     """Timer command and event: retention periods expired.
 
-    ``ended`` (finished attempts) and ``released_attempts`` (those that released their key) hold names of attempts.
+    Turns are named by their attempt; ``released_attempts`` are those that released their key.
     """
 
     programs: tuple[str, ...]
     turns: tuple[str, ...]
-    ended: tuple[str, ...]
+    finished_attempts: tuple[str, ...]
     keys: tuple[str, ...]
     released_attempts: tuple[str, ...]
 
