--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -193,7 +193,7 @@
                 ),
                 self.within(one),
             )
-            if not state.mine:
+            if not state.is_holder:
                 self.answer_known(one, state)
                 return False
             one.claimed = True
@@ -226,7 +226,7 @@
         """
         if state.outcome == sessions_messages.DONE and state.answer:
             kept = json.loads(state.answer)
-            self.tell(one, "answered from the key's record", state.go)
+            self.tell(one, "answered from the key's record", state.attempt)
             pieces = 1 if one.turns() and kept["text"] else 0
             if pieces:
                 one.out.put_nowait(adapter.Piece(0, kept["text"], kept["used"]))
@@ -237,7 +237,7 @@
             sessions_messages.UNKNOWN: (result.ResultCode.OPERATION_UNKNOWN, result.Ran.UNKNOWN),
         }
         code, ran = refusals.get(state.outcome, (result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN))
-        self.last(one, call.Ended(0, 0, 0, None, result.RequestError(code, ran, state.go)))
+        self.last(one, call.Ended(0, 0, 0, None, result.RequestError(code, ran, state.attempt)))
 
     async def draw_stage(self) -> None:
         """Draw a worker for each call; those that find all full are parked."""
@@ -382,7 +382,7 @@
             self.park(one, front=True)
             return
         asked = one.request
-        past = tuple((turn.input, turn.output) for turn in one.granted.past) if one.granted else ()
+        past = tuple((turn.input, turn.output) for turn in one.granted.turns) if one.granted else ()
         work = adapter.Work(
             one.go(),
             one.service,
@@ -502,7 +502,7 @@
                 await self.close_operation(one, json.dumps(kept).encode())
             except result.RequestError as refusal:
                 self.tell(one, "key not closed", str(refusal))
-        past = sum(len(before.input) + len(before.output) for before in one.granted.past) if one.granted else 0
+        past = sum(len(before.input) + len(before.output) for before in one.granted.turns) if one.granted else 0
         letters = past + len(json.dumps(asked.input)) + len(text)
         called = residency_messages.Called(self.session(one), one.service, used_by, letters // TOKEN_LETTERS, took)
         self.tell_duty("keeps", called)
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -357,7 +357,9 @@
                     state.turn_reserved = False
                 raise
             chain = await self.find_chain_in_other_groups(state, previous)
-            reply = await self.submit_to_group(state, state.program, dataclasses.replace(command, base=chain, have=""))
+            reply = await self.submit_to_group(
+                state, state.program, dataclasses.replace(command, base=chain, held_turn="")
+            )
         state.last_worker = reply.worker
         if previous:
             self.cached_turns.add(reply.chain)
@@ -411,7 +413,7 @@
             self.node.incarnation_id(),
         )
         claim = await self.submit_to_group(state, self.key_of(request), command)
-        if claim.mine:
+        if claim.is_holder:
             self.add_trace(state, "key claimed")
             return None
         state.key_reserved = False
--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -97,7 +97,7 @@
         repeated = self.history.repeated_start(command)
         if repeated is not None:
             return (), repeated
-        if not command.attempt or command.most < 0 or command.budget < 0:
+        if not command.attempt or command.max_tokens < 0 or command.budget < 0:
             raise result.RequestError(
                 result.ResultCode.MALFORMED, detail="attempt is missing, or a token count is negative"
             )
@@ -127,16 +127,16 @@
             command.session,
             command.attempt,
             command.previous,
-            command.most,
+            command.max_tokens,
             budget,
             command.retained,
-            command.keep,
-            command.within,
+            command.retention_period,
+            command.time_limit,
             command.edge,
             worker,
             imported,
         )
-        return (event,), self.history.start_reply(command.previous, command.have, worker, imported)
+        return (event,), self.history.start_reply(command.previous, command.held_turn, worker, imported)
 
     def has_room(self, command: entry.BeginTurn, imported: tuple[entry.Turn, ...]) -> bool:
         """Return whether the payload limit has room for a turn's history; it is lower for the first turn of a chain."""
@@ -228,11 +228,13 @@
         event = entry.Forget(
             self.budgets.find_expired(command.programs, now),
             self.history.find_expired(command.turns, now),
-            self.history.find_expired_finished(command.ended, now),
+            self.history.find_expired_finished(command.finished_attempts, now),
             self.keys.find_expired(command.keys, now),
-            self.keys.find_expired_released(command.freed, now),
+            self.keys.find_expired_released(command.released_attempts, now),
+        )
+        is_any_expired = (
+            event.programs or event.turns or event.finished_attempts or event.keys or event.released_attempts
         )
-        is_any_expired = event.programs or event.turns or event.ended or event.keys or event.freed
         return ((event,) if is_any_expired else ()), messages.Closed("")
 
     # -- events --------------------------------------------------------------------------------
@@ -267,7 +269,7 @@
             self.history.retain(
                 entry.Turn(event.attempt, known.previous, event.input, event.output, event.worker),
                 known.program if has_account else "",
-                known.keep,
+                known.retention_period,
             )
         else:
             self.history.add_finished(
@@ -279,7 +281,7 @@
                     charged,
                     known.budget,
                     known.retained,
-                    known.keep,
+                    known.retention_period,
                 )
             )
         if started:
@@ -315,13 +317,13 @@
             forgotten = self.history.forget(name)
             if forgotten is not None:
                 self.budgets.release_retained_turn(forgotten.program)
-        for name in event.ended:
+        for name in event.finished_attempts:
             self.history.forget_finished(name)
         for name in event.programs:
             self.budgets.forget(name)
         for name in event.keys:
             self.keys.forget(name)
-        for name in event.freed:
+        for name in event.released_attempts:
             self.keys.forget_released(name)
 
     # -- timers --------------------------------------------------------------------------------
--- a/aspencroft/sessions/call_sessions_test.py
+++ b/aspencroft/sessions/call_sessions_test.py
@@ -21,7 +21,7 @@
 
 MINUTE, MARGIN = clock.seconds(60), clock.seconds(10)
 START = clock.seconds(1000)
-WITHIN = clock.seconds(3)
+TIME_LIMIT = clock.seconds(3)
 KEEP = clock.seconds(60)
 INPUT = bytes(17_000)
 
@@ -29,7 +29,7 @@
 def begin(attempt: str, previous: str = "", **changes) -> entry.BeginTurn:
     """Build the start of a turn of program p at edge e, without a budget, retained for a minute."""
     return dataclasses.replace(
-        entry.BeginTurn("p", "s", attempt, previous, 10, 0, True, KEEP, WITHIN, "e", "", ()), **changes
+        entry.BeginTurn("p", "s", attempt, previous, 10, 0, True, KEEP, TIME_LIMIT, "e", "", ()), **changes
     )
 
 
@@ -43,7 +43,7 @@
 
 def claim(attempt: str, **changes) -> entry.ClaimKey:
     """Build the reservation of key k at edge e."""
-    return dataclasses.replace(entry.ClaimKey("k", attempt, b"d", WITHIN, MINUTE, "e"), **changes)
+    return dataclasses.replace(entry.ClaimKey("k", attempt, b"d", TIME_LIMIT, MINUTE, "e"), **changes)
 
 
 def close(attempt: str, outcome: str = messages.DONE, **changes) -> entry.CloseKey:
@@ -114,7 +114,7 @@
         self.rows: list[dict] = []
         self.programs: list[dict] = []
         self.keys: list[dict] = []
-        self.freed: list[dict] = []
+        self.released_attempts: list[dict] = []
 
     def find_row(self, rows: list[dict], **fields) -> dict | None:
         """Return the first row with the given values."""
@@ -152,7 +152,7 @@
         budget = min(budgets, default=0)
         if program is not None and budget:
             reserved = sum(
-                other["most"]
+                other["max_tokens"]
                 for other in self.rows
                 if other["state"] == "running" and other["program"] == command.program and other["counted"]
             )
@@ -176,7 +176,7 @@
                             dataclasses.asdict(turn),
                             program="",
                             state="kept",
-                            keep=command.keep,
+                            retention_period=command.retention_period,
                             since=now,
                             outcome=messages.DONE,
                             retained=True,
@@ -186,21 +186,25 @@
                     )
             before = self.find_row(self.rows, attempt=command.previous)
         if program is None:
-            program = dict(name=command.program, budget=0, used=0, keep=command.keep, worker="", since=now)
+            program = dict(
+                name=command.program, budget=0, used=0, retention_period=command.retention_period, worker="", since=now
+            )
             self.programs.append(program)
         hint = before["worker"] if before and before["worker"] else program["worker"]
-        program.update(budget=budget, keep=max(program["keep"], command.keep), since=now)
+        program.update(
+            budget=budget, retention_period=max(program["retention_period"], command.retention_period), since=now
+        )
         self.rows.append(
             dict(
                 attempt=command.attempt,
                 program=command.program,
                 session=command.session,
                 previous=command.previous,
-                most=command.most,
+                max_tokens=command.max_tokens,
                 counted=budget > 0,
                 retained=command.retained,
-                keep=command.keep,
-                within=command.within,
+                retention_period=command.retention_period,
+                time_limit=command.time_limit,
                 edge=command.edge,
                 state="running",
                 outcome="",
@@ -215,8 +219,8 @@
         """Return the expected reply to the start of a turn that is granted."""
         chain = self.chain(command.previous)
         names = [row["attempt"] for row in chain]
-        if command.have in names:
-            return entry.TurnBegun(self.turns(chain[names.index(command.have) + 1 :]), hint, False)
+        if command.held_turn in names:
+            return entry.TurnBegun(self.turns(chain[names.index(command.held_turn) + 1 :]), hint, False)
         return entry.TurnBegun(self.turns(chain), hint, True)
 
     def end(self, command: entry.EndTurn, now) -> object:
@@ -236,7 +240,7 @@
                     counted=False,
                     charged=0,
                     since=now,
-                    keep=clock.ZERO,
+                    retention_period=clock.ZERO,
                 )
             )
             return messages.Closed(messages.NOT_RUN)
@@ -253,7 +257,9 @@
             ):
                 return result.ResultCode.STALE_TURN
         program = self.find_row(self.programs, name=row["program"])
-        charge = {messages.DONE: command.used, messages.NOT_RUN: 0, messages.UNKNOWN: row["most"]}[command.outcome]
+        charge = {messages.DONE: command.used, messages.NOT_RUN: 0, messages.UNKNOWN: row["max_tokens"]}[
+            command.outcome
+        ]
         charge = charge if row["counted"] else 0
         if program is not None:
             program["used"] += charge - row["charged"]
@@ -285,13 +291,13 @@
                 row["headers"],
                 row["body"],
             )
-        if self.find_row(self.freed, attempt=command.attempt):
+        if self.find_row(self.released_attempts, attempt=command.attempt):
             return result.ResultCode.STALE_TURN
         self.keys.append(
             dict(
                 key=command.key,
                 attempt=command.attempt,
-                within=command.within,
+                time_limit=command.time_limit,
                 window=command.window,
                 edge=command.edge,
                 outcome="",
@@ -310,8 +316,8 @@
         if command.outcome == messages.NOT_RUN and (row is None or not row["outcome"]):
             if row is not None:
                 self.keys.remove(row)
-            if self.find_row(self.freed, attempt=command.attempt) is None:
-                self.freed.append(dict(attempt=command.attempt, since=now))
+            if self.find_row(self.released_attempts, attempt=command.attempt) is None:
+                self.released_attempts.append(dict(attempt=command.attempt, since=now))
             return messages.Closed(messages.NOT_RUN)
         if row is None:
             return messages.Closed("")
@@ -337,44 +343,46 @@
         """Check that the forgotten items were retained long enough, and drop them."""
         for attempt in event.turns:
             row = self.find_row(self.rows, attempt=attempt, state="kept")
-            assert now - row["since"] > row["keep"] + MARGIN, row
+            assert now - row["since"] > row["retention_period"] + MARGIN, row
             assert not any(
                 other["previous"] == attempt and other["state"] in ("kept", "running") for other in self.rows
             )
-            if row["keep"] < MINUTE:
+            if row["retention_period"] < MINUTE:
                 row.update(state="ended", retained=False, since=now)
             else:
                 self.rows.remove(row)
-        for attempt in event.ended:
+        for attempt in event.finished_attempts:
             row = self.find_row(self.rows, attempt=attempt, state="ended")
             assert now - row["since"] > MINUTE
             self.rows.remove(row)
         for name in event.programs:
             row = self.find_row(self.programs, name=name)
-            assert now - row["since"] > max(MINUTE, row["keep"]) + MARGIN
+            assert now - row["since"] > max(MINUTE, row["retention_period"]) + MARGIN
             assert not any(other["program"] == name and other["state"] in ("kept", "running") for other in self.rows)
             self.programs.remove(row)
         for key in event.keys:
             row = self.find_row(self.keys, key=key)
-            assert row["outcome"] and now - row["since"] > row["within"] + row["window"]
+            assert row["outcome"] and now - row["since"] > row["time_limit"] + row["window"]
             assert now - row["closed"] > row["window"]
             self.keys.remove(row)
-        for attempt in event.freed:
-            row = self.find_row(self.freed, attempt=attempt)
+        for attempt in event.released_attempts:
+            row = self.find_row(self.released_attempts, attempt=attempt)
             assert now - row["since"] > MINUTE
-            self.freed.remove(row)
+            self.released_attempts.remove(row)
 
     def overdue(self, now, is_gone) -> set[str]:
         """Return the work in flight whose edge is gone or whose time limit has passed."""
         running = [("attempt", row) for row in self.rows if row["state"] == "running"]
         running += [("key", row) for row in self.keys if not row["outcome"]]
         return {
-            row[name] for name, row in running if is_gone(row["edge"]) or now - row["since"] > row["within"] + MARGIN
+            row[name]
+            for name, row in running
+            if is_gone(row["edge"]) or now - row["since"] > row["time_limit"] + MARGIN
         }
 
     def restart_timers(self, now) -> None:
         """Restart all timers, as a new primary does, except for retained turns, whose age the group knows."""
-        for row in (*self.rows, *self.programs, *self.keys, *self.freed):
+        for row in (*self.rows, *self.programs, *self.keys, *self.released_attempts):
             if row.get("state") == "kept":
                 continue
             row["since"] = now
--- a/aspencroft/sessions/entry.py
+++ b/aspencroft/sessions/entry.py
@@ -33,22 +33,22 @@
 class BeginTurn:
     """Command: start the turn of an attempt that continues ``previous``, within the program's token budget.
 
-    ``most`` is the maximum number of tokens that the turn may generate. A ``budget`` of zero sets none. ``edge`` is the
-    incarnation of the requesting edge. ``have`` names a turn whose chain the edge already holds. ``base`` is the chain
-    of ``previous``, fetched from another group, oldest turn first.
+    The turn may generate up to ``max_tokens``. A ``budget`` of zero sets none. ``edge`` is the incarnation of the
+    requesting edge. ``held_turn`` names a turn whose chain the edge already holds. ``base`` is the chain of
+    ``previous``, fetched from another group, oldest turn first.
     """
 
     program: str
     session: str
     attempt: str
     previous: str
-    most: int
+    max_tokens: int
     budget: int
     retained: bool
-    keep: datetime.timedelta
-    within: datetime.timedelta
+    retention_period: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
-    have: str
+    held_turn: str
     base: tuple[Turn, ...]
 
 
@@ -101,7 +101,7 @@
 @codec.kind(146)
 @dataclasses.dataclass(frozen=True)
 class ClaimKey:
-    """Command: reserve an operation key for one attempt, which runs for at most ``within``.
+    """Command: reserve an operation key for one attempt, which runs for at most ``time_limit``.
 
     The key is retained for ``window`` after the last moment at which the work could run. The digest is not compared:
     requests with the same key are the same operation.
@@ -110,7 +110,7 @@
     key: str
     attempt: str
     digest: bytes
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     window: datetime.timedelta
     edge: str
 
@@ -118,13 +118,13 @@
 @codec.kind(147)
 @dataclasses.dataclass(frozen=True)
 class KeyHeld:
-    """Reply: ``mine`` if the requesting attempt holds the key and is to run.
+    """Reply: ``is_holder`` if the requesting attempt holds the key and is to run.
 
     Otherwise the outcome of the attempt that holds it, empty while that is in flight, and its answer. The outcome
     NOT_KEPT means that it is done and that its answer was too large to store.
     """
 
-    mine: bool
+    is_holder: bool
     outcome: str
     status: int
     headers: tuple[Header, ...]
@@ -147,7 +147,7 @@
 @codec.kind(149)
 @dataclasses.dataclass(frozen=True)
 class TurnBegan:
-    """Event: a turn is in flight. If it has a budget (the one in force), ``most`` tokens are reserved.
+    """Event: a turn is in flight. If it has a budget (the one in force), ``max_tokens`` are reserved.
 
     The turns of ``base`` are retained from now on. The same record, without ``base``, is the state of a turn in flight.
     """
@@ -156,18 +156,18 @@
     session: str
     attempt: str
     previous: str
-    most: int
+    max_tokens: int
     budget: int
     retained: bool
-    keep: datetime.timedelta
-    within: datetime.timedelta
+    retention_period: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
     worker: str
     base: tuple[Turn, ...]
 
     def reserved(self) -> int:
         """Return the tokens reserved for the turn; none without a budget."""
-        return self.most if self.budget else 0
+        return self.max_tokens if self.budget else 0
 
 
 @codec.kind(154)
@@ -190,7 +190,7 @@
 
     key: str
     attempt: str
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     window: datetime.timedelta
     edge: str
 
@@ -213,14 +213,14 @@
 class Forget:
     """Timer command and event: retention periods expired.
 
-    ``ended`` (finished attempts) and ``freed`` (attempts that released their key) hold names of attempts.
+    Turns are named by their attempt; ``released_attempts`` are those that released their key.
     """
 
     programs: tuple[str, ...]
     turns: tuple[str, ...]
-    ended: tuple[str, ...]
+    finished_attempts: tuple[str, ...]
     keys: tuple[str, ...]
-    freed: tuple[str, ...]
+    released_attempts: tuple[str, ...]
 
 
 @codec.kind(187)
@@ -245,13 +245,13 @@
     """Command: grant up to ``count`` requests of a tenant, so that no window of that length exceeds ``limit``.
 
     ``run_ahead`` is the maximum number of granted requests that may be missing from the log. ``edge`` is the
-    incarnation of the requesting edge, and ``question`` the number of its request about this tenant: a retry with the
+    incarnation of the requesting edge, and ``request_number`` counts its requests about this tenant: a retry with the
     same number gets the same reply.
     """
 
     tenant: str
     edge: str
-    question: int
+    request_number: int
     count: int
     limit: int
     run_ahead: int
@@ -315,14 +315,14 @@
 class Account:
     """A program: its token budget (zero for none), tokens used and reserved, turns in flight and retained, last worker.
 
-    ``keep`` is its retention period, the longest that any of its turns asked for.
+    ``retention_period`` is the longest that any of its turns asked for.
     """
 
     program: str
     budget: int
     used: int
     reserved: int
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     in_flight: int
     retained: int
     worker: str
@@ -334,7 +334,7 @@
 
     turn: Turn
     program: str
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     size: int
 
 
@@ -349,7 +349,7 @@
     charged: int
     budget: int
     retained: bool
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True)
@@ -358,7 +358,7 @@
 
     key: str
     attempt: str
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     window: datetime.timedelta
     edge: str
     outcome: str
@@ -368,7 +368,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LedgerSnapshot:
+class CallSessionsSnapshot:
     """The state of the opaque calls of a session group, without the ages of turns and the quotas."""
 
     accounts: tuple[Account, ...]
@@ -383,7 +383,7 @@
 class TurnAges:
     """The group's own time, and when each retained turn ended by it, in the order of the turns.
 
-    It follows the ``LedgerSnapshot`` in a snapshot.
+    It follows the ``CallSessionsSnapshot`` in a snapshot.
     """
 
     time: datetime.timedelta
--- a/aspencroft/sessions/lane_sessions.py
+++ b/aspencroft/sessions/lane_sessions.py
@@ -64,7 +64,7 @@
         self.operations: dict[str, messages.Operation] = {}
         self.program_active_at: dict[str, datetime.timedelta] = {}
         self.turn_opened_at: dict[str, datetime.timedelta] = {}
-        self.key_noted_at: dict[str, datetime.timedelta] = {}
+        self.key_updated_at: dict[str, datetime.timedelta] = {}
         self.program_of_open_turn: dict[str, str] = {}
         self.scan: collections.abc.Iterator[tuple[str, str]] = iter(())
         self.calls = call_sessions.CallSessions()
@@ -106,16 +106,16 @@
 
     def is_program_expired(self, program: messages.Program, now: datetime.timedelta) -> bool:
         """Return whether no turn is in flight and the retention period since the last one has passed."""
-        if program.under_way:
+        if program.in_flight:
             return False
-        return now - self.program_active_at.setdefault(program.name, now) > program.keep
+        return now - self.program_active_at.setdefault(program.name, now) > program.retention_period
 
     def is_key_expired(self, operation: messages.Operation, now: datetime.timedelta) -> bool:
         """Return whether a key was retained for at least a minute after the last moment at which its work could run."""
-        span = max(MIN_KEY_RETENTION, operation.keep) + RETENTION_MARGIN
+        span = max(MIN_KEY_RETENTION, operation.retention_period) + RETENTION_MARGIN
         if operation.outcome != messages.DONE:
-            span += operation.within + UNFINISHED_KEY_MARGIN
-        return now - self.key_noted_at.setdefault(operation.key, now) > span
+            span += operation.time_limit + UNFINISHED_KEY_MARGIN
+        return now - self.key_updated_at.setdefault(operation.key, now) > span
 
     def open_turn(self, command: messages.OpenTurn, now: datetime.timedelta) -> Decision:
         """Start a turn after the last one of its chain, while used plus reserved tokens are below the budget."""
@@ -129,12 +129,12 @@
                     detail="the limit of programs of the group is reached",
                     retry=OVERLOADED_RETRY_AFTER,
                 )
-            known = messages.Program(command.program, command.lane, command.budget, 0, command.keep, (), ())
-        past = known.chain(command.helper).past
-        last = past[-1].number if past else 0
-        if any(turn.go == command.go for turn in known.under_way):
-            return (), messages.TurnGranted(last + 1, past, command.reserve)
-        if any(turn.helper == command.helper for turn in known.under_way):
+            known = messages.Program(command.program, command.lane, command.budget, 0, command.retention_period, (), ())
+        turns = known.chain(command.helper).turns
+        last = turns[-1].number if turns else 0
+        if any(turn.attempt == command.attempt for turn in known.in_flight):
+            return (), messages.TurnGranted(last + 1, turns, command.reserve)
+        if any(turn.helper == command.helper for turn in known.in_flight):
             raise result.RequestError(
                 result.ResultCode.TURN_UNDER_WAY,
                 detail=f"a turn after turn {last} is in flight",
@@ -149,7 +149,7 @@
                 result.ResultCode.OUT_OF_BUDGET,
                 detail=f"{known.used} tokens used and {known.reserved()} reserved of a budget of {known.budget}",
             )
-        if sum(len(turn.input) + len(turn.output) for turn in past) > MAX_HISTORY_CHARACTERS:
+        if sum(len(turn.input) + len(turn.output) for turn in turns) > MAX_HISTORY_CHARACTERS:
             raise result.RequestError(
                 result.ResultCode.TOO_LARGE, detail="the history of the chain is at its size limit"
             )
@@ -157,22 +157,22 @@
             **{field.name: getattr(command, field.name) for field in dataclasses.fields(command)}
         )
         self.program_active_at[command.program] = now
-        self.turn_opened_at[command.go] = now
-        return (event,), messages.TurnGranted(last + 1, past, command.reserve)
+        self.turn_opened_at[command.attempt] = now
+        return (event,), messages.TurnGranted(last + 1, turns, command.reserve)
 
     def close_turn(self, command: messages.CloseTurn, now: datetime.timedelta) -> Decision:
         """End a turn in flight; repeating the command has no further effect."""
         known = self.programs.get(command.program)
         if known is None:
             raise result.RequestError(result.ResultCode.UNKNOWN_PROGRAM, result.Ran.UNKNOWN, command.program)
-        if not any(turn.go == command.go for turn in known.under_way):
-            if any(turn.go == command.go for turn in known.chain(command.helper).past[-1:]):
+        if not any(turn.attempt == command.attempt for turn in known.in_flight):
+            if any(turn.attempt == command.attempt for turn in known.chain(command.helper).turns[-1:]):
                 return (), messages.Closed(messages.DONE)
             raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.UNKNOWN, "the turn has already ended")
         event = messages.TurnClosed(
             command.program,
             command.helper,
-            command.go,
+            command.attempt,
             command.outcome,
             command.input,
             command.output,
@@ -191,7 +191,7 @@
                 )
             if known.digest != command.digest:
                 raise result.RequestError(result.ResultCode.OPERATION_MISMATCH)
-            return (), dataclasses.replace(known, mine=known.go == command.go and not known.outcome)
+            return (), dataclasses.replace(known, is_holder=known.attempt == command.attempt and not known.outcome)
         if len(self.operations) >= MAX_OPERATIONS:
             raise result.RequestError(
                 result.ResultCode.OVERLOADED,
@@ -199,21 +199,29 @@
                 retry=OVERLOADED_RETRY_AFTER,
             )
         event = messages.OperationClaimed(
-            command.key, command.lane, command.go, command.digest, command.within, command.keep
+            command.key, command.lane, command.attempt, command.digest, command.time_limit, command.retention_period
         )
-        self.key_noted_at[command.key] = now
+        self.key_updated_at[command.key] = now
         return (event,), messages.Operation(
-            command.key, command.lane, command.go, command.digest, True, "", b"", command.within, command.keep
+            command.key,
+            command.lane,
+            command.attempt,
+            command.digest,
+            True,
+            "",
+            b"",
+            command.time_limit,
+            command.retention_period,
         )
 
     def close_operation(self, command: messages.CloseOperation, now: datetime.timedelta) -> Decision:
         """Record the outcome of the attempt that holds an operation key."""
         known = self.operations.get(command.key)
-        if known is None or known.go != command.go or known.outcome:
+        if known is None or known.attempt != command.attempt or known.outcome:
             return (), messages.Closed("" if known is None else known.outcome)
         answer = command.answer if len(command.answer) <= MAX_ANSWER_BYTES else b""
-        self.key_noted_at[command.key] = now
-        return (messages.OperationClosed(command.key, command.go, command.outcome, answer),), messages.Closed(
+        self.key_updated_at[command.key] = now
+        return (messages.OperationClosed(command.key, command.attempt, command.outcome, answer),), messages.Closed(
             command.outcome
         )
 
@@ -227,19 +235,21 @@
     def apply_turn_opened(self, event: messages.TurnOpened) -> None:
         """Add a turn in flight."""
         known = self.programs.get(event.program) or messages.Program(
-            event.program, event.lane, event.budget, 0, event.keep, (), ()
+            event.program, event.lane, event.budget, 0, event.retention_period, (), ()
         )
-        turn = messages.OpenGo(event.helper, event.after, event.go, event.reserve, event.within, event.edge)
-        self.program_of_open_turn[event.go] = event.program
+        turn = messages.OpenGo(event.helper, event.after, event.attempt, event.reserve, event.time_limit, event.edge)
+        self.program_of_open_turn[event.attempt] = event.program
         self.programs[event.program] = dataclasses.replace(
-            known, keep=max(known.keep, event.keep), under_way=known.under_way + (turn,)
+            known,
+            retention_period=max(known.retention_period, event.retention_period),
+            in_flight=known.in_flight + (turn,),
         )
 
     def apply_turn_closed(self, event: messages.TurnClosed) -> None:
         """End a turn in flight."""
         self.programs[event.program] = close_program_turn(self.programs[event.program], event)
-        self.turn_opened_at.pop(event.go, None)
-        self.program_of_open_turn.pop(event.go, None)
+        self.turn_opened_at.pop(event.attempt, None)
+        self.program_of_open_turn.pop(event.attempt, None)
 
     def apply_program_forgotten(self, event: messages.ProgramForgotten) -> None:
         """Drop a program."""
@@ -249,7 +259,7 @@
     def apply_operation_claimed(self, event: messages.OperationClaimed) -> None:
         """Reserve an operation key."""
         self.operations[event.key] = messages.Operation(
-            event.key, event.lane, event.go, event.digest, False, "", b"", event.within, event.keep
+            event.key, event.lane, event.attempt, event.digest, False, "", b"", event.time_limit, event.retention_period
         )
 
     def apply_operation_closed(self, event: messages.OperationClosed) -> None:
@@ -268,7 +278,7 @@
     def drop_operation(self, key: str) -> None:
         """Drop an operation key and its answer."""
         self.operations.pop(key, None)
-        self.key_noted_at.pop(key, None)
+        self.key_updated_at.pop(key, None)
 
     def due(self, now: datetime.timedelta, is_edge_gone: collections.abc.Callable[[str], bool]) -> tuple[Command, ...]:
         """Return the timer commands that are due.
@@ -279,10 +289,10 @@
         """
         commands: list[Command] = []
         for attempt, name in self.program_of_open_turn.items():
-            turn = next(each for each in self.programs[name].under_way if each.go == attempt)
+            turn = next(each for each in self.programs[name].in_flight if each.attempt == attempt)
             if (
                 is_edge_gone(turn.edge)
-                or now - self.turn_opened_at.setdefault(attempt, now) > turn.within + RETENTION_MARGIN
+                or now - self.turn_opened_at.setdefault(attempt, now) > turn.time_limit + RETENTION_MARGIN
             ):
                 commands.append(messages.CloseTurn(name, turn.helper, attempt, messages.UNKNOWN, "", "", 0))
         for _ in range(SCAN_LIMIT):
@@ -304,7 +314,7 @@
 
     def reset_clocks(self) -> None:
         """Reset all timers when this node stops being the primary, so that a later tenure starts them anew."""
-        self.program_active_at, self.turn_opened_at, self.key_noted_at, self.scan = {}, {}, {}, iter(())
+        self.program_active_at, self.turn_opened_at, self.key_updated_at, self.scan = {}, {}, {}, iter(())
         self.calls.reset_clocks()
 
     def snapshot(self) -> bytes:
@@ -355,26 +365,26 @@
         self.programs = {program.name: program for program in snapshot.programs}
         self.operations = {operation.key: operation for operation in snapshot.operations}
         self.program_of_open_turn = {
-            turn.go: program.name for program in snapshot.programs for turn in program.under_way
+            turn.attempt: program.name for program in snapshot.programs for turn in program.in_flight
         }
 
 
 def close_program_turn(program: messages.Program, event: messages.TurnClosed) -> messages.Program:
     """Return a program after a turn of it ended."""
-    ended = next(turn for turn in program.under_way if turn.go == event.go)
-    under_way = tuple(turn for turn in program.under_way if turn.go != event.go)
+    ended = next(turn for turn in program.in_flight if turn.attempt == event.attempt)
+    in_flight = tuple(turn for turn in program.in_flight if turn.attempt != event.attempt)
     if event.outcome == messages.NOT_RUN:
-        return dataclasses.replace(program, under_way=under_way)
+        return dataclasses.replace(program, in_flight=in_flight)
     if event.outcome == messages.UNKNOWN:
-        return dataclasses.replace(program, under_way=under_way, used=program.used + ended.reserve)
+        return dataclasses.replace(program, in_flight=in_flight, used=program.used + ended.reserve)
     chain = program.chain(event.helper)
-    finished = messages.Past(ended.after + 1, event.go, event.input, event.output, event.used)
+    finished = messages.Past(ended.after + 1, event.attempt, event.input, event.output, event.used)
     chains = tuple(other for other in program.chains if other.helper != event.helper)
     return dataclasses.replace(
         program,
-        under_way=under_way,
+        in_flight=in_flight,
         used=program.used + event.used,
-        chains=chains + (messages.Chain(event.helper, chain.past + (finished,)),),
+        chains=chains + (messages.Chain(event.helper, chain.turns + (finished,)),),
     )
 
 
--- a/aspencroft/sessions/messages.py
+++ b/aspencroft/sessions/messages.py
@@ -15,7 +15,7 @@
     """A finished turn of a chain."""
 
     number: int
-    go: str
+    attempt: str
     input: str
     output: str
     used: int
@@ -30,11 +30,11 @@
     helper: str
     after: int
     lane: str
-    go: str
+    attempt: str
     reserve: int
     budget: int
-    keep: datetime.timedelta
-    within: datetime.timedelta
+    retention_period: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
 
 
@@ -47,11 +47,11 @@
     helper: str
     after: int
     lane: str
-    go: str
+    attempt: str
     reserve: int
     budget: int
-    keep: datetime.timedelta
-    within: datetime.timedelta
+    retention_period: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
 
 
@@ -61,7 +61,7 @@
     """Reply: the turn's number, the earlier turns of its chain, and how many tokens it may generate."""
 
     number: int
-    past: tuple[Past, ...]
+    turns: tuple[Past, ...]
     reserve: int
 
 
@@ -72,7 +72,7 @@
 
     program: str
     helper: str
-    go: str
+    attempt: str
     outcome: str
     input: str
     output: str
@@ -86,7 +86,7 @@
 
     program: str
     helper: str
-    go: str
+    attempt: str
     outcome: str
     input: str
     output: str
@@ -116,10 +116,10 @@
 
     key: str
     lane: str
-    go: str
+    attempt: str
     digest: bytes
-    within: datetime.timedelta
-    keep: datetime.timedelta
+    time_limit: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @codec.kind(111)
@@ -129,10 +129,10 @@
 
     key: str
     lane: str
-    go: str
+    attempt: str
     digest: bytes
-    within: datetime.timedelta
-    keep: datetime.timedelta
+    time_limit: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @codec.kind(112)
@@ -141,7 +141,7 @@
     """Command: report the outcome of the attempt that holds the key; NOT_RUN releases the key."""
 
     key: str
-    go: str
+    attempt: str
     outcome: str
     answer: bytes
 
@@ -152,7 +152,7 @@
     """Event: the attempt that holds the key ended."""
 
     key: str
-    go: str
+    attempt: str
     outcome: str
     answer: bytes
 
@@ -160,17 +160,17 @@
 @codec.kind(114)
 @dataclasses.dataclass(frozen=True)
 class Operation:
-    """Reply: the state of a key; ``mine`` if the requesting attempt holds it and has not ended."""
+    """Reply: the state of a key; ``is_holder`` if the requesting attempt holds it and has not ended."""
 
     key: str
     lane: str
-    go: str
+    attempt: str
     digest: bytes
-    mine: bool
+    is_holder: bool
     outcome: str
     answer: bytes
-    within: datetime.timedelta
-    keep: datetime.timedelta
+    time_limit: datetime.timedelta
+    retention_period: datetime.timedelta
 
 
 @codec.kind(115)
@@ -204,9 +204,9 @@
 
     helper: str
     after: int
-    go: str
+    attempt: str
     reserve: int
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     edge: str
 
 
@@ -216,7 +216,7 @@
     """The turns of one helper of a program; an empty name stands for the program's main chain."""
 
     helper: str
-    past: tuple[Past, ...]
+    turns: tuple[Past, ...]
 
 
 @codec.kind(120)
@@ -228,9 +228,9 @@
     lane: str
     budget: int
     used: int
-    keep: datetime.timedelta
+    retention_period: datetime.timedelta
     chains: tuple[Chain, ...]
-    under_way: tuple[OpenGo, ...]
+    in_flight: tuple[OpenGo, ...]
 
     def chain(self, helper: str) -> Chain:
         """Return the chain of a helper, empty if it has no turns."""
@@ -241,7 +241,7 @@
 
     def reserved(self) -> int:
         """Return the tokens reserved by turns in flight."""
-        return sum(turn.reserve for turn in self.under_way)
+        return sum(turn.reserve for turn in self.in_flight)
 
 
 @codec.kind(121)
--- a/aspencroft/sessions/turn_history.py
+++ b/aspencroft/sessions/turn_history.py
@@ -41,7 +41,7 @@
     turn has by then is known from the group's own time.
     """
 
-    def __init__(self, group_clock: retention.GroupClock, snapshot: entry.LedgerSnapshot, ages: entry.TurnAges):
+    def __init__(self, group_clock: retention.GroupClock, snapshot: entry.CallSessionsSnapshot, ages: entry.TurnAges):
         self.group_clock = group_clock
         self.retained = {retained.turn.attempt: retained for retained in snapshot.turns}
         self.in_flight = {started.attempt: started for started in snapshot.in_flight}
@@ -86,7 +86,7 @@
                 raise result.RequestError(
                     result.ResultCode.TURN_UNDER_WAY, detail="the attempt is in flight as a different turn"
                 )
-            return self.start_reply(known.previous, command.have, known.worker, ())
+            return self.start_reply(known.previous, command.held_turn, known.worker, ())
         if command.attempt in self.retained:
             raise result.RequestError(result.ResultCode.STALE_TURN, result.Ran.RAN, "the attempt has already ended")
         if command.attempt in self.finished:
@@ -136,11 +136,13 @@
                 result.ResultCode.TURN_NOT_ENDED, detail=attempt, retry=TURN_NOT_ENDED_RETRY_AFTER
             )
 
-    def start_reply(self, previous: str, have: str, worker: str, imported: tuple[entry.Turn, ...]) -> entry.TurnBegun:
-        """Return the reply to a turn's start: the chain up to ``previous``, or only the part of it after ``have``."""
+    def start_reply(
+        self, previous: str, held_turn: str, worker: str, imported: tuple[entry.Turn, ...]
+    ) -> entry.TurnBegun:
+        """Return the reply to a turn's start: the chain up to ``previous``, or only its part after ``held_turn``."""
         new = {turn.attempt: turn for turn in imported}
         chain, attempt = [], previous
-        while attempt and attempt != have:
+        while attempt and attempt != held_turn:
             turn = new[attempt] if attempt in new else self.retained[attempt].turn
             chain.append(turn)
             attempt = turn.previous
@@ -160,7 +162,7 @@
     def apply_began(self, event: entry.TurnBegan) -> None:
         """Add a turn in flight, and retain the chain that came with it."""
         for turn in event.base:
-            self.retain(turn, "", event.keep)
+            self.retain(turn, "", event.retention_period)
         self.in_flight[event.attempt] = dataclasses.replace(event, base=()) if event.base else event
         self.pin(event.previous)
 
@@ -180,7 +182,7 @@
         """Remember an attempt that must not begin again."""
         self.finished[finished.attempt] = finished
 
-    def retain(self, turn: entry.Turn, program: str, keep: datetime.timedelta) -> None:
+    def retain(self, turn: entry.Turn, program: str, retention_period: datetime.timedelta) -> None:
         """Retain a turn's history, unless it is retained already.
 
         The turn counts as ended at the next tick, so that the time since the last tick does not add to its age.
@@ -193,7 +195,7 @@
         added = turn_bytes(turn)
         previous = self.retained.get(turn.previous)
         self.retained[turn.attempt] = entry.RetainedTurn(
-            turn, program, keep, added + (previous.size if previous else 0)
+            turn, program, retention_period, added + (previous.size if previous else 0)
         )
         self.bytes += added
         self.pin(turn.previous)
@@ -220,7 +222,7 @@
         for attempt, started in self.in_flight.items():
             is_edge_gone = is_gone(started.edge)
             if (
-                now - self.began_at.setdefault(attempt, now) > started.within + retention.RETENTION_MARGIN
+                now - self.began_at.setdefault(attempt, now) > started.time_limit + retention.RETENTION_MARGIN
                 or is_edge_gone
             ):
                 overdue.append(
@@ -245,7 +247,7 @@
                 known is not None
                 and attempt not in expired
                 and now - self.answered_at.setdefault(attempt, now - self.age(attempt))
-                > known.keep + retention.RETENTION_MARGIN
+                > known.retention_period + retention.RETENTION_MARGIN
                 and self.successors.get(attempt, 0) == unpinned[attempt]
             ):
                 expired[attempt] = None
@@ -273,9 +275,9 @@
             return None
         self.bytes -= turn_bytes(known.turn)
         self.unpin(known.turn.previous)
-        if known.keep < retention.MIN_RETENTION:
+        if known.retention_period < retention.MIN_RETENTION:
             self.finished[attempt] = entry.FinishedAttempt(
-                attempt, messages.DONE, known.program, known.turn.previous, 0, 0, False, known.keep
+                attempt, messages.DONE, known.program, known.turn.previous, 0, 0, False, known.retention_period
             )
         return known
 
--- a/aspencroft/sessions/turn_history_test.py
+++ b/aspencroft/sessions/turn_history_test.py
@@ -20,7 +20,7 @@
     KEEP,
     MARGIN,
     START,
-    WITHIN,
+    TIME_LIMIT,
     begin,
     claim,
     close,
@@ -49,13 +49,13 @@
     assert b"".join(turn.input + turn.output for turn in whole.chain).decode() == "".join(
         f"in {name}\nout {name}\n" for name in "abcd"
     )
-    for have, names, complete in (
+    for held_turn, names, complete in (
         ("d", "", False),
         ("b", "cd", False),
         ("x", "abcd", True),
         ("nobody", "abcd", True),
     ):
-        reply = execute(calls, begin("e", "d", have=have), START)
+        reply = execute(calls, begin("e", "d", held_turn=held_turn), START)
         assert ("".join(turn.attempt for turn in reply.chain), reply.complete) == (names, complete)
     branch = execute(calls, begin("y", "x"), START)
     assert ("".join(turn.attempt for turn in branch.chain), branch.worker) == ("abx", "i-7")
@@ -81,12 +81,12 @@
 @pytest.mark.parametrize("retained", [True, False])
 def test_an_ended_attempt_never_begins_again(outcome, retained):
     calls = call_sessions.CallSessions()
-    execute(calls, begin("a", retained=retained, keep=clock.seconds(5)), START)
+    execute(calls, begin("a", retained=retained, retention_period=clock.seconds(5)), START)
     execute(calls, end("a", outcome), START)
     for late in (0, 9, 20, 59):
         now = START + clock.seconds(late)
         run_due_commands(calls, now)
-        refusal = rejection_of(calls, begin("a", retained=retained, keep=clock.seconds(5)), now)
+        refusal = rejection_of(calls, begin("a", retained=retained, retention_period=clock.seconds(5)), now)
         assert (refusal.result, refusal.ran) == (result.ResultCode.STALE_TURN, turn_history.RAN_BY_OUTCOME[outcome])
         assert rejection_of(successor_of(calls), begin("a"), now).result is result.ResultCode.STALE_TURN
     run_due_commands(calls, START + clock.seconds(80))
@@ -150,7 +150,7 @@
 def test_a_chain_is_kept_as_long_as_a_turn_that_goes_on_from_it_is_kept_or_under_way():
     calls, now = call_sessions.CallSessions(), START
     add_chain(calls, "abc", now)
-    execute(calls, begin("d", "b", within=clock.seconds(500)), now)
+    execute(calls, begin("d", "b", time_limit=clock.seconds(500)), now)
     run_due_commands(calls, now + clock.seconds(200))
     assert set(calls.history.retained) == {"a", "b"}
     execute(calls, end("d"), now + clock.seconds(200))
@@ -232,10 +232,10 @@
         execute(calls, begin(attempt, "a", budget=100, edge=edge), START)
     assert [command.attempt for command in run_due_commands(calls, START, lambda edge: edge == "lost 1")] == ["b", "d"]
     assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (20, 10)
-    assert not run_due_commands(calls, START + WITHIN + MARGIN)
-    assert [command.attempt for command in run_due_commands(calls, START + WITHIN + MARGIN + clock.seconds(0.1))] == [
-        "c"
-    ]
+    assert not run_due_commands(calls, START + TIME_LIMIT + MARGIN)
+    assert [
+        command.attempt for command in run_due_commands(calls, START + TIME_LIMIT + MARGIN + clock.seconds(0.1))
+    ] == ["c"]
     assert (calls.budgets.accounts["p"].used, calls.budgets.accounts["p"].reserved) == (30, 0)
     for _ in range(2):
         assert execute(calls, end("b", used=4), START) == messages.Closed(messages.DONE)
@@ -247,8 +247,8 @@
 
 def test_a_late_end_whose_chain_is_gone_is_refused():
     calls = call_sessions.CallSessions()
-    add_chain(calls, "a", START, keep=clock.seconds(1))
-    execute(calls, begin("b", "a", keep=clock.seconds(1)), START)
+    add_chain(calls, "a", START, retention_period=clock.seconds(1))
+    execute(calls, begin("b", "a", retention_period=clock.seconds(1)), START)
     run_due_commands(calls, START + clock.seconds(14))
     run_due_commands(calls, START + clock.seconds(15))
     assert "a" not in calls.history.retained and calls.history.finished["b"].outcome == messages.UNKNOWN
