--- a/aspencroft/replication/log_records.py
+++ b/aspencroft/replication/log_records.py
@@ -1,6 +1,6 @@
-"""What a replica's disk and its peers hold: entries, snapshots, positions and the marks of an unfinished repair.
+"""Records of a replica on disk and in messages: entries, snapshots, positions and the goal of an unfinished repair.
 
-The numbers of the kinds and the order of the fields are the format on disk and on the wire; names may change.
+The kind numbers and the order of the fields are the format on disk and on the wire; names may change.
 """
 
 import collections.abc
@@ -14,22 +14,22 @@
 from aspencroft.transport import codec
 
 NO_DIGEST = b"\0" * 8
-"""The digest of an empty log, as long as any other: 8 bytes."""
+"""The digest of an empty log: 8 bytes, like every other digest."""
 
 STORED_CHUNK_BYTES = 1 << 20
-"""Bytes of a snapshot in one stored record, and of records in one step of disk work.
+"""Bytes of a snapshot in one stored record, and of records in one disk operation.
 
-More would hold the writer's thread, and the memory of a start, for longer than a lease can bear.
+Larger ones would occupy the writer's thread, and memory at a start, for longer than a lease allows.
 """
 
 RELEASED_PREFIX = "r"
-"""How the identity of a replica begins whose data was released: it is empty though no disk was lost."""
+"""Prefix of the identity of a replica whose data was released: it is empty, but its disk was not lost."""
 
 
 @codec.kind(40)
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """The name a store gets when it is created; a lost or damaged store gets another."""
+    """The identity that a store gets when it is created; a lost or damaged store gets a new one."""
 
     identity: str
 
@@ -47,7 +47,7 @@
 @codec.kind(42)
 @dataclasses.dataclass(frozen=True)
 class Snapshot:
-    """A snapshot in one piece, as messages carry it; it replaces the entries up to its sequence."""
+    """A snapshot in one piece, as sent in messages; it replaces the entries up to its sequence."""
 
     epoch: int
     sequence: int
@@ -58,7 +58,7 @@
 @codec.kind(158)
 @dataclasses.dataclass(frozen=True)
 class StoredChunk:
-    """A chunk of a snapshot on disk, so that no snapshot is written or read in one piece."""
+    """A chunk of a snapshot on disk: large snapshots are never written or read in one piece."""
 
     index: int
     body: bytes
@@ -67,7 +67,7 @@
 @codec.kind(159)
 @dataclasses.dataclass(frozen=True)
 class StoredSnapshot:
-    """The record that ends a snapshot's chunks on disk: without it they count for nothing."""
+    """The record after the chunks of a snapshot on disk: chunks without it are ignored."""
 
     epoch: int
     sequence: int
@@ -79,7 +79,7 @@
 class EncodedSnapshot:
     """A snapshot in memory, in pieces that share their bytes with the state machine.
 
-    On the wire it is a ``Snapshot``.
+    It is sent as a ``Snapshot``.
     """
 
     epoch: int
@@ -89,24 +89,24 @@
 
     @property
     def body(self) -> bytes:
-        """All pieces joined: a copy of the whole snapshot."""
+        """All pieces joined, as a copy."""
         return b"".join(self.pieces)
 
     def size(self) -> int:
-        """Bytes of all pieces."""
+        """Total bytes of all pieces."""
         return sum(map(len, self.pieces))
 
     def stored_records(self) -> collections.abc.Iterator[StoredChunk | StoredSnapshot]:
-        """The records of this snapshot on disk, its end last."""
-        count, waiting, size = 0, [], 0
+        """The records of this snapshot on disk; the end record comes last."""
+        count, pending, size = 0, [], 0
         for piece in self.pieces:
-            waiting.append(piece)
+            pending.append(piece)
             size += len(piece)
             if size >= STORED_CHUNK_BYTES:
-                yield StoredChunk(count, b"".join(waiting))
-                count, waiting, size = count + 1, [], 0
-        if waiting:
-            yield StoredChunk(count, b"".join(waiting))
+                yield StoredChunk(count, b"".join(pending))
+                count, pending, size = count + 1, [], 0
+        if pending:
+            yield StoredChunk(count, b"".join(pending))
             count += 1
         yield StoredSnapshot(self.epoch, self.sequence, self.digest, count)
 
@@ -117,7 +117,7 @@
 @codec.kind(43)
 @dataclasses.dataclass(frozen=True)
 class LogPosition:
-    """A sequence and the chained digest of all entries up to it: logs with equal positions agree up to there."""
+    """A sequence and the chained digest of all entries up to it: logs with equal positions match up to there."""
 
     sequence: int
     digest: bytes
@@ -126,7 +126,7 @@
 @codec.kind(184)
 @dataclasses.dataclass(frozen=True)
 class RepairGoal:
-    """The position that a repair in several steps leads to; before it, acknowledged entries may be missing."""
+    """The target position of a repair in several steps; until it is reached, acknowledged entries may be missing."""
 
     sequence: int
     digest: bytes
@@ -138,9 +138,9 @@
 
 
 def digest_after(digest: bytes, entry: Entry) -> bytes:
-    """The chained digest of a log once an entry is added.
+    """The chained digest of a log after an entry is appended.
 
-    SHA-256, as it takes a third of BLAKE2's time where processors help with it.
+    SHA-256 takes a third of the time of BLAKE2 on processors with SHA instructions.
     """
     chained = hashlib.sha256(digest + struct.pack(">QQ", entry.epoch, entry.sequence))
     chained.update(entry.body)
@@ -148,7 +148,7 @@
 
 
 def encode_snapshot(snapshot: Snapshot | EncodedSnapshot) -> EncodedSnapshot:
-    """A snapshot in pieces; one that came in a message is a single piece."""
+    """Convert a snapshot to pieces; one from a message becomes a single piece."""
     if isinstance(snapshot, EncodedSnapshot):
         return snapshot
     pieces = (snapshot.body,) if snapshot.body else ()
@@ -156,5 +156,5 @@
 
 
 def encode_item(record: StoredRecord) -> data_file.Record:
-    """A record as the store holds it, under its epoch."""
+    """Encode a record for the store, under its epoch."""
     return data_file.Record(getattr(record, "epoch", 0), codec.tagged(record))
--- a/aspencroft/replication/messages.py
+++ b/aspencroft/replication/messages.py
@@ -1,6 +1,6 @@
-"""The messages of replication: between the members of a group, and from callers to its primary.
+"""Replication messages: between the members of a group, and from callers to its primary.
 
-The numbers of the kinds and the order of the fields are the format on the wire; names may change.
+The kind numbers and the order of the fields are the wire format; names may change.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 @codec.kind(50)
 @dataclasses.dataclass(frozen=True)
 class Append:
-    """From a primary: entries for a backup, behind the last that it acknowledged."""
+    """From a primary: entries for a backup, to follow the position ``previous``."""
 
     record: replica_set.ReplicaSet
     previous: log_records.LogPosition
@@ -24,7 +24,7 @@
 @codec.kind(51)
 @dataclasses.dataclass(frozen=True)
 class Appended:
-    """The end of a member's log once all that was sent is synced."""
+    """The end of a member's log after the sent entries were synced."""
 
     last: log_records.LogPosition
 
@@ -32,7 +32,7 @@
 @codec.kind(52)
 @dataclasses.dataclass(frozen=True)
 class Compare:
-    """Ask a member for the positions by which its log is compared."""
+    """Request the positions by which a member's log is compared."""
 
     group_id: int
     epoch: int
@@ -41,7 +41,7 @@
 @codec.kind(53)
 @dataclasses.dataclass(frozen=True)
 class Compared:
-    """A member's identity, and positions of its log from the oldest to the end."""
+    """A member's identity, and positions of its log in ascending order."""
 
     identity: str
     positions: tuple[log_records.LogPosition, ...]
@@ -50,7 +50,7 @@
 @codec.kind(54)
 @dataclasses.dataclass(frozen=True)
 class Repair:
-    """Keep the log through a sequence, drop what is behind it, then add this; the record fences off older primaries."""
+    """Keep the log through a sequence, replace the rest; the replica set's epoch fences off older primaries."""
 
     record: replica_set.ReplicaSet
     identity: str
@@ -62,7 +62,7 @@
 @codec.kind(183)
 @dataclasses.dataclass(frozen=True)
 class BeginRepair:
-    """A repair of several messages begins: before the goal is reached, acknowledged entries may be missing."""
+    """Start of a repair in several messages: until the goal is reached, acknowledged entries may be missing."""
 
     record: replica_set.ReplicaSet
     identity: str
@@ -72,7 +72,7 @@
 @codec.kind(180)
 @dataclasses.dataclass(frozen=True)
 class SnapshotChunk:
-    """Bytes of a snapshot from an offset on; an empty body only asks how many of the transfer were received."""
+    """Bytes of a snapshot at an offset; an empty body only asks how many bytes of the transfer were received."""
 
     record: replica_set.ReplicaSet
     identity: str
@@ -84,7 +84,7 @@
 @codec.kind(181)
 @dataclasses.dataclass(frozen=True)
 class SnapshotProgress:
-    """How many bytes of a transfer a member has received: the next chunk starts there."""
+    """The number of bytes that a member has received of a transfer: the offset of the next chunk."""
 
     received_bytes: int
 
@@ -92,7 +92,7 @@
 @codec.kind(182)
 @dataclasses.dataclass(frozen=True)
 class InstallSnapshot:
-    """All ``size`` bytes were sent: replace the log by them; the record fences off older primaries."""
+    """All ``size`` bytes were sent: replace the log by them; the replica set's epoch fences off older primaries."""
 
     record: replica_set.ReplicaSet
     identity: str
@@ -106,7 +106,7 @@
 @codec.kind(58)
 @dataclasses.dataclass(frozen=True)
 class FetchLog:
-    """A member that has just started asks another one, known by its identity, for what follows a position."""
+    """From a member that has just started: request the entries after a position; ``identity`` is the receiver's."""
 
     record: replica_set.ReplicaSet
     last: log_records.LogPosition
@@ -116,9 +116,9 @@
 @codec.kind(59)
 @dataclasses.dataclass(frozen=True)
 class FetchedLog:
-    """Entries behind the position, or a snapshot and the entries behind it; none when there is nothing more.
+    """Entries after the position, or a snapshot and the entries after it; both empty at the end of the log.
 
-    ``is_lost`` says that this is not the replica that was asked for: its data is gone.
+    ``is_lost`` tells that the identity does not match: the data of the requested replica is lost.
     """
 
     snapshot: log_records.Snapshot | None
@@ -129,7 +129,7 @@
 @codec.kind(37)
 @dataclasses.dataclass(frozen=True)
 class ReplicaSetQuery:
-    """Ask a group's primary for the replica set in force, and whether it knows that a node is draining."""
+    """Request the replica set in force from a group's primary, and whether it takes a node for draining."""
 
     group_id: int
     address: str
@@ -138,7 +138,7 @@
 @codec.kind(38)
 @dataclasses.dataclass(frozen=True)
 class ReplicaSetReply:
-    """The replica set under which a primary serves; ``drained`` tells that it will not take the node in again."""
+    """The replica set under which a primary serves; ``drained`` tells that it will not add the node again."""
 
     record: replica_set.ReplicaSet
     drained: bool
@@ -147,7 +147,7 @@
 @codec.kind(56)
 @dataclasses.dataclass(frozen=True)
 class Submit:
-    """A command for a group, to its primary; ``within`` is how long the caller waits."""
+    """A command for a group, sent to its primary; ``within`` is the caller's time-out."""
 
     group_id: int
     within: datetime.timedelta
@@ -157,7 +157,7 @@
 @codec.kind(57)
 @dataclasses.dataclass(frozen=True)
 class Submitted:
-    """The reply to a command, once its entries are synced on all members; and the replica set in force."""
+    """The reply to a command whose entries are synced on all members, and the replica set in force."""
 
     body: bytes
     record: replica_set.ReplicaSet
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -1,4 +1,4 @@
-"""A replica of a replication group on this node: its log, what the disk holds of it, and the state that it gives."""
+"""A replica of a replication group on this node: its log, its data on disk, and the state built from them."""
 
 import collections.abc
 import dataclasses
@@ -18,9 +18,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReplicaMemory:
-    """What a replica holds in memory, in bytes and entries.
+    """The memory of a replica, in bytes and entries.
 
-    Snapshot and state share their bytes where the snapshot was encoded here; the log has its own.
+    Snapshot and state share their bytes if the snapshot was encoded here; the log has its own.
     """
 
     snapshot_bytes: int
@@ -31,7 +31,7 @@
 
 
 class Replica:
-    """A replica of one group: what the disk holds and what memory holds never differ, also when callers are cancelled.
+    """A replica of one group. Disk and memory never differ, even if callers are cancelled.
 
     The disk is written first, and the change in memory follows in the same uninterrupted step.
     """
@@ -58,10 +58,10 @@
         self.applied_sequence = 0
 
     async def open(self) -> None:
-        """Read the disk; an empty or damaged store starts empty, under a new identity.
+        """Read the disk; an empty or damaged store starts empty, with a new identity.
 
         Raises:
-            OSError: The disk failed when the new identity was written.
+            OSError: The disk failed while the new identity was written.
 
         """
         unread, self.condition = await self.storage.load()
@@ -82,10 +82,10 @@
         self.rebuild_state()
 
     def restore_record(self, record: log_records.StoredRecord, chunks: list[bytes]) -> None:
-        """Take in the next record of the disk; ``chunks`` are those of a snapshot whose end was not read yet.
+        """Process the next record of the disk; ``chunks`` belong to a snapshot whose end was not read yet.
 
-        An entry replaces an earlier one with its sequence, and all behind that: whoever wrote it did not hold them.
-        Earlier versions left such entries when the caller of a write was cancelled.
+        An entry replaces an earlier entry with the same sequence, and all entries after that one: its writer did not
+        hold them. Earlier versions left such entries on disk when the caller of a write was cancelled.
         """
         if isinstance(record, log_records.Identity):
             self.identity = record.identity
@@ -114,7 +114,7 @@
             self.log.append(record)
 
     def header_records(self) -> list[log_records.StoredRecord]:
-        """What each generation on disk begins with, in front of the snapshot."""
+        """The records at the start of each generation on disk, before the snapshot."""
         return [
             log_records.Identity(self.identity),
             *([self.record] if self.record else []),
@@ -122,7 +122,7 @@
         ]
 
     def create_identity(self) -> str:
-        """An identity that no other store has."""
+        """Create a random identity, unique to this store."""
         return format(self.environment.randomness.getrandbits(64), "016x")
 
     def last(self) -> log_records.LogPosition:
@@ -130,15 +130,15 @@
         return self.log.last_position()
 
     def digest_at(self, sequence: int) -> bytes | None:
-        """The digest of the log at a sequence, where it is still known."""
+        """The digest of the log at a sequence, if it is still known."""
         return self.log.digest_at(sequence)
 
     def has_state(self) -> bool:
-        """Whether this replica holds anything at all."""
+        """Whether this replica holds any entry or snapshot."""
         return bool(self.log.entries or self.log.snapshot.sequence)
 
     def is_incomplete(self) -> bool:
-        """Whether a repair was begun and is not finished: acknowledged entries may be missing here."""
+        """Whether an unfinished repair may have left this replica without some acknowledged entries."""
         if self.goal is not None:
             is_past = self.goal.sequence < self.log.snapshot.sequence
             if is_past or self.log.has_position(self.goal):
@@ -149,7 +149,7 @@
         return self.goal is not None
 
     def memory(self) -> ReplicaMemory:
-        """What this replica holds in memory."""
+        """Measure what this replica holds in memory."""
         return ReplicaMemory(
             self.log.snapshot_bytes,
             self.log.entry_bytes,
@@ -159,7 +159,7 @@
         )
 
     def rebuild_state(self) -> None:
-        """Build the state anew from snapshot and entries; the snapshot shares the state's bytes from then on."""
+        """Rebuild the state from snapshot and entries; afterwards the snapshot shares its bytes with the state."""
         self.state_machine = self.make_state_machine()
         if self.log.snapshot.pieces:
             self.state_machine.restore(self.log.take_snapshot_body())
@@ -170,24 +170,24 @@
         self.applied_sequence = self.last().sequence
 
     def apply(self, entry: log_records.Entry, event: state_machine.Event) -> None:
-        """Apply an entry's event to the state, which may run ahead of the log while a primary's entries are synced."""
+        """Apply an entry's event to the state, which may be ahead of the log while a primary syncs its entries."""
         self.state_machine.apply(event)
         self.applied_sequence = entry.sequence
 
     def apply_all(self, entries: tuple[log_records.Entry, ...]) -> None:
-        """Apply the events of entries that the log holds."""
+        """Apply the events of entries that are already in the log."""
         for entry in entries:
             self.apply(entry, codec.untagged(entry.body))
 
     def reset_after_tenure(self) -> None:
-        """As primary no longer: the state shows exactly the log, and its clocks count for nothing."""
+        """After a term as primary: make the state match the log exactly, and reset its clocks."""
         if self.applied_sequence == self.last().sequence:
             self.state_machine.reset_clocks()
         else:
             self.rebuild_state()
 
     async def write_records(self, *records: log_records.StoredRecord) -> None:
-        """Make records durable, all or none; a cancellation takes effect once that is done.
+        """Make records durable, all or none; a cancellation takes effect after the write.
 
         Raises:
             OSError: The disk failed.
@@ -196,55 +196,55 @@
         await uninterrupted.finish(self.storage.write_items(tuple(map(log_records.encode_item, records))))
 
     async def persist_record(self, record: replica_set.ReplicaSet) -> None:
-        """Make a newer replica set durable before anything is done under it.
+        """Make a newer replica set durable before it is acted on.
 
         Raises:
-            OSError: The disk failed; the older replica set stands.
+            OSError: The disk failed; the older replica set remains in force.
 
         """
         if self.record is None or record.epoch > self.record.epoch:
             await uninterrupted.finish(self.write_replica_set(record))
 
     async def write_replica_set(self, record: replica_set.ReplicaSet) -> None:
-        """The steps of ``persist_record``.
+        """Perform the steps of ``persist_record``.
 
-        Written twice, as a disk may lose its last synced record, and no other replica need hold the same one.
+        The record is written twice: a disk may lose its last synced record, and possibly no other replica holds it.
         """
         await self.storage.write_items((log_records.encode_item(record), log_records.encode_item(record)))
         if self.record is None or record.epoch > self.record.epoch:
             self.record = record
 
     async def append(self, entries: tuple[log_records.Entry, ...]) -> None:
-        """As backup: make entries that follow the last one durable, then apply them.
+        """As a backup: make entries that follow the last one durable, then apply them.
 
         Raises:
-            OSError: The disk failed; the log is what it was.
+            OSError: The disk failed; the log is unchanged.
 
         """
         await uninterrupted.finish(self.write_and_apply(entries))
 
     async def write_and_apply(self, entries: tuple[log_records.Entry, ...]) -> None:
-        """The steps of ``append``."""
+        """Perform the steps of ``append``."""
         await self.write_and_remember(entries)
         self.apply_all(entries)
 
     async def write_entries(self, entries: tuple[log_records.Entry, ...]) -> None:
-        """As primary: make entries that follow the last one, and are applied already, durable.
+        """As the primary: make entries durable that follow the last one and are already applied.
 
         Raises:
-            OSError: The disk failed; the log is what it was.
+            OSError: The disk failed; the log is unchanged.
 
         """
         await uninterrupted.finish(self.write_and_remember(entries))
 
     async def write_and_remember(self, entries: tuple[log_records.Entry, ...]) -> None:
-        """The steps of ``write_entries``: first the disk, then the log in memory."""
+        """Perform the steps of ``write_entries``: first the disk, then the log in memory."""
         await self.storage.write_items(tuple(map(log_records.encode_item, entries)))
         for entry in entries:
             self.log.append(entry)
 
     def begin_snapshot(self) -> bool:
-        """Begin a snapshot if one is due and the state shows exactly the log; whether one was begun."""
+        """Begin a snapshot if one is due and the state matches the log exactly; return whether one was begun."""
         return self.applied_sequence == self.last().sequence and self.snapshotter.begin(self.state_machine)
 
     async def compact(self) -> None:
@@ -253,10 +253,10 @@
             await self.snapshotter.write_pending()
 
     async def begin_repair(self, goal: log_records.RepairGoal) -> None:
-        """Make it durable that acknowledged entries may be missing here until a position is reached.
+        """Mark this replica durably as incomplete until it reaches a position.
 
-        Before the first step of the repair, which may truncate the log: after a crash in between, this replica must
-        not take over with what it has left.
+        The mark is written before the first step of the repair, which may truncate the log: after a crash during the
+        repair, this replica must not take over with the remaining entries.
 
         Raises:
             OSError: The disk failed; no repair was begun.
@@ -275,16 +275,16 @@
         snapshot: log_records.Snapshot | log_records.EncodedSnapshot | None,
         entries: tuple[log_records.Entry, ...],
     ) -> log_records.LogPosition:
-        """Become like the primary's replica; the position at the end then.
+        """Make the log match the primary's; return its new end.
 
         Args:
-            keep_through: The sequence up to which the logs agree; what is behind it is dropped.
-            snapshot: In place of all that is held, if the logs agree nowhere.
-            entries: Those of the primary behind that.
+            keep_through: The last sequence at which the logs match; later entries are dropped.
+            snapshot: Replaces the whole log, if the logs match nowhere.
+            entries: The primary's entries after that.
 
         Raises:
             RequestError: This log changed since it was compared.
-            OSError: The disk failed; this replica is what it was.
+            OSError: The disk failed; this replica is unchanged.
 
         """
         await uninterrupted.finish(self.replace_behind(keep_through, snapshot, entries))
@@ -296,7 +296,7 @@
         snapshot: log_records.Snapshot | log_records.EncodedSnapshot | None,
         entries: tuple[log_records.Entry, ...],
     ) -> None:
-        """The steps of ``repair``: first the disk, then memory, so that a failed write leaves both as they were."""
+        """Perform the steps of ``repair``: first the disk, then memory, so that a failed write changes neither."""
         if snapshot is None and keep_through == self.last().sequence:
             await self.write_and_remember(entries)
             if self.applied_sequence == keep_through:
@@ -307,30 +307,30 @@
         async with self.storage.write_lock:
             base = self.log.snapshot if snapshot is None else log_records.encode_snapshot(snapshot)
             present = self.log.entries if snapshot is None else []
-            agreeing = keep_through - base.sequence
-            if not 0 <= agreeing <= len(present):
+            kept_count = keep_through - base.sequence
+            if not 0 <= kept_count <= len(present):
                 raise result.RequestError(
-                    result.ResultCode.NOT_PRIMARY, detail="the copy has moved on since it was compared"
+                    result.ResultCode.NOT_PRIMARY, detail="the log has changed since it was compared"
                 )
-            await self.storage.rewrite(base, [*present[:agreeing], *entries])
+            await self.storage.rewrite(base, [*present[:kept_count], *entries])
             if snapshot is not None:
                 self.log.replace_with(base)
-            self.log.truncate_to(agreeing)
+            self.log.truncate_to(kept_count)
             for entry in entries:
                 self.log.append(entry)
         self.rebuild_state()
 
     async def release(self) -> None:
-        """Free all data, under another identity: nobody may take this replica for the one that held it.
+        """Free all data and take a new identity, so that no node mistakes this replica for the one that held it.
 
         Raises:
-            OSError: The disk failed; this replica is what it was.
+            OSError: The disk failed; this replica is unchanged.
 
         """
         await uninterrupted.finish(self.replace_by_empty())
 
     async def replace_by_empty(self) -> None:
-        """The steps of ``release``: first the disk, so that a failed write leaves all as it was."""
+        """Perform the steps of ``release``: first the disk, so that a failed write changes nothing."""
         released = self.last()
         async with self.storage.write_lock:
             identity, goal = self.identity, self.goal
--- a/aspencroft/replication/replica_storage.py
+++ b/aspencroft/replication/replica_storage.py
@@ -1,7 +1,7 @@
-"""A replica's data on disk: generations of records, each begun by a snapshot, one of them in force.
+"""A replica's data on disk: generations of records, each beginning with a snapshot; one generation is in force.
 
-A generation that replaces another is written beside it and takes its place by one durable step, so that a crash at any
-moment leaves the older or the newer one, whole.
+A new generation is written beside the current one and replaces it in one durable step, so that a crash at any moment
+leaves either the older or the newer one, complete.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 LOG = logbook.Logger("replication.storage")
 
 STALLED_AFTER = clock.seconds(1.5)
-"""A write that has not returned for so long counts as stalled: a healthy disk syncs in milliseconds."""
+"""A write that takes longer than this counts as stalled: a healthy disk syncs in milliseconds."""
 
 DISK_RETRY = clock.seconds(2)
-"""Pause before disk work that failed is tried again."""
+"""Pause before a failed disk operation is retried."""
 
 
 class LoadedRecords(typing.NamedTuple):
-    """What the disk held at the start. The reader empties the queue, so that it never holds all records twice."""
+    """The records found on disk. The reader drains the queue, so that memory never holds all records twice."""
 
     unread: collections.deque[data_file.Record]
     condition: data_file.Condition
@@ -37,8 +37,8 @@
 class ReplicaStorage:
     """The generations of one replica.
 
-    ``write_lock`` is held around each write together with the change in memory that it stands for, where the two must
-    not be parted by another write.
+    ``write_lock`` is held during a write and the corresponding change in memory if no other write may come between
+    the two.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self.write_lock = asyncio.Lock()
         self.write_started: datetime.timedelta | None = None
         self.snapshot_tail: list[data_file.Record] | None = None
-        """Items written since a snapshot was begun, which belong behind it; None while none is, or once it is void."""
+        """Items written since a snapshot was begun; None if no snapshot is in progress, or it was invalidated."""
 
     @property
     def current(self) -> store.Store:
@@ -66,7 +66,7 @@
         return self.loaded
 
     async def load(self) -> LoadedRecords:
-        """Read the generation in force; tried again while the disk fails, as a replica can do nothing without it."""
+        """Read the generation in force; retried while the disk fails, as a replica can't work without it."""
         while True:
             try:
                 self.loaded, items, condition = await self.environment.disk.perform(
@@ -85,7 +85,7 @@
             await clock.sleep(DISK_RETRY)
 
     async def write_items(self, items: tuple[data_file.Record, ...]) -> None:
-        """Append items to the generation in force, and to the snapshot that is being written beside it.
+        """Append items to the generation in force, and to the tail of a snapshot in progress.
 
         Raises:
             OSError: The disk failed; none of the items counts as written.
@@ -106,7 +106,7 @@
                 self.snapshot_tail.extend(items)
 
     def is_stalled(self) -> bool:
-        """Whether a write has not returned for so long that another member had better be the primary."""
+        """Whether a write has taken so long that another member should be the primary."""
         return self.write_started is not None and clock.now() - self.write_started > STALLED_AFTER
 
     async def rewrite(
@@ -114,10 +114,10 @@
     ) -> None:
         """Replace the generation in force by a snapshot and entries, while the caller holds ``write_lock``.
 
-        A snapshot that is being written becomes void, as it shows a log that is replaced here.
+        A snapshot in progress is invalidated, as it shows the log that is replaced here.
 
         Raises:
-            OSError: The disk failed; the older generation stays in force.
+            OSError: The disk failed; the older generation remains in force.
 
         """
         self.snapshot_tail = None
@@ -130,7 +130,7 @@
             raise
 
     def create_generation(self) -> store.Store:
-        """The store of a new generation, under a number that no other has had."""
+        """Create the store of a new generation, with a number that was never used before."""
         self.latest_generation = max(self.latest_generation, self.current.generation) + 1
         return self.current.successor(self.latest_generation)
 
@@ -140,27 +140,27 @@
         snapshot: log_records.EncodedSnapshot,
         entries: collections.abc.Sequence[log_records.Entry],
     ) -> None:
-        """Write a header, a snapshot and entries into a new generation, a bounded number of bytes at a time.
+        """Write header records, a snapshot and entries to a new generation, a bounded number of bytes at a time.
 
-        Only the last step syncs; nothing points to the generation before that.
+        Only the last step syncs: until then nothing refers to the generation.
 
         Raises:
             OSError: The disk failed.
 
         """
         await self.environment.disk.perform(generation.create_empty)
-        waiting: list[data_file.Record] = []
+        pending: list[data_file.Record] = []
         size = 0
         for record in itertools.chain(self.header_records(), snapshot.stored_records(), tuple(entries)):
-            waiting.append(log_records.encode_item(record))
-            size += len(waiting[-1].payload)
+            pending.append(log_records.encode_item(record))
+            size += len(pending[-1].payload)
             if size >= log_records.STORED_CHUNK_BYTES:
-                await self.environment.disk.perform(generation.write_unsynced, waiting)
-                waiting, size = [], 0
-        await self.environment.disk.perform(generation.append, waiting)
+                await self.environment.disk.perform(generation.write_unsynced, pending)
+                pending, size = [], 0
+        await self.environment.disk.perform(generation.append, pending)
 
     async def switch_to(self, generation: store.Store) -> None:
-        """Make a complete generation the one in force; the pointer is durable before the older one is removed.
+        """Put a complete generation in force; the pointer is durable before the older generation is removed.
 
         Raises:
             OSError: The disk failed.
@@ -170,5 +170,5 @@
         self.loaded = generation
 
     async def discard(self, generation: store.Store) -> None:
-        """Remove a generation that did not come into force."""
+        """Remove a generation that was never put in force."""
         await self.environment.disk.perform(generation.discard)
--- a/aspencroft/replication/snapshot_transfer.py
+++ b/aspencroft/replication/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Sending a large snapshot to another member in bounded chunks, resumed where a connection broke."""
+"""Transfer of a large snapshot to another member in bounded chunks, resumed after a broken connection."""
 
 import asyncio
 import collections.abc
@@ -11,43 +11,43 @@
 from aspencroft.runtime import clock
 
 CHUNK_BYTES = 256 << 10
-"""Bytes of a snapshot in one message, so that no message holds up the others of its connection for long."""
+"""Maximum bytes of a snapshot in one message, so that no message blocks its connection for long."""
 
 CHUNK_TIMEOUT = clock.seconds(3)
 CHUNK_ATTEMPTS = 5
-"""How long a chunk may take to be acknowledged, and how often it is sent if the member can't be reached."""
+"""Time-out for the acknowledgement of a chunk, and number of attempts while the member can't be reached."""
 
 INSTALL_TIMEOUT = clock.seconds(5)
 INSTALL_BYTES_PER_SECOND = 4 << 20
-"""How long an installation may take: so long, and more by the snapshot's size, at what the slowest disk writes."""
+"""Time-out of an installation: a fixed part, and the snapshot's size at the write rate of the slowest disk."""
 
 DISCARD_AFTER = clock.seconds(30)
-"""The memory of an incomplete transfer is freed when no chunk came for so long."""
+"""The memory of an incomplete transfer is freed if no chunk arrives for this long."""
 
 
 def split_chunks(pieces: tuple[bytes, ...], offset: int) -> collections.abc.Iterator[bytes]:
-    """The bytes of all pieces from an offset on, in chunks of bounded size; nothing is copied that is not sent.
+    """Split the bytes of all pieces from an offset on into chunks of bounded size; only bytes to send are copied.
 
     Example: ``list(split_chunks((b"abc", b"def"), 4)) == [b"ef"]``
     """
-    waiting: list[memoryview] = []
+    pending: list[memoryview] = []
     size, piece_offset = 0, 0
     for piece in pieces:
         unsent = memoryview(piece)[max(0, offset - piece_offset) :]
         piece_offset += len(piece)
         while unsent:
             taken, unsent = unsent[: CHUNK_BYTES - size], unsent[CHUNK_BYTES - size :]
-            waiting.append(taken)
+            pending.append(taken)
             size += len(taken)
             if size == CHUNK_BYTES:
-                yield b"".join(waiting)
-                waiting, size = [], 0
-    if waiting:
-        yield b"".join(waiting)
+                yield b"".join(pending)
+                pending, size = [], 0
+    if pending:
+        yield b"".join(pending)
 
 
 class IncomingSnapshot:
-    """The chunks that a member has received of a snapshot; its log is what it was until all of them are there."""
+    """The received chunks of a snapshot; the member's log is unchanged until all of them have arrived."""
 
     def __init__(self) -> None:
         self.transfer_id = 0
@@ -56,7 +56,7 @@
         self.expiry: asyncio.TimerHandle | None = None
 
     def add_chunk(self, chunk: messages.SnapshotChunk) -> int:
-        """Add a chunk if it follows the last one; how many bytes of its transfer were received then."""
+        """Add a chunk if it follows the last one; return the number of bytes received of its transfer."""
         if chunk.transfer_id != self.transfer_id:
             self.clear()
             self.transfer_id = chunk.transfer_id
@@ -69,14 +69,14 @@
         return self.size
 
     def assemble(self, end: messages.InstallSnapshot) -> log_records.EncodedSnapshot:
-        """The complete snapshot.
+        """Return the complete snapshot.
 
         Raises:
-            RequestError: Not all of its bytes were received, or they are another transfer's.
+            RequestError: Not all of its bytes were received, or they belong to another transfer.
 
         """
         if end.transfer_id != self.transfer_id or end.size != self.size:
-            raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="parts of the snapshot are missing")
+            raise result.RequestError(result.ResultCode.NOT_PRIMARY, detail="chunks of the snapshot are missing")
         return log_records.EncodedSnapshot(end.epoch, end.sequence, end.digest, tuple(self.chunks))
 
     def clear(self) -> None:
@@ -86,17 +86,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Transfer:
-    """A snapshot that is sent, under an id that no other snapshot has."""
+    """A snapshot being sent, under an id that no other snapshot has."""
 
     transfer_id: int
     snapshot: log_records.EncodedSnapshot
 
 
 class SnapshotSender:
-    """Sends a primary's snapshots to members that are repaired."""
+    """Sends a primary's snapshots to members under repair."""
 
-    def __init__(self, own: group_state.GroupState) -> None:
-        self.group = own
+    def __init__(self, group: group_state.GroupState) -> None:
+        self.group = group
         self.current: Transfer | None = None
 
     def record(self) -> replica_set.ReplicaSet:
@@ -105,16 +105,16 @@
         return self.group.known
 
     def transfer_of(self, snapshot: log_records.EncodedSnapshot) -> Transfer:
-        """The transfer of this very snapshot: a retry, or another receiver, resumes it under the same id."""
+        """The transfer of this very snapshot: a retry or another receiver uses the same id."""
         if self.current is None or self.current.snapshot is not snapshot:
             transfer_id = self.group.replica.environment.randomness.getrandbits(62) + 1
             self.current = Transfer(transfer_id, snapshot)
         return self.current
 
     async def send(self, peer: replica_set.ReplicaId, snapshot: log_records.EncodedSnapshot) -> log_records.LogPosition:
-        """Have a member receive and install a snapshot; the end of its log then.
+        """Have a member receive and install a snapshot; return the end of its log.
 
-        Compaction here waits meanwhile, so that the entries behind this snapshot are there to be sent next.
+        Meanwhile the log here is compacted later than usual, to keep the entries that the member needs next.
 
         Raises:
             RequestError: The member can't be reached, or rejects the snapshot.
@@ -132,9 +132,10 @@
                 self.current = None
 
     async def send_chunks(self, peer: replica_set.ReplicaId, transfer: Transfer) -> None:
-        """Send what the member has not received of a transfer yet.
+        """Send the part of a transfer that the member has not received yet.
 
-        An empty chunk asks how much that is; whenever the answer is not what was sent, the transfer goes on from there.
+        An empty chunk asks for the number of bytes received. If a reply differs from what was sent, the transfer
+        continues from the offset in the reply.
         """
         size = transfer.snapshot.size()
         received = await self.send_chunk(peer, transfer, 0, b"")
@@ -146,7 +147,7 @@
                     break
 
     async def send_chunk(self, peer: replica_set.ReplicaId, transfer: Transfer, offset: int, body: bytes) -> int:
-        """Send one chunk, again after a broken connection; how many bytes the member has received then.
+        """Send one chunk, and again after a broken connection; return the number of bytes that the member has received.
 
         Raises:
             RequestError: The member can't be reached, or rejects the chunk.
@@ -163,10 +164,10 @@
         return (await self.group.link.request(peer.address, message, CHUNK_TIMEOUT)).received_bytes
 
     async def install(self, peer: replica_set.ReplicaId, transfer: Transfer) -> log_records.LogPosition:
-        """Have the member replace its log by the snapshot that it received; the end of its log then.
+        """Have the member replace its log by the received snapshot; return the end of its log.
 
         Raises:
-            RequestError: The member can't be reached, or lacks a part of the snapshot.
+            RequestError: The member can't be reached, or lacks a chunk of the snapshot.
 
         """
         snapshot, size = transfer.snapshot, transfer.snapshot.size()
--- a/aspencroft/replication/snapshotting.py
+++ b/aspencroft/replication/snapshotting.py
@@ -1,4 +1,4 @@
-"""Snapshots of a replica: when one is due, how it is encoded in pieces and written beside the writes that go on."""
+"""Snapshots of a replica: their schedule, their encoding in pieces, and writing them concurrently with appends."""
 
 import asyncio
 import collections.abc
@@ -14,26 +14,26 @@
 
 COMPACT_ENTRIES = 4000
 COMPACT_BYTES = 2 << 20
-"""Entries, or bytes of entries, above which the log is compacted at any time."""
+"""Number of entries, or bytes of entries, above which the log is compacted at any time."""
 
 EARLY_COMPACT_ENTRIES = 512
 EARLY_COMPACT_BYTES = 256 << 10
 EARLY_COMPACT_INTERVAL = clock.seconds(10)
-"""Entries, or bytes of entries, that are enough once the last snapshot is so long ago.
+"""Number of entries, or bytes of entries, that suffice once the last snapshot is this old.
 
-Disk, start and catching up follow the size of the state then, and not the changes of a whole day.
+Disk use, start time and catch-up then depend on the size of the state, and not on the changes of a whole day.
 """
 
 TRANSFER_FACTOR = 4
-"""How many times longer the log may grow while a snapshot is sent, as the receiver needs the entries behind it next."""
+"""Factor on the limits of the log while a snapshot is sent: the receiver next needs the entries after it."""
 
 PIECES_PER_YIELD = 64
-"""Pieces of a snapshot, or pages of 4 KiB of them, that are encoded before the loop gets its turn."""
+"""Pieces of a snapshot, or pages of 4 KiB in them, that are encoded before yielding to the event loop."""
 
 
 @dataclasses.dataclass(frozen=True)
 class PendingSnapshot:
-    """A snapshot that was begun: the position whose state it shows, and its pieces still to be encoded."""
+    """A snapshot that was begun: the log position of its state, and the pieces still to be encoded."""
 
     position: log_records.LogPosition
     epoch: int
@@ -49,41 +49,41 @@
         self.active_transfers = 0
 
     def is_due(self, log: replica_log.ReplicaLog, state_size: int) -> bool:
-        """Whether the log is long enough, in entries or bytes, for a snapshot of a state of so many entries."""
+        """Whether the log is long enough for a snapshot of a state with ``state_size`` entries."""
         if self.is_longer_than(log, state_size, COMPACT_ENTRIES, COMPACT_BYTES):
             return True
         is_early = clock.now() >= self.early_compact_at
         return is_early and self.is_longer_than(log, state_size, EARLY_COMPACT_ENTRIES, EARLY_COMPACT_BYTES)
 
     def is_longer_than(self, log: replica_log.ReplicaLog, state_size: int, entries: int, size: int) -> bool:
-        """Whether the log has more than so many entries or bytes, and than half of what the state has.
+        """Whether the log reaches the given entries or bytes, and half the size of the state.
 
-        In proportion to the state, so that the cost of snapshots stays in proportion to the changes.
+        The limit grows with the state, so that the cost of snapshots stays proportional to the changes.
         """
         factor = TRANSFER_FACTOR if self.active_transfers else 1
         has_many_entries = len(log.entries) >= factor * max(entries, state_size // 2)
         return has_many_entries or log.entry_bytes >= factor * max(size, log.snapshot_bytes // 2)
 
     def begin_transfer(self) -> None:
-        """A snapshot begins to be sent to a member."""
+        """Note that a transfer of a snapshot to a member begins."""
         self.active_transfers += 1
 
     def end_transfer(self) -> bool:
-        """A snapshot is no longer sent; whether it was the only one."""
+        """Note that a transfer has ended; return whether it was the only one."""
         self.active_transfers -= 1
         return not self.active_transfers
 
     def note_written(self) -> None:
-        """A snapshot was written: for a while only a long log calls for another."""
+        """Note a written snapshot: for ``EARLY_COMPACT_INTERVAL`` only a long log requires another one."""
         self.early_compact_at = clock.now() + EARLY_COMPACT_INTERVAL
 
     def note_failed(self) -> None:
-        """The disk refused a snapshot: none is begun for a while."""
+        """Note a disk error: no snapshot is begun until ``DISK_RETRY`` has passed."""
         self.retry_at = clock.now() + replica_storage.DISK_RETRY
 
 
 class Snapshotter:
-    """Takes snapshots of a replica's state and compacts log and storage by them."""
+    """Takes snapshots of a replica's state and compacts log and storage with them."""
 
     def __init__(self, group_id: int, log: replica_log.ReplicaLog, storage: replica_storage.ReplicaStorage) -> None:
         self.group_id = group_id
@@ -95,9 +95,9 @@
         self.requested = asyncio.Event()
 
     def begin(self, machine: state_machine.StateMachine) -> bool:
-        """Take hold of a state that shows exactly the log, if a snapshot is due; whether one was begun.
+        """Capture a state that matches the log exactly, if a snapshot is due; return whether one was begun.
 
-        It is encoded and written later, while further entries come in; they are noted to be written behind it.
+        It is encoded and written later, while further entries arrive; these are collected and written after it.
         """
         if self.is_active or not self.schedule.is_due(self.log, machine.size()) or not self.log.entries:
             return False
@@ -110,13 +110,13 @@
         return True
 
     async def run(self) -> None:
-        """Write each snapshot that is begun, for ever."""
+        """Write each snapshot that is begun, until cancelled."""
         while True:
             await self.requested.wait()
             await self.write_pending()
 
     async def write_pending(self) -> None:
-        """Encode and write the snapshot that was begun, if there is one; if the disk fails, a later one is tried."""
+        """Encode and write the pending snapshot, if there is one; after a disk error a later one is tried."""
         self.requested.clear()
         if self.pending is None:
             return
@@ -136,13 +136,14 @@
                 self.storage.snapshot_tail = None
 
     async def write_beside(self, snapshot: log_records.EncodedSnapshot, tail: list[data_file.Record]) -> None:
-        """Write a generation of a snapshot and of what was written since it was begun, then switch to it.
+        """Write a generation with a snapshot and the items written since it was begun, then switch to it.
 
-        The generation in force takes entries meanwhile; only the tail and the switch hold them up, so that none falls
-        between the two. A repair or a release in between makes a generation of its own: then this one is discarded.
+        Meanwhile entries are appended to the generation in force. Only writing the tail and switching block appends, so
+        that no entry is lost between the two generations. A repair or a release in the meantime creates a generation of
+        its own; then this one is discarded.
 
         Raises:
-            OSError: The disk failed; the older generation stays in force.
+            OSError: The disk failed; the older generation remains in force.
 
         """
         storage = self.storage
@@ -165,7 +166,7 @@
 
 
 async def encode_pieces(parts: collections.abc.Iterator[bytes]) -> tuple[bytes, ...]:
-    """All pieces of a snapshot; the loop gets its turn after a bounded number of them."""
+    """Encode all pieces of a snapshot, yielding to the event loop after a bounded number of them."""
     pieces, work = [], 0
     for part in parts:
         pieces.append(part)
