--- a/aspencroft/replication/append_patience.py
+++ b/aspencroft/replication/append_patience.py
@@ -1,7 +1,8 @@
-"""How long a primary waits for its backups: several times what their answers took lately, within bounds.
+"""An adaptive time-out for the replies of backups: a multiple of their recent latency, within bounds.
 
-All that a group is asked waits for the slowest backup, so a machine that fell silent holds up every caller of its
-groups until it is recorded out. A fixed bound has to allow for the slowest disk; this one follows what is observed.
+Every command of a group waits for the slowest backup, so an unresponsive machine delays all callers of its groups until
+it is removed from the replica set. A fixed time-out would have to allow for the slowest disk; this one follows the
+observed latency.
 """
 
 import asyncio
@@ -12,55 +13,55 @@
 from aspencroft.runtime import clock
 
 MIN_TIMEOUT = clock.seconds(0.3)
-"""Shortest wait for a backup's answer: a disk that is well may take this long for one sync."""
+"""Shortest time-out for a backup's reply: a healthy disk may take this long for one sync."""
 MAX_TIMEOUT = clock.seconds(0.7)
-"""Longest wait for a backup's answer: every caller of the group waits as long."""
+"""Longest time-out for a backup's reply: every caller of the group may wait this long."""
 TIMEOUT_FACTOR = 5
-"""How many times the slowest answer of late is waited for."""
+"""Time-out as a multiple of the slowest recent reply."""
 BACKOFF_FACTOR = 2
-"""How many times the wait grows after one that was too short."""
+"""Factor on the time-out after it has expired."""
 DECAY_TIME = clock.seconds(8)
-"""After this time a slow answer counts for 1/e of what it took."""
+"""After this time the latency of a slow reply counts only 1/e."""
 POLL_PERIOD = clock.seconds(0.05)
-"""Longest single wait: a stop of this process counts as no more than twice this."""
+"""Longest single wait: a pause of this process counts at most twice this."""
 
 
 class AppendPatience:
-    """The slowest answer of late, fading, and the patience that follows from it; it's the most at the beginning."""
+    """The decaying latency of the slowest recent reply, and the time-out derived from it, initially the longest."""
 
     def __init__(self) -> None:
         self.slowest = MAX_TIMEOUT / TIMEOUT_FACTOR
         self.at = clock.ZERO
 
     def begin(self) -> None:
-        """A primary begins: nothing is known yet, and after a stop of many machines all of them are busy."""
+        """Start a term with the longest time-out: no latency is known, and after an outage all machines are busy."""
         self.slowest, self.at = MAX_TIMEOUT / TIMEOUT_FACTOR, clock.now()
 
     def answered(self, took: datetime.timedelta) -> None:
-        """All backups answered after this time."""
+        """Note that all backups replied after this time."""
         self.slowest = max(took, self.remembered())
         self.at = clock.now()
 
     def remembered(self) -> datetime.timedelta:
-        """The slowest answer of late, which counts for less with age."""
+        """The latency of the slowest recent reply, reduced with its age."""
         return self.slowest * math.exp(-((clock.now() - self.at) / DECAY_TIME))
 
     def limit(self) -> datetime.timedelta:
-        """How long to wait for an answer."""
+        """The time-out for a reply."""
         return max(MIN_TIMEOUT, min(MAX_TIMEOUT, TIMEOUT_FACTOR * self.remembered()))
 
     async def wait_for(self, asked: collections.abc.Collection[asyncio.Task]) -> None:
-        """Wait until all tasks are done or the limit is over; those that are not done then are cancelled.
+        """Wait until all tasks are done or the time-out expires; then cancel the unfinished ones.
 
-        After that the limit is doubled for a while, as the one that was too slow may be well and come back. Time in
-        which this process itself stood still counts as one look: the answers may be here, unread.
+        After an expiry the time-out is doubled for a while, as the slow backup may be healthy and return. A pause of
+        this process itself counts as a single poll: the replies may have arrived, unread.
         """
-        began, limit = clock.now(), self.limit()
+        started, limit = clock.now(), self.limit()
         waited, pending = clock.ZERO, set(asked)
         while pending and waited < limit:
-            looked = clock.now()
+            poll_started = clock.now()
             _, pending = await asyncio.wait(pending, timeout=min(POLL_PERIOD, limit - waited).total_seconds())
-            waited += min(clock.now() - looked, 2 * POLL_PERIOD)
+            waited += min(clock.now() - poll_started, 2 * POLL_PERIOD)
         for task in pending:
             task.cancel()
-        self.answered(BACKOFF_FACTOR * limit / TIMEOUT_FACTOR if pending else clock.now() - began)
+        self.answered(BACKOFF_FACTOR * limit / TIMEOUT_FACTOR if pending else clock.now() - started)
--- a/aspencroft/replication/role.py
+++ b/aspencroft/replication/role.py
@@ -1,7 +1,7 @@
-"""The role of a replica in its group: derived from what is known of the group, by pure functions; changes are logged.
+"""The role of a replica in its group, derived by pure functions from what it knows; changes are logged.
 
-The role is for reading, in logs and in code that reports. What a replica may do is decided by its lease, by the newest
-record and by the state of its log (``record_changes.may_serve``), never by the name of its role.
+The role is only for logs and reports. What a replica may do depends on its lease, on the newest replica set and on the
+state of its log (``record_changes.may_serve``), never on the name of its role.
 """
 
 import dataclasses
@@ -16,33 +16,33 @@
 
 
 class ReplicaRole(enum.Enum):
-    """What a replica is in its group at a moment."""
+    """The role of a replica in its group."""
 
     RECOVERING = "recovering"
-    """It started, and has not yet compared its log with another member, or knows no record at all."""
+    """It has started, and has not yet compared its log with another member or knows no replica set."""
     NON_MEMBER = "non-member"
-    """The newest record does not name it."""
+    """The newest replica set does not name it."""
     FOLLOWER = "follower"
-    """A backup that watches its primary."""
+    """A backup that follows its primary."""
     CANDIDATE = "candidate"
-    """A backup whose primary is silent, and that asks the voters for the primary's place."""
+    """A backup whose primary is unresponsive, and that requests a takeover from the voters."""
     ACQUIRING_LEASE = "acquiring lease"
-    """The primary of the newest record, without a valid lease: it answers nothing."""
+    """The primary of the newest replica set, without a valid lease: it does not serve."""
     LEADER = "leader"
-    """The primary of the newest record, under a valid lease."""
+    """The primary of the newest replica set, with a valid lease."""
     STEPPING_DOWN = "stepping down"
-    """A primary that hands its place to a backup: it answers nothing, whatever lease it is granted."""
+    """A primary that transfers leadership to a backup: it does not serve, even with a valid lease."""
 
 
 LEADERSHIP_ROLES = frozenset(
     (ReplicaRole.CANDIDATE, ReplicaRole.ACQUIRING_LEASE, ReplicaRole.LEADER, ReplicaRole.STEPPING_DOWN)
 )
-"""Roles whose begin or end is an event for those on call; the others come with any start."""
+"""Roles whose start or end is logged for on-call operators; the other roles occur at every start of a node."""
 
 
 @dataclasses.dataclass(frozen=True)
 class RoleFacts:
-    """All that a replica's role follows from."""
+    """The facts that determine a replica's role."""
 
     known: replica_set.ReplicaSet | None
     me: replica_set.ReplicaId
@@ -54,9 +54,9 @@
 
 
 def decide_role(facts: RoleFacts) -> ReplicaRole:
-    """The role that follows from the facts.
+    """Derive the role from the facts.
 
-    A term as primary is looked at first: it ends by itself where the newest record names another member, and until
+    A term as primary takes precedence: it ends by itself when the newest replica set names another member, and until
     then the replica is still a primary, without a lease.
     """
     if facts.is_leading:
@@ -75,7 +75,7 @@
 
 
 class RoleState:
-    """A replica's term as primary or campaign for it, and the role it was last seen in; only its methods change it."""
+    """A replica's term as primary, its campaign for one, and its last logged role; only its methods change it."""
 
     def __init__(self, group_id: int):
         self.group_id = group_id
@@ -85,36 +85,36 @@
         self.is_campaigning = False
 
     def begin_term(self) -> None:
-        """Begin to act as the primary, as soon as a lease is granted."""
+        """Begin a term: the replica acts as the primary as soon as a lease is granted."""
         self.is_leading = True
 
     def end_term(self) -> None:
-        """Stop acting as the primary."""
+        """End the term as the primary, and with it a transfer."""
         self.is_leading = self.is_transferring = False
 
     def begin_transfer(self) -> None:
-        """From now on nothing is answered: the voters may already have accepted the next primary."""
+        """Begin a transfer and stop serving: the voters may already have accepted the next primary."""
         self.is_transferring = True
 
     def end_transfer(self) -> None:
-        """The transfer was not accepted, and this member is known to be the primary still."""
+        """End a transfer that was not accepted: this member is known to be the primary still."""
         self.is_transferring = False
 
     def begin_campaign(self) -> None:
-        """Begin to ask the voters for the place of a silent primary."""
+        """Begin to request a takeover from the voters."""
         self.is_campaigning = True
 
     def end_campaign(self) -> None:
-        """The voters answered, or did not."""
+        """End the campaign, with or without a reply of the voters."""
         self.is_campaigning = False
 
     def apply(self, facts: RoleFacts, reason: str) -> None:
-        """Take the role that follows from the facts; a change of it is logged once."""
-        fresh = decide_role(facts)
-        if fresh is self.role:
+        """Take the role derived from the facts; a change is logged once."""
+        new_role = decide_role(facts)
+        if new_role is self.role:
             return
         epoch = None if facts.known is None else facts.known.epoch
-        change = f"{self.role.value} to {fresh.value}"
+        change = f"{self.role.value} to {new_role.value}"
         events.report(
             LOG,
             events.EventFields(
@@ -123,10 +123,10 @@
             "group {}: role changed from {} to {}, epoch {}, member {}: {}",
             self.group_id,
             self.role.value,
-            fresh.value,
+            new_role.value,
             epoch,
             facts.me.label(),
             reason,
-            level=logbook.NOTICE if {self.role, fresh} & LEADERSHIP_ROLES else logbook.INFO,
+            level=logbook.NOTICE if {self.role, new_role} & LEADERSHIP_ROLES else logbook.INFO,
         )
-        self.role = fresh
+        self.role = new_role
--- a/aspencroft/replication/service_status.py
+++ b/aspencroft/replication/service_status.py
@@ -1,4 +1,4 @@
-"""How a group is served by its primary, in words; what stops or resumes the service is logged as an event."""
+"""The service status of a group at its primary; each interruption and resumption is logged as an event."""
 
 import logbook
 
@@ -10,11 +10,11 @@
 RECRUITING = "recruiting"
 REPAIRING_BACKUPS = "mending the backups"
 IMPAIRED = frozenset((NO_BACKUP, RECRUITING, REPAIRING_BACKUPS))
-"""Why a primary under its lease answers nothing yet."""
+"""Reasons for which a primary with a valid lease does not serve yet."""
 
 
 class ServiceStatus:
-    """The present reason, as ``/status`` shows it; only ``change`` sets it."""
+    """The current status reason, as shown by ``/status``; only ``change`` sets it."""
 
     def __init__(self, group_id: int) -> None:
         self.group_id = group_id
@@ -22,7 +22,7 @@
         self.is_impaired = False
 
     def change(self, reason: str, epoch: int | None, member: str) -> None:
-        """Take a reason; an event where a primary stops serving, still cannot for another reason, or serves again."""
+        """Set the reason; logs when a primary stops serving, when the cause changes, and when it serves again."""
         if reason == self.reason:
             return
         self.reason = reason
@@ -36,7 +36,7 @@
             self.is_impaired = False
 
     def report(self, event: events.Event, reason: str, epoch: int | None, member: str) -> None:
-        """Log that the service stopped or resumed."""
+        """Log that the service was interrupted or resumed."""
         events.report(
             LOG,
             events.EventFields(event, self.group_id, epoch, member=member, reason=reason),
--- a/aspencroft/replication/state_machine.py
+++ b/aspencroft/replication/state_machine.py
@@ -1,17 +1,17 @@
-"""The state machine of a replication group: what it decides, and what its log means."""
+"""The interface of a replication group's state machine."""
 
 import collections.abc
 import datetime
 import typing
 
 Command: typing.TypeAlias = typing.Any
-"""What a caller asks of a group; each state machine has its own types of commands."""
+"""A request to a group; each state machine defines its own command types."""
 
 Event: typing.TypeAlias = typing.Any
-"""What a command changes, as an entry's body holds it; each state machine has its own types of events."""
+"""A state change caused by a command, stored as the body of an entry; each state machine defines its own types."""
 
 Reply: typing.TypeAlias = typing.Any
-"""What the caller of a command gets once its events are acknowledged."""
+"""The reply to a command, sent once its events are acknowledged."""
 
 
 class StateMachine(typing.Protocol):
@@ -21,7 +21,7 @@
     """
 
     def decide(self, command: Command, now: datetime.timedelta, epoch: int) -> tuple[tuple[Event, ...], Reply]:
-        """The events and the reply of a command; nothing is changed before they are applied.
+        """Return the events and the reply of a command; the state changes only when the events are applied.
 
         Raises:
             RequestError: The command is rejected.
@@ -30,9 +30,9 @@
         ...
 
     def decide_at_once(self, command: Command, now: datetime.timedelta, epoch: int) -> Reply | None:
-        """The reply of a command that needs no event and waits for none, or none where it has to be decided in turn.
+        """Return the reply of a command that neither causes nor awaits events; None if it must be queued.
 
-        Only clocks and counts of this primary may change.
+        Only clocks and counters of this primary may change.
 
         Raises:
             RequestError: The command is rejected.
@@ -41,43 +41,43 @@
         ...
 
     def note_committed(self) -> None:
-        """All events so far are on all members of the record."""
+        """Note that all members of the replica set hold all events so far."""
         ...
 
     def apply(self, event: Event) -> None:
-        """Change the state by an event."""
+        """Apply an event to the state."""
         ...
 
     def due(
         self, now: datetime.timedelta, gone: collections.abc.Callable[[str], bool]
     ) -> collections.abc.Sequence[Command]:
-        """The commands that the clock calls for; ``gone`` tells whether the node at an address is lost."""
+        """Return the commands whose time has come; ``gone`` tells whether the node at an address is lost."""
         ...
 
     def snapshot(self) -> bytes:
-        """The whole state, in one piece."""
+        """Encode the whole state in one piece."""
         ...
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The whole state in pieces, as it was when this was called."""
+        """Encode the whole state in pieces, as of the time of the call."""
         ...
 
     def size(self) -> int:
-        """How many entries a snapshot holds."""
+        """Return the number of entries in a snapshot."""
         ...
 
     def payload_bytes(self) -> int:
-        """Bytes of callers' inputs and outputs in the state."""
+        """Return the bytes of callers' inputs and outputs in the state."""
         ...
 
     def limit_payload(self, most: int) -> None:
-        """Bound the bytes of callers' inputs and outputs."""
+        """Limit the bytes of callers' inputs and outputs."""
         ...
 
     def restore(self, body: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state by that of a snapshot."""
         ...
 
     def reset_clocks(self) -> None:
-        """Forget the times that were counted as primary."""
+        """Reset the timers that run only on a primary."""
         ...
--- a/aspencroft/storage/data_file.py
+++ b/aspencroft/storage/data_file.py
@@ -1,4 +1,4 @@
-"""The data file of one generation: records with checksums, each at the start of a block, read back by a scan."""
+"""The data file of one generation: block-aligned records with checksums, recovered by a scan."""
 
 import dataclasses
 import enum
@@ -13,11 +13,11 @@
 FORMER_HEADER = struct.Struct(">4sQIQ")
 FORMER_MAGIC = b"acv1"
 BLOCK = 512
-"""Bytes: ``dbm.dumb`` begins each value at a multiple of this."""
+"""Block size in bytes: ``dbm.dumb`` aligns each value to a multiple of it."""
 
 
 class Condition(enum.Enum):
-    """What opening a store found."""
+    """The condition of a store when it was opened."""
 
     EMPTY = "empty"
     SOUND = "sound"
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """One stored payload under its epoch."""
+    """A stored payload with its epoch."""
 
     epoch: int
     payload: bytes
@@ -34,20 +34,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Extent:
-    """Where a record's bytes lie in the data file."""
+    """The position of a record in the data file."""
 
     offset: int
     length: int
 
     @property
     def end(self) -> int:
-        """The offset behind the last byte."""
+        """The offset after the last byte."""
         return self.offset + self.length
 
 
 @dataclasses.dataclass(frozen=True)
 class Scan:
-    """What a data file holds: records with their extents, and whether they are sound."""
+    """The contents of a data file: records with their extents, and the condition of the file."""
 
     records: tuple[Record, ...]
     extents: tuple[Extent, ...]
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DecodedRecord:
-    """A complete record found in a data file; ``synced_count`` is how many were synced before it was written."""
+    """A complete record in a data file; ``synced_count`` is the number of records synced before it was written."""
 
     index: int
     record: Record
@@ -65,7 +65,7 @@
 
 
 class FileBytes:
-    """A file's bytes, read where they are looked at, so that a large file is never in memory as a whole."""
+    """A file's bytes, read on access, so that a large file is never completely in memory."""
 
     def __init__(self, file: typing.BinaryIO) -> None:
         self.descriptor = file.fileno()
@@ -80,15 +80,15 @@
 
 
 def encode_record(index: int, record: Record, synced_count: int) -> bytes:
-    """The bytes stored for the record of an index."""
+    """Encode a record with its index."""
     header = HEADER.pack(MAGIC, index, len(record.payload), record.epoch, synced_count)
     return header + CHECKSUM.pack(zlib.crc32(record.payload, zlib.crc32(header))) + record.payload
 
 
 def decode_record_at(data: bytes | FileBytes, offset: int) -> DecodedRecord | None:
-    """The record at an offset, or nothing where it is incomplete or its checksum differs.
+    """Decode the record at an offset; None if it is incomplete or its checksum differs.
 
-    Records of the former format count as written one by one, each after all before it were synced.
+    Records of the former format are treated as written one by one, each after all earlier ones were synced.
     """
     magic = data[offset : offset + len(MAGIC)]
     layout = {MAGIC: HEADER, FORMER_MAGIC: FORMER_HEADER}.get(magic)
@@ -107,7 +107,7 @@
 
 
 def next_block(offset: int) -> int:
-    """The first offset from here on at which a record may begin.
+    """The first offset at or after ``offset`` at which a record may begin.
 
     Example: ``(next_block(0), next_block(1), next_block(512)) == (0, 512, 512)``
     """
@@ -115,7 +115,7 @@
 
 
 def find_extents(data: bytes | FileBytes, most: int) -> list[Extent]:
-    """Where the first records are, at most so many; their payloads are not collected.
+    """Find the extents of the first records, at most ``most`` of them, without collecting their payloads.
 
     Example: ``find_extents(b"", 3) == []``
     """
@@ -128,11 +128,11 @@
 
 
 def scan(data: bytes | FileBytes) -> Scan:
-    """Read a data file front to back.
+    """Read a data file from start to end.
 
-    An incomplete record ends the records. Where a later one was written after that record was synced, the file is
-    damaged; else the later ones are of the same batch, which was not synced when the power went: each of its records
-    may be there or missing, and what follows the first missing one is a torn tail.
+    The records end at the first incomplete one. If a later record was written after that one had been synced, the file
+    is damaged. Otherwise the later records belong to the same batch, which was not synced at the power loss: any of its
+    records may be present or missing, and everything after the first missing one is a torn tail.
 
     Example: ``scan(b"").condition is Condition.EMPTY``
     """
--- a/aspencroft/storage/store.py
+++ b/aspencroft/storage/store.py
@@ -1,4 +1,4 @@
-"""A crash-safe store over dbm.dumb: only new keys, every record checked, the index rebuilt by scan.
+"""A crash-safe store based on dbm.dumb: keys are only added, every record has a checksum, a scan rebuilds the index.
 
 A store is a folder with one subfolder for each generation and the file ``current``, which names the one in force.
 """
@@ -20,11 +20,11 @@
 LOG = logbook.Logger("storage.store")
 CURRENT = "current"
 LOST_BY_DISK = 1
-"""Records: a disk that loses so many of its last synced ones is not yet taken for damaged."""
+"""Number of last synced records that a disk may lose without its store counting as damaged."""
 
 
 class OpenedStore(typing.NamedTuple):
-    """A store, the records it was opened with, and what the opening found."""
+    """An opened store, the records found in it, and its condition."""
 
     store: "Store"
     records: tuple[data_file.Record, ...]
@@ -33,13 +33,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class GenerationPointer:
-    """The generation in force, and how many records were synced in it when it was pointed to."""
+    """The generation in force, and the number of its records that were synced when the pointer was written."""
 
     generation: int
     record_count: int
 
     def text(self) -> str:
-        """The pointer as its file holds it.
+        """The contents of the pointer file.
 
         Example: ``GenerationPointer(3, 120).text() == "3 120"``
         """
@@ -47,7 +47,7 @@
 
 
 def read_pointer(path: pathlib.Path) -> GenerationPointer | None:
-    """What a pointer file says; none when it is unreadable. Former files name the generation alone."""
+    """Read a pointer file; None if it is unreadable. Files of former versions name only the generation."""
     words = path.read_text(errors="replace").split()
     if not words or not all(word.isdigit() for word in words):
         return None
@@ -57,9 +57,9 @@
 class Store:
     """An append-only list of records in generations of dbm.dumb files.
 
-    Either all records of an append last or none: after a failed one (no space, an input or output error) its bytes are
-    cut off before anything is written behind them, since a torn record amid sound ones would read as damage.
-    Methods that write raise OSError where the disk does.
+    Either all records of an append are durable or none. After a failed append (no space, I/O error) its bytes are cut
+    off before anything else is written: a torn record between intact ones would be taken for damage.
+    Methods that write raise OSError when the disk fails.
     """
 
     def __init__(self, folder: pathlib.Path, disk: environment.Disk, generation: int) -> None:
@@ -70,7 +70,7 @@
         self.synced_count = 0
         self.has_failed_append = False
         self.superseded_folder: pathlib.Path | None = None
-        # Any: the class of dbm.dumb is private, and so is its flag `_modified` that is reset below.
+        # Any: the class of dbm.dumb is private, and so is its flag `_modified`, which `write_unsynced` resets.
         self.database: typing.Any = None
 
     def generation_folder(self) -> pathlib.Path:
@@ -78,7 +78,7 @@
         return self.folder / f"generation-{self.generation}"
 
     def open_files(self, extents: collections.abc.Sequence[data_file.Extent]) -> None:
-        """Make data and index agree with the records that were found, then open the files."""
+        """Make data file and index match the records that were found, then open the files."""
         data_path, index_path = self.generation_folder() / "journal.dat", self.generation_folder() / "journal.dir"
         end = extents[-1].end if extents else 0
         size = data_path.stat().st_size
@@ -97,7 +97,7 @@
         if not index_path.exists() or index_path.read_text("latin-1", errors="replace") != index:
             fresh = self.generation_folder() / "journal.fresh"
             fresh.write_text(index, "latin-1")
-            # The new index is complete on the disk before it takes the old one's name.
+            # The new index is durable before it is renamed to replace the old one.
             self.disk.synchronise(fresh)
             os.replace(fresh, index_path)
             self.disk.synchronise(self.generation_folder())
@@ -108,7 +108,7 @@
     def append(self, records: tuple[data_file.Record, ...]) -> None:
         """Write records and sync them, all or none."""
         self.finish_interrupted_work()
-        # Until both files are synced, whatever stands behind the synced records is a failed append's.
+        # Until both files are synced, all bytes after the synced records belong to a failed append.
         self.has_failed_append = True
         self.write_unsynced(records)
         for name in ("journal.dat", "journal.dir"):
@@ -116,24 +116,24 @@
         self.has_failed_append, self.synced_count = False, self.record_count
 
     def finish_interrupted_work(self) -> None:
-        """Finish what an earlier failure left: a pointer that was not synced, the bytes of a failed append."""
+        """Complete work that an earlier failure interrupted: sync the pointer, cut off the bytes of a failed append."""
         if self.superseded_folder is not None:
             self.finish_switch()
         if self.has_failed_append:
             self.cut_off_failed_append()
 
     def cut_off_failed_append(self) -> None:
-        """Cut off all that was written since the last append that succeeded.
+        """Cut off everything written since the last successful append.
 
         Raises:
-            OSError: synced records are gone, or the disk fails again.
+            OSError: Synced records are missing, or the disk fails again.
 
         """
         with (self.generation_folder() / "journal.dat").open("rb") as file:
             extents = data_file.find_extents(data_file.FileBytes(file), self.synced_count)
         if len(extents) < self.synced_count:
             missing = self.synced_count - len(extents)
-            raise OSError(errno.EIO, f"{missing} lasting values of {self.generation_folder()} are gone")
+            raise OSError(errno.EIO, f"{missing} synced records of {self.generation_folder()} are missing")
         self.open_files(extents)
 
     def write_unsynced(self, records: collections.abc.Iterable[data_file.Record]) -> None:
@@ -144,14 +144,14 @@
                 self.database[format(self.record_count, "016x")] = encoded
                 self.record_count += 1
         finally:
-            # dbm.dumb would rewrite its whole index when it is closed.
+            # Without this, dbm.dumb would rewrite its whole index on close.
             self.database._modified = False
 
     def replace(self, records: tuple[data_file.Record, ...]) -> None:
-        """Write a new generation that holds just these records, then point to it.
+        """Write a new generation with only these records, then put it in force.
 
         Raises:
-            OSError: the generation was not written; the former one stays in force.
+            OSError: The generation was not written; the former one remains in force.
 
         """
         fresh = self.successor(self.generation + 1)
@@ -168,28 +168,28 @@
         self.has_failed_append = fresh.has_failed_append
 
     def successor(self, generation: int) -> "Store":
-        """A store for a later generation of the same folder; it counts only once it is put in force."""
+        """Create a store for a later generation in the same folder; it is not used before it is put in force."""
         return Store(self.folder, self.disk, generation)
 
     def create_empty(self) -> None:
-        """Begin the generation with no records, whatever was left of one with its number."""
+        """Create the generation without records, replacing any remains of one with the same number."""
         remove_generation(self.generation_folder())
         self.generation_folder().mkdir(parents=True, exist_ok=True)
         (self.generation_folder() / "journal.dat").write_bytes(b"")
         self.open_files(())
 
     def put_in_force(self, superseded_folder: pathlib.Path) -> None:
-        """Point to this generation, whose records were synced, and remove an older one.
+        """Point to this generation, whose records are synced, and remove an older one.
 
-        Where just the last sync fails, either may be in force after a loss of power: they hold the same then, and
-        ``append`` adds nothing before that sync succeeded.
+        If only the last sync fails, either generation may be in force after a power loss: they are equivalent then, and
+        ``append`` writes nothing before that sync has succeeded.
 
         Raises:
-            OSError: the older generation is in force.
+            OSError: The older generation is in force.
 
         """
-        # The generation's names are synced before the pointer names it, and the pointer's bytes before its rename:
-        # a loss of power at any step leaves a pointer to a complete generation.
+        # The generation's directory entries are synced before the pointer names it, and the pointer's bytes before its
+        # rename: a power loss at any step leaves a pointer to a complete generation.
         self.disk.synchronise(self.generation_folder())
         self.disk.synchronise(self.folder)
         fresh = self.folder / "current.fresh"
@@ -201,19 +201,19 @@
             self.finish_switch()
 
     def finish_switch(self) -> None:
-        """Sync the pointer's rename, and only then remove the generation that it superseded."""
+        """Sync the rename of the pointer, and only then remove the superseded generation."""
         self.disk.synchronise(self.folder)
         if self.superseded_folder is not None:
             remove_generation(self.superseded_folder)
         self.superseded_folder = None
 
     def discard(self) -> None:
-        """Remove a generation that was never pointed to."""
+        """Remove a generation that was never put in force."""
         remove_generation(self.generation_folder())
 
 
 def remove_generation(folder: pathlib.Path) -> None:
-    """Remove a generation's folder and the files in it, by their names alone; what cannot be removed stays."""
+    """Remove a generation's folder and its files by name, without reading them; what can't be removed stays."""
     try:
         for name in os.listdir(folder):
             os.unlink(folder / name)
@@ -223,7 +223,7 @@
 
 
 def make_durable_folder(folder: pathlib.Path, disk: environment.Disk) -> None:
-    """Make a folder whose name outlives a loss of power, also where an earlier run made it and did not sync that."""
+    """Create a folder that survives a power loss, also if an earlier run created it without a sync."""
     folder.mkdir(parents=True, exist_ok=True)
     disk.synchronise(folder.parent)
 
@@ -232,7 +232,7 @@
     """Open the store in a folder; a damaged one is opened empty, in a new generation.
 
     Raises:
-        OSError: the disk failed.
+        OSError: The disk failed.
 
     """
     pointer_path = folder / CURRENT
@@ -247,7 +247,7 @@
         return start_empty(folder, disk, generations, data_file.Condition.DAMAGED)
     store = Store(folder, disk, pointer.generation)
     store.open_files(found.extents)
-    # A process killed amid a switch may have left the pointer's rename unsynced: it lasts before the others go.
+    # A process killed during a switch may have left the pointer's rename unsynced: sync it before removing generations.
     disk.synchronise(folder)
     for generation in generations:
         if generation != store.generation:
@@ -258,16 +258,16 @@
 def start_empty(
     folder: pathlib.Path, disk: environment.Disk, generations: list[int], condition: data_file.Condition
 ) -> OpenedStore:
-    """Begin a new generation without records, behind all that are there."""
+    """Create a new generation without records, numbered after all existing ones."""
     store = Store(folder, disk, max(generations, default=0))
     store.replace(())
     return OpenedStore(store, (), condition)
 
 
 def scan_generation(folder: pathlib.Path, pointer: GenerationPointer, disk: environment.Disk) -> data_file.Scan | None:
-    """Read the generation that is pointed to; none when it is missing or damaged.
+    """Read the generation in force; None if it is missing or damaged.
 
-    What a killed process wrote and did not sync is read like all else, and is acted on: it is synced first.
+    Records that a killed process wrote without a sync are read and acted on like all others, so they are synced first.
     """
     data_path = folder / f"generation-{pointer.generation}" / "journal.dat"
     if not data_path.exists():
@@ -280,7 +280,7 @@
 
 
 class NoSyncDisk:
-    """A disk that syncs nothing, for tests."""
+    """A disk without syncs, for tests."""
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """Nothing to do."""
+        """Do nothing."""
