--- a/aspencroft/replication/group_replica_test.py
+++ b/aspencroft/replication/group_replica_test.py
@@ -1,4 +1,4 @@
-"""Tests of groups in simulated fleets: cuts, lost disks, replaced machines, two losses at once."""
+"""Tests of groups in simulated clusters: network partitions, lost disks, replaced machines, two losses at once."""
 
 import asyncio
 
@@ -9,24 +9,24 @@
 FIVE = simulated_cluster.Size(2, 5, 5, apart=True)
 
 
-def cut_off(fleet: groups.ClusterHarness, one_way: bool, back: bool) -> list[str]:
-    """Cut the control group's primary and one other core off from all others; the cores of the majority."""
+def partition_primary(fleet: groups.ClusterHarness, one_way: bool, back: bool) -> list[str]:
+    """Partition the control group's primary and another core from all others; return the cores of the majority."""
     cluster = fleet.cluster
-    left = [cluster.leader(0), next(name for name in fleet.members(0) if name != cluster.leader(0))]
-    right = [name for name in cluster.names() if name not in left]
-    cluster.wire.cut(*((right, left) if back else (left, right)), one_way)
-    return [name for name in cluster.cores if name not in left]
+    minority = [cluster.leader(0), next(name for name in fleet.members(0) if name != cluster.leader(0))]
+    others = [name for name in cluster.names() if name not in minority]
+    cluster.wire.cut(*((others, minority) if back else (minority, others)), one_way)
+    return [name for name in cluster.cores if name not in minority]
 
 
 def test_the_majority_side_of_a_core_cut_serves_and_keeps_what_was_acknowledged():
     async def scenario(fleet: groups.ClusterHarness) -> None:
         cluster = fleet.cluster
         assert await fleet.write("before")
-        for one_way, back, most in ((False, False, 4.0), (True, False, 4.0), (True, True, 5.0)):
+        for one_way, back, max_seconds in ((False, False, 4.0), (True, False, 4.0), (True, True, 5.0)):
             await cluster.until(fleet.whole, 12, "whole")
-            majority = cut_off(fleet, one_way, back)
+            majority = partition_primary(fleet, one_way, back)
             took = await cluster.until(lambda: cluster.leader(0) in majority, 8, "led by the majority side")
-            assert took < most, (one_way, back, took)
+            assert took < max_seconds, (one_way, back, took)
             name = f"in-{one_way}-{back}".lower()
             assert await fleet.write(name)
             cluster.wire.heal()
@@ -41,10 +41,10 @@
     async def scenario(fleet: groups.ClusterHarness) -> None:
         cluster = fleet.cluster
         assert await fleet.write("before")
-        alone = [cluster.leader(0), next(name for name in cluster.cores if name not in fleet.members(0))]
-        for name in alone:
+        isolated = [cluster.leader(0), next(name for name in cluster.cores if name not in fleet.members(0))]
+        for name in isolated:
             cluster.wire.cut([name], [other for other in cluster.names() if other != name])
-        majority = [name for name in cluster.cores if name not in alone]
+        majority = [name for name in cluster.cores if name not in isolated]
         await cluster.until(lambda: cluster.leader(0) in majority, 4.5, "led by the majority side")
         assert await fleet.write("between")
         cluster.wire.heal()
@@ -74,8 +74,8 @@
             await cluster.until(cluster.ready, 12, "ready")
             assert {f"extra-{each}" for each in range(number + 1)} <= await fleet.written()
         for number in range(4):
-            noted = await fleet.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)
-            assert noted.ran == "done", noted
+            reply = await fleet.ask("edge-1", "supervisor", "second", program=f"p{number}", after=1)
+            assert reply.ran == "done", reply
         turns = [body for body in cluster.world.seen() if body.get("turn") == 2]
         assert sorted(body["history"][0][0] for body in turns) == [f"p{number} first" for number in range(4)]
 
@@ -149,9 +149,9 @@
         assert fleet.record(1).epoch > 1
         cluster.power_off(third)
         await cluster.until(lambda: fleet.members(1) == [first], 4, "one is left")
-        held = cluster.nodes[first].group_replicas[1]
+        group_replica = cluster.nodes[first].group_replicas[1]
         await asyncio.sleep(5)
-        assert held.has_lease() and held.status_reason == "no backup"
+        assert group_replica.has_lease() and group_replica.status_reason == "no backup"
         cluster.start(second)
         await cluster.until(lambda: cluster.leader(1) == first, 4, "served again")
         assert len(fleet.members(1)) == 2
@@ -167,20 +167,20 @@
         for number in range(3):
             await cluster.until(fleet.whole, 12, "whole")
             assert await fleet.write(f"extra-{number}")
-            old = fleet.members(0)
-            gone = old[0]
+            members_before = fleet.members(0)
+            failed_primary = members_before[0]
             if number == 1:
-                cluster.loop.freeze(gone)
+                cluster.loop.freeze(failed_primary)
             else:
-                cluster.power_off(gone)
-            took = await cluster.until(lambda: cluster.leader(0) in old[1:], 6, "led by a backup")
+                cluster.power_off(failed_primary)
+            took = await cluster.until(lambda: cluster.leader(0) in members_before[1:], 6, "led by a backup")
             assert took < 3, took
             assert f"extra-{number}" in await fleet.written()
             if number == 1:
-                cluster.loop.thaw(gone)
-                assert not cluster.nodes[gone].group_replicas[0].has_lease()
+                cluster.loop.thaw(failed_primary)
+                assert not cluster.nodes[failed_primary].group_replicas[0].has_lease()
             else:
-                cluster.start(gone)
+                cluster.start(failed_primary)
 
     for seed in (12, 13):
         groups.play(seed, scenario)
@@ -210,19 +210,19 @@
             link = cluster.nodes[primary].group_replicas[group_id].link
             request = link.request
 
-            async def cut_before_telling(
+            async def wipe_before_notice(
                 address, message, *rest, request=request, group_id=group_id, primary=primary, third=third
             ):
-                told = message.record if isinstance(message, replica_set.ReplicaSetNotice) else None
-                if told is not None and told.group_id == group_id and third in str(told.backups):
+                notified = message.record if isinstance(message, replica_set.ReplicaSetNotice) else None
+                if notified is not None and notified.group_id == group_id and third in str(notified.backups):
                     cluster.power_off(primary)
                     cluster.disks[primary].wipe()
                     cluster.lost.add(primary)
                 return await request(address, message, *rest)
 
-            link.request = cut_before_telling
+            link.request = wipe_before_notice
             cluster.power_off(backup)
-            await cluster.until(lambda primary=primary: not cluster.alive(primary), 6, "lost before telling")
+            await cluster.until(lambda primary=primary: not cluster.alive(primary), 6, "lost before the notice")
             await asyncio.sleep(0.5)
             cluster.start(primary)
             await cluster.until(
--- a/aspencroft/replication/interrupted_write_test.py
+++ b/aspencroft/replication/interrupted_write_test.py
@@ -1,4 +1,4 @@
-"""A replica whose writes are cancelled, refused or hang: its disk and its memory never differ."""
+"""Tests of a replica whose writes are cancelled, fail or hang: its disk and its memory never differ."""
 
 import asyncio
 import collections
@@ -17,13 +17,13 @@
 
 
 def make_replica(local_disk: disk.SimDisk) -> replica.Replica:
-    """The control group's replica on a disk."""
+    """Make a replica of the control group on a disk."""
     node_environment = environment.Environment(None, local_disk, None, local_disk.chance, None)
     return replica.Replica(node_environment, local_disk.folder / "a", 0, control_state.ControlState)
 
 
-def entries_behind(local: replica.Replica, count: int, holder: str, epoch: int = 1) -> tuple[log_records.Entry, ...]:
-    """Entries that follow a replica's last one."""
+def entries_after(local: replica.Replica, count: int, holder: str, epoch: int = 1) -> tuple[log_records.Entry, ...]:
+    """Make entries that follow a replica's last one."""
     return tuple(
         log_records.Entry(
             epoch,
@@ -35,7 +35,7 @@
 
 
 async def is_same_after_start(local: replica.Replica) -> bool:
-    """Whether a process that starts on this disk holds what this one holds."""
+    """Whether a process that starts on this disk loads the same log and state as this replica."""
     reopened = make_replica(local.environment.disk)
     await reopened.open()
     return (reopened.last(), reopened.state_machine.snapshot(), reopened.log.entries) == (
@@ -56,15 +56,15 @@
         local_disk = disk.SimDisk(tmp_path / str(after), random.Random(1))
         local = make_replica(local_disk)
         await local.open()
-        await local.append(entries_behind(local, 2, "a:1"))
+        await local.append(entries_after(local, 2, "a:1"))
         local_disk.delay = 0.02
-        task = asyncio.ensure_future(local.append(entries_behind(local, 2, "b:1")))
+        task = asyncio.ensure_future(local.append(entries_after(local, 2, "b:1")))
         await asyncio.sleep(after)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         assert await is_same_after_start(local), after
         first = local.last().sequence
-        await local.append(entries_behind(local, 1, "c:1", epoch=2))
+        await local.append(entries_after(local, 1, "c:1", epoch=2))
         assert await is_same_after_start(local), after
         return first == 4
 
@@ -86,8 +86,8 @@
         )
         await local.open()
         await peer.open()
-        await local.append(entries_behind(local, 3, "a:1"))
-        await peer.append(entries_behind(peer, 8, "b:1"))
+        await local.append(entries_after(local, 3, "a:1"))
+        await peer.append(entries_after(peer, 8, "b:1"))
         before = local.last(), local.state_machine.snapshot()
         local_disk.space = space
         refused = False
@@ -117,13 +117,13 @@
         local = make_replica(local_disk)
         await local.open()
         snapshot_task = asyncio.ensure_future(local.snapshotter.run())
-        await local.append(entries_behind(local, 12, "a:1"))
+        await local.append(entries_after(local, 12, "a:1"))
         local_disk.space = space
         assert local.begin_snapshot()
         await asyncio.sleep(1)
         assert not local.begin_snapshot() or local.log.snapshot.sequence
         local_disk.space = None
-        await local.append(entries_behind(local, 3, "b:1"))
+        await local.append(entries_after(local, 3, "b:1"))
         await asyncio.sleep(2)
         local.begin_snapshot()
         await asyncio.sleep(1)
@@ -160,7 +160,7 @@
 
 
 def test_a_backup_whose_handler_is_cancelled_mid_write_never_holds_an_entry_twice(tmp_path):
-    """The connection of a primary breaks while the backup's disk writes; the next primary sends other entries."""
+    """The primary's connection breaks while the backup's disk writes, and different entries are sent next."""
 
     async def scenario(cluster: members.Members) -> None:
         cluster.run(*cluster.names)
@@ -185,15 +185,15 @@
 
 
 def sequences_written_twice(local: replica.Replica) -> set[int]:
-    """Sequences of which the disk holds more than one entry, by the bytes of the generation in force."""
+    """Find the sequences with more than one entry in the generation in force."""
     records = data_file.scan((local.storage.current.generation_folder() / "journal.dat").read_bytes()).records
-    values = [codec.untagged(record.payload) for record in records]
-    counted = collections.Counter(value.sequence for value in values if isinstance(value, log_records.Entry))
-    return {sequence for sequence, count in counted.items() if count > 1}
+    payloads = [codec.untagged(record.payload) for record in records]
+    counts = collections.Counter(value.sequence for value in payloads if isinstance(value, log_records.Entry))
+    return {sequence for sequence, count in counts.items() if count > 1}
 
 
 async def is_same_member_after_start(cluster: members.Members, name: str) -> bool:
-    """Whether a process that starts on a member's disk holds what that member holds."""
+    """Whether a process that starts on a member's disk loads the same log as that member."""
     running = cluster.group_replicas[name].replica
     reopened = replica.Replica(running.environment, running.folder, running.group_id, control_state.ControlState)
     await reopened.open()
@@ -211,7 +211,7 @@
             local_disk.space = 0
         else:
             local_disk.stall()
-        refused = asyncio.ensure_future(cluster.write("b", within=2))
+        write = asyncio.ensure_future(cluster.write("b", within=2))
         took = await cluster.until(
             lambda: any(
                 cluster.group_replicas[name].status_reason == "serving" and cluster.group_replicas[name].has_lease()
@@ -221,7 +221,7 @@
         assert took < 6, took
         leader = next(name for name in ("n1:1", "n2:1") if cluster.group_replicas[name].has_lease())
         await cluster.write("c", leader)
-        assert isinstance((await asyncio.gather(refused, return_exceptions=True))[0], Exception)
+        assert isinstance((await asyncio.gather(write, return_exceptions=True))[0], Exception)
         local_disk.space = None
         local_disk.resume()
         await cluster.until(lambda: "n0:1" in {backup.address for backup in cluster.register.standing().backups}, 20)
@@ -233,7 +233,7 @@
 
 
 def test_a_primary_with_a_hanging_disk_stops_renewing_its_lease(tmp_path):
-    """No ballot takes its place while its lease stands: it has to let the lease run out by itself."""
+    """No ballot can replace it while its lease is valid: it has to let the lease expire by itself."""
 
     async def scenario(cluster: members.Members) -> None:
         cluster.run(*cluster.names)
@@ -241,17 +241,17 @@
         await cluster.until(lambda: primary.status_reason == "serving")
         primary.replica.environment.disk.stall()
         cluster.register.refusing = True
-        hanging = asyncio.ensure_future(cluster.write("b", within=1))
+        write = asyncio.ensure_future(cluster.write("b", within=1))
         await cluster.until(lambda: primary.has_lease() and primary.replica.storage.write_started is not None)
         assert await cluster.until(lambda: not primary.has_lease()) < 4
         await clock.sleep(clock.seconds(5))
         assert not primary.has_lease()
         primary.replica.environment.disk.resume()
         cluster.register.refusing = False
-        await asyncio.gather(hanging, return_exceptions=True)
+        await asyncio.gather(write, return_exceptions=True)
         await cluster.until(
             lambda: any(
-                host.has_lease() and host.status_reason == "serving" for host in cluster.group_replicas.values()
+                member.has_lease() and member.status_reason == "serving" for member in cluster.group_replicas.values()
             ),
             20,
         )
@@ -268,7 +268,7 @@
         snapshot_task = asyncio.ensure_future(local.snapshotter.run())
         local_disk.delay = delay
         for number in range(2000):
-            await local.append(entries_behind(local, 1, f"holder {number}"))
+            await local.append(entries_after(local, 1, f"holder {number}"))
             local.begin_snapshot()
             await asyncio.sleep(1)
             used = sum(path.stat().st_size for path in tmp_path.rglob("*") if path.is_file())
@@ -281,18 +281,18 @@
 
 
 def has_position(local: replica.Replica, position: log_records.LogPosition) -> bool:
-    """Whether a replica holds all up to a position."""
+    """Whether a replica holds the log up to a position."""
     if local.log.snapshot.sequence > position.sequence:
         return True
     return local.digest_at(position.sequence) == position.digest
 
 
-class Ended(Exception):
-    """The process or the machine is gone."""
+class ProcessEnded(Exception):
+    """The process was killed or the machine lost power."""
 
 
 class EndingDisk(disk.SimDisk):
-    """A disk whose machine goes off at a sync, before or behind it."""
+    """A disk whose process ends at a given sync, just before or after it."""
 
     def __init__(self, folder, chance: random.Random, end_at: int, before: bool):
         super().__init__(folder, chance)
@@ -300,13 +300,13 @@
         self.before = before
 
     def synchronise(self, path) -> None:
-        """As on any disk, until the end."""
+        """Sync, or end the process at the configured sync."""
         ending = self.end_at and self.counts["syncs"] + 1 >= self.end_at
         if ending and self.before:
-            raise Ended
+            raise ProcessEnded
         super().synchronise(path)
         if ending:
-            raise Ended
+            raise ProcessEnded
 
 
 @pytest.mark.parametrize("power", [False, True])
@@ -319,22 +319,22 @@
     async def run_member(
         local: replica.Replica, peer: replica.Replica, acknowledged: list[log_records.LogPosition]
     ) -> None:
-        """Steps of a member's day; each position is noted as acknowledged once the step that ends there returned."""
+        """Run typical steps of a member; a position counts as acknowledged once the step that reaches it returned."""
         await local.persist_record(replica_set.ReplicaSet(0, 1, replica_set.ReplicaId("a:1", local.identity), ()))
         for count in (1, 3, 2):
-            await local.append(entries_behind(local, count, "a:1"))
+            await local.append(entries_after(local, count, "a:1"))
             acknowledged.append(local.last())
         await local.compact()
-        await local.append(entries_behind(local, 2, "b:1"))
+        await local.append(entries_after(local, 2, "b:1"))
         acknowledged.append(local.last())
-        await local.append(entries_behind(local, 1, "never acknowledged"))
+        await local.append(entries_after(local, 1, "never acknowledged"))
         goal = peer.last()
         await local.begin_repair(log_records.RepairGoal(goal.sequence, goal.digest))
         await local.repair(peer.log.snapshot.sequence, peer.log.snapshot, ())
         for entry in peer.log.entries:
             await local.repair(local.last().sequence, None, (entry,))
         acknowledged.append(local.last())
-        await local.append(entries_behind(local, 2, "c:1"))
+        await local.append(entries_after(local, 2, "c:1"))
         acknowledged.append(local.last())
         await local.compact()
 
@@ -343,10 +343,10 @@
         peer = make_replica(disk.SimDisk(folder / "other", random.Random(2)))
         await peer.open()
         for count, holder in ((1, "a:1"), (3, "a:1"), (2, "a:1"), (2, "b:1")):
-            await peer.append(entries_behind(peer, count, holder))
+            await peer.append(entries_after(peer, count, holder))
             if count == 3:
                 await peer.compact()
-        await peer.append(entries_behind(peer, 3, "other", epoch=2))
+        await peer.append(entries_after(peer, 3, "other", epoch=2))
         local_disk = EndingDisk(folder / "one", random.Random(end_at), 0, before)
         local, acknowledged = make_replica(local_disk), []
         await local.open()
@@ -354,7 +354,7 @@
         ended = False
         try:
             await run_member(local, peer, acknowledged)
-        except Ended:
+        except ProcessEnded:
             ended = True
         local_disk.end_at = 0
         if power:
@@ -384,19 +384,16 @@
 
 
 def test_of_two_entries_with_one_number_the_later_one_counts(tmp_path):
-    """Earlier versions wrote both when the caller of the first write was cancelled.
-
-    Only the second was acknowledged.
-    """
+    """Earlier versions wrote both if the caller of the first write was cancelled; only the second was acknowledged."""
 
     async def scenario() -> None:
         local = make_replica(disk.SimDisk(tmp_path, random.Random(1)))
         await local.open()
-        await local.append(entries_behind(local, 3, "a:1"))
-        await local.write_records(*entries_behind(local, 2, "cancelled"))
-        await local.append(entries_behind(local, 1, "b:1", epoch=2))
+        await local.append(entries_after(local, 3, "a:1"))
+        await local.write_records(*entries_after(local, 2, "cancelled"))
+        await local.append(entries_after(local, 1, "b:1", epoch=2))
         assert await is_same_after_start(local)
-        await local.write_records(*entries_behind(local, 2, "cancelled"))
+        await local.write_records(*entries_after(local, 2, "cancelled"))
         reopened = make_replica(local.environment.disk)
         await reopened.open()
         assert reopened.last().sequence == 6 and len(reopened.log.digests) == len(reopened.log.entries) == 6
--- a/aspencroft/replication/log_records_test.py
+++ b/aspencroft/replication/log_records_test.py
@@ -1,4 +1,4 @@
-"""The chained digest, and a snapshot as the disk holds it."""
+"""Tests of the chained digest and of the records of a snapshot on disk."""
 
 import pytest
 
--- a/aspencroft/replication/primary_test.py
+++ b/aspencroft/replication/primary_test.py
@@ -1,4 +1,4 @@
-"""Tests of what a primary answers, and when."""
+"""Tests of when a primary acknowledges or rejects a command."""
 
 import asyncio
 import dataclasses
@@ -34,16 +34,16 @@
 
 def test_too_few_members_answer_only_when_no_other_disk_can_be_had_and_one_never_does(tmp_path):
     async def scenario(cluster: members.Members) -> None:
-        own = cluster.group_replicas["n0:1"].primary
-        one, two, three = (cluster.group_replicas[name].me() for name in cluster.names)
-        short = replica_set.ReplicaSet(0, 5, one, (two,))
-        assert own.has_enough_members(replica_set.ReplicaSet(0, 5, one, (two, three)))
-        assert not own.has_enough_members(short)
-        own.exhausted_record = short
-        assert own.has_enough_members(short)
-        assert not own.has_enough_members(replica_set.ReplicaSet(0, 6, one, (two,)))
-        own.exhausted_record = alone = replica_set.ReplicaSet(0, 7, one, ())
-        assert not own.has_enough_members(alone)
+        primary = cluster.group_replicas["n0:1"].primary
+        first, second, third = (cluster.group_replicas[name].me() for name in cluster.names)
+        incomplete = replica_set.ReplicaSet(0, 5, first, (second,))
+        assert primary.has_enough_members(replica_set.ReplicaSet(0, 5, first, (second, third)))
+        assert not primary.has_enough_members(incomplete)
+        primary.exhausted_record = incomplete
+        assert primary.has_enough_members(incomplete)
+        assert not primary.has_enough_members(replica_set.ReplicaSet(0, 6, first, (second,)))
+        primary.exhausted_record = single = replica_set.ReplicaSet(0, 7, first, ())
+        assert not primary.has_enough_members(single)
 
     members.play(tmp_path, 3, scenario, members=3, copies=3, goal=3)
 
@@ -55,21 +55,21 @@
         cluster.silent.add("n1:1")
         await cluster.write("a")
         standing = cluster.register.standing()
-        assert {one.address for one in standing.backups} == {"n2:1", "n3:1"}
+        assert {member.address for member in standing.backups} == {"n2:1", "n3:1"}
         assert cluster.same("n0:1", "n2:1", "n3:1")
 
     members.play(tmp_path, 4, scenario, members=3, copies=3, goal=3)
 
 
-async def answered_with(cluster: members.Members, name: str) -> int:
-    """Write once somebody leads; how many members the record named when that was answered."""
+async def members_at_write(cluster: members.Members, name: str) -> int:
+    """Write once there is a leader; return the number of members at the time of the acknowledgement."""
     await cluster.until(lambda: bool(cluster.leader()))
     await cluster.write(name, cluster.leader())
     return len(cluster.register.standing().members())
 
 
-def slow_repairs(cluster: members.Members):
-    """Have copying to new members take half a second a message."""
+def delay_repairs(cluster: members.Members):
+    """Delay the start of each repair by half a second."""
     request = cluster.request
 
     async def slow(address, message, within):
@@ -83,13 +83,13 @@
 def test_a_disk_known_to_be_lost_is_one_of_the_losses_to_be_borne_and_holds_nobody_up(tmp_path):
     async def scenario(cluster: members.Members) -> None:
         cluster.run(*cluster.names)
-        await answered_with(cluster, "a")
-        slow_repairs(cluster)
+        await members_at_write(cluster, "a")
+        delay_repairs(cluster)
         cluster.stop("n0:1")
         await cluster.wipe("n2:1", 0.01)
         cluster.silent.discard("n0:1")
         cluster.run("n0:1")
-        assert await answered_with(cluster, "b") == 2, "before another copy is made"
+        assert await members_at_write(cluster, "b") == 2, "before another replica is added"
         await cluster.until(lambda: len(cluster.register.standing().members()) == 3)
 
     members.play(tmp_path, 5, scenario, members=3, copies=3, goal=3)
@@ -97,27 +97,29 @@
 
 def test_a_copy_that_was_let_go_of_is_no_loss_nor_is_a_member_that_is_silent(tmp_path):
     async def scenario(cluster: members.Members) -> None:
-        own = cluster.group_replicas["n0:1"]
+        primary = cluster.group_replicas["n0:1"]
         await cluster.group_replicas["n2:1"].replica.release()
-        assert await own.log_shipping.synchronize_backups(own.known)
-        assert not own.log_shipping.lost_disks
+        assert await primary.log_shipping.synchronize_backups(primary.known)
+        assert not primary.log_shipping.lost_disks
         cluster.silent.add("n2:1")
-        assert await own.log_shipping.synchronize_backups(own.known)
-        assert not own.log_shipping.lost_disks
+        assert await primary.log_shipping.synchronize_backups(primary.known)
+        assert not primary.log_shipping.lost_disks
 
     members.play(tmp_path, 3, scenario, members=3, copies=3, goal=3)
 
 
 def test_a_lost_disk_excuses_one_member_under_one_record_for_a_short_time():
-    one, two, three = (replica_set.ReplicaId(f"n{number}:1", "a") for number in range(3))
-    left = replica_set.ReplicaSet(0, 5, one, (two,))
-    lost = record_changes.LostDisks(left, 1, clock.seconds(3))
-    assert lost.excuse(left, 3, 2, clock.seconds(2.9))
-    assert not lost.excuse(left, 3, 2, clock.seconds(3))
-    assert not lost.excuse(left, 4, 2, clock.ZERO)
-    assert not lost.excuse(replica_set.ReplicaSet(0, 6, one, (three,)), 3, 2, clock.ZERO)
-    alone = replica_set.ReplicaSet(0, 5, one, ())
-    assert not record_changes.LostDisks(alone, 2, clock.seconds(3)).excuse(alone, 3, 2, clock.ZERO), "never with one"
+    first, second, third = (replica_set.ReplicaId(f"n{number}:1", "a") for number in range(3))
+    remaining = replica_set.ReplicaSet(0, 5, first, (second,))
+    lost_disks = record_changes.LostDisks(remaining, 1, clock.seconds(3))
+    assert lost_disks.excuse(remaining, 3, 2, clock.seconds(2.9))
+    assert not lost_disks.excuse(remaining, 3, 2, clock.seconds(3))
+    assert not lost_disks.excuse(remaining, 4, 2, clock.ZERO)
+    assert not lost_disks.excuse(replica_set.ReplicaSet(0, 6, first, (third,)), 3, 2, clock.ZERO)
+    single = replica_set.ReplicaSet(0, 5, first, ())
+    assert not record_changes.LostDisks(single, 2, clock.seconds(3)).excuse(single, 3, 2, clock.ZERO), (
+        "never with one member"
+    )
 
 
 def test_members_beyond_what_must_hold_answers_are_taken_in_behind_serving(tmp_path):
@@ -189,13 +191,13 @@
 def test_nothing_is_answered_under_a_record_that_was_told_of_and_never_chosen(tmp_path):
     async def scenario(cluster: members.Members) -> None:
         cluster.run(*cluster.names)
-        own = cluster.group_replicas["n0:1"]
-        await cluster.until(lambda: own.status_reason == "serving")
+        primary = cluster.group_replicas["n0:1"]
+        await cluster.until(lambda: primary.status_reason == "serving")
         chosen = cluster.register.standing()
-        left_out = chosen.backups[0]
-        cluster.silent.add(left_out.address)
+        omitted = chosen.backups[0]
+        cluster.silent.add(omitted.address)
         cluster.register.refusing = True
-        own.learn(dataclasses.replace(chosen, epoch=chosen.epoch + 1, backups=chosen.backups[1:]))
+        primary.learn(dataclasses.replace(chosen, epoch=chosen.epoch + 1, backups=chosen.backups[1:]))
         answered = False
         try:
             await cluster.write("a")
@@ -205,8 +207,8 @@
         assert not answered
         cluster.register.refusing = False
         cluster.silent.clear()
-        await cluster.until(lambda: own.has_lease() and own.status_reason == "serving")
-        assert own.known == cluster.register.standing() and own.known.epoch > chosen.epoch + 1
+        await cluster.until(lambda: primary.has_lease() and primary.status_reason == "serving")
+        assert primary.known == cluster.register.standing() and primary.known.epoch > chosen.epoch + 1
         await cluster.write("b")
 
     members.play(tmp_path, 3, scenario, members=3, copies=2, goal=3)
@@ -217,20 +219,20 @@
         cluster.run(*cluster.names)
         await cluster.until(lambda: cluster.group_replicas["n0:1"].status_reason == "serving")
         await cluster.write("a")
-        own = cluster.group_replicas["n0:1"]
-        writes = own.replica.storage.write_items
+        primary = cluster.group_replicas["n0:1"]
+        writes = primary.replica.storage.write_items
 
         async def failing(*values) -> None:
             await clock.sleep(clock.seconds(0.01))
-            own.replica.storage.write_items = writes
+            primary.replica.storage.write_items = writes
             raise OSError("no space left on the device")
 
-        own.replica.storage.write_items = failing
+        primary.replica.storage.write_items = failing
         try:
             await cluster.write("b")
             raise AssertionError("answered")
         except result.RequestError as refusal:
             assert refusal.ran is result.Ran.UNKNOWN
-        assert own.lease_end > clock.now() or not own.role_state.is_leading
+        assert primary.lease_end > clock.now() or not primary.role_state.is_leading
 
     members.play(tmp_path, 3, scenario, members=3)
--- a/aspencroft/replication/replica_log_test.py
+++ b/aspencroft/replication/replica_log_test.py
@@ -1,4 +1,4 @@
-"""The log in memory by itself: truncation, compaction, comparison and what another log lacks."""
+"""Tests of the log in memory: truncation, compaction, comparison and selection of missing entries."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def make_log(count: int, epoch: int = 1) -> replica_log.ReplicaLog:
-    """A log of so many entries of 10 bytes."""
+    """Make a log of ``count`` entries with 10 bytes each."""
     log = replica_log.ReplicaLog()
     for sequence in range(1, count + 1):
         log.append(log_records.Entry(epoch, sequence, b"x" * 10))
--- a/aspencroft/replication/replica_memory_test.py
+++ b/aspencroft/replication/replica_memory_test.py
@@ -1,4 +1,4 @@
-"""What a start costs in memory: reading a replica must not take several times what it holds."""
+"""Memory use of a start: reading a replica must not take a multiple of the memory of its state."""
 
 import pathlib
 import random
@@ -12,12 +12,12 @@
 from aspencroft.transport import codec
 
 TURNS, INPUT_BYTES = 400, 14_000
-MAX_TIMES_STATE = 2.3
-"""The state, and beside it one whole copy of the snapshot while it is read; a little for objects."""
+MAX_STATE_FACTOR = 2.3
+"""The state and one complete copy of the snapshot while it is read, with some room for objects."""
 
 
 def make_replica(folder: pathlib.Path) -> replica.Replica:
-    """A replica of a session group on a simulated disk."""
+    """Make a replica of a session group on a simulated disk."""
     disk = sim_disk.SimDisk(folder, random.Random(1))
     disk.delay = 0
     node_environment = environment.Environment(None, disk, None, random.Random(2), None)
@@ -25,7 +25,7 @@
 
 
 async def append_turn(local: replica.Replica, number: int) -> None:
-    """Append a turn that is retained, of a program that has no other."""
+    """Append a retained turn, the only one of its program."""
     attempt, now = f"attempt-{number}", clock.seconds(9)
     begin = entry.BeginTurn(
         f"program-{number}", "", attempt, "", 10, 1000, True, clock.seconds(60), clock.seconds(3), "edge", "", ()
@@ -67,4 +67,4 @@
     finally:
         tracemalloc.stop()
     assert state_bytes >= TURNS * INPUT_BYTES
-    assert peak <= MAX_TIMES_STATE * state_bytes, f"{peak / state_bytes:.2f} times"
+    assert peak <= MAX_STATE_FACTOR * state_bytes, f"{peak / state_bytes:.2f} times"
--- a/aspencroft/replication/replica_test.py
+++ b/aspencroft/replication/replica_test.py
@@ -1,4 +1,4 @@
-"""A replica's snapshots: bounded in memory and on disk, encoded while entries come in, complete after any crash."""
+"""Tests of a replica's snapshots: bounded memory and disk use, concurrent appends, complete after any crash."""
 
 import asyncio
 import datetime
@@ -25,11 +25,11 @@
 
 
 class PowerCut(Exception):
-    """The machine is off."""
+    """The machine lost power."""
 
 
 class Disk(sim_disk.SimDisk):
-    """A disk that records the most bytes its files ever took, and loses power at the sync it is told to."""
+    """A disk that records the peak size of its files, and loses power at a given sync."""
 
     def __init__(self, folder: pathlib.Path, chance: random.Random):
         super().__init__(folder, chance)
@@ -37,11 +37,11 @@
         self.cut_at = -1
 
     def bytes(self) -> int:
-        """What all files take now."""
+        """The present size of all files."""
         return sum(path.stat().st_size for path in self.folder.rglob("*") if path.is_file())
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """As on any disk; generations are complete at a synchronisation, before the older one goes."""
+        """Sync and record the peak: a new generation is complete at a sync, before the older one is removed."""
         super().synchronise(path)
         if path.name in (store.CURRENT + ".fresh", "journal.dat"):
             self.peak = max(self.peak, self.bytes())
@@ -50,13 +50,13 @@
 
 
 def make_replica(folder: pathlib.Path, disk: Disk) -> replica.Replica:
-    """A replica of session group 1."""
+    """Make a replica of session group 1."""
     node_environment = environment.Environment(None, disk, None, disk.chance, None)
     return replica.Replica(node_environment, folder, 1, lane_sessions.SessionState)
 
 
 async def append_command(local: replica.Replica, command, now: datetime.timedelta) -> None:
-    """Have a command decided by a replica's state machine and its events appended, as a primary would."""
+    """Have a replica's state machine decide a command and append the events, as a primary would."""
     events, _ = local.state_machine.decide(command, now, 1)
     last_sequence = local.last().sequence
     await local.append(
@@ -67,7 +67,7 @@
 
 
 async def append_turn(local: replica.Replica, number: int, now: datetime.timedelta, size: int = INPUT_BYTES) -> None:
-    """A turn that is retained, of a chain of ten."""
+    """Append a retained turn, one of a chain of ten."""
     program, previous = f"p{number // 10}", f"t{number - 1}" if number % 10 else ""
     await append_command(
         local,
@@ -81,7 +81,7 @@
 
 
 async def append_turns(local: replica.Replica, numbers: range, now: datetime.timedelta = clock.seconds(9)) -> None:
-    """Append many turns at one moment."""
+    """Append many turns at the same time."""
     for number in numbers:
         await append_turn(local, number, now)
 
--- a/aspencroft/replication/role_test.py
+++ b/aspencroft/replication/role_test.py
@@ -1,4 +1,4 @@
-"""Tests of the role that follows from what a replica knows, and of what is logged of it."""
+"""Tests of the role derived from what a replica knows, and of its log lines."""
 
 import dataclasses
 
@@ -17,7 +17,7 @@
 
 
 def facts(**changes: object) -> role.RoleFacts:
-    """What a confirmed backup knows, but for some changes."""
+    """The facts of a confirmed backup, with some changes."""
     confirmed = dataclasses.replace(NOTHING_KNOWN, known=BACKUP, is_unconfirmed=False)
     return dataclasses.replace(confirmed, **changes)
 
@@ -50,15 +50,21 @@
     with logbook.TestHandler() as log:
         for _ in range(3):
             roles.apply(facts(), "its log follows the primary's")
-        roles.apply(facts(known=PRIMARY, is_leading=True), "the primary is silent")
+        roles.apply(facts(known=PRIMARY, is_leading=True), "the primary is unresponsive")
     about = f"epoch 4, member {ME.label()}"
     assert [record.message for record in log.records] == [
         f"group 7: role changed from recovering to follower, {about}: its log follows the primary's",
-        f"group 7: role changed from follower to acquiring lease, {about}: the primary is silent",
+        f"group 7: role changed from follower to acquiring lease, {about}: the primary is unresponsive",
     ]
-    assert [record.level for record in log.records] == [logbook.INFO, logbook.NOTICE], "a start is no event"
+    assert [record.level for record in log.records] == [logbook.INFO, logbook.NOTICE], (
+        "a start is not logged as a notice"
+    )
     assert log.records[1].extra[events.EXTRA] == events.EventFields(
-        events.Event.ROLE_CHANGED, 7, 4, member=ME.label(), reason="follower to acquiring lease: the primary is silent"
+        events.Event.ROLE_CHANGED,
+        7,
+        4,
+        member=ME.label(),
+        reason="follower to acquiring lease: the primary is unresponsive",
     )
 
 
--- a/aspencroft/replication/second_loss_test.py
+++ b/aspencroft/replication/second_loss_test.py
@@ -1,4 +1,4 @@
-"""Tests of a second loss at every message of a change of members: nothing acknowledged goes, the group serves again."""
+"""Tests of a second loss at every message of a member change: acknowledged writes survive and service resumes."""
 
 import asyncio
 import collections.abc
@@ -9,16 +9,16 @@
 from aspencroft.simulation import members
 
 PRIMARY, BACKUP, THIRD, SPARE = "n0:1", "n1:1", "n2:1", "n3:1"
-BACK_AFTER = 0.3
-PACE = clock.seconds(0.02)
+RESTART_DELAY = 0.3
+WRITE_INTERVAL = clock.seconds(0.02)
 
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """A change of members: how many losses are to be borne, what begins it, and when it has come to its end.
+    """A change of members: the tolerated number of losses, what begins the change, and whether it has ended.
 
-    ``from_whole`` says that the loss that began it is itself one to be borne, so that with losses of one the second one
-    comes once the group is whole again.
+    With ``from_whole`` the change begins with a loss that already uses the tolerated one, so the second loss comes only
+    once the group is complete again.
     """
 
     losses: int
@@ -27,18 +27,18 @@
     from_whole: bool = False
 
 
-def whole_without(name: str):
-    """Whether the record names as many members as are to hold what is answered, and not this node."""
+def is_complete_without(name: str):
+    """Return a check that the replica set has enough members without this node."""
 
     def check(cluster: members.Members) -> bool:
         standing = cluster.register.standing().members()
-        return len(standing) >= cluster.goal and all(one.address != name for one in standing)
+        return len(standing) >= cluster.goal and all(member.address != name for member in standing)
 
     return check
 
 
-def lose(name: str):
-    """The machine is gone for good."""
+def lose_machine(name: str):
+    """Return a function that stops a machine for good."""
 
     def begin(cluster: members.Members) -> None:
         cluster.stop(name)
@@ -47,13 +47,13 @@
     return begin
 
 
-def grow(cluster: members.Members) -> None:
-    """One member more is wished for."""
+def raise_goal(cluster: members.Members) -> None:
+    """Raise the intended number of members by one."""
     cluster.goal += 1
 
 
 class Traffic:
-    """Writes one service after the other through whoever leads, and notes those that were acknowledged."""
+    """Writes services one after the other through the leader, and collects the acknowledged ones."""
 
     def __init__(self, cluster: members.Members):
         self.cluster = cluster
@@ -63,7 +63,7 @@
         """Write until cancelled."""
         number = 0
         while True:
-            await clock.sleep(PACE)
+            await clock.sleep(WRITE_INTERVAL)
             leader = self.cluster.leader()
             if not leader:
                 continue
@@ -75,8 +75,8 @@
                 continue
 
 
-async def played(cluster: members.Members, change: Change, step: int, second: str) -> bool:
-    """Begin the change, wipe a second machine at a message of it; whether the change had ended before that message."""
+async def run_with_second_loss(cluster: members.Members, change: Change, step: int, second: str) -> bool:
+    """Begin the change and wipe a second machine at one of its messages; whether the change had ended before that."""
     cluster.run(*cluster.names)
     cluster.tasks.append(asyncio.ensure_future(cluster.tell_records()))
     await cluster.until(lambda: bool(cluster.leader()))
@@ -94,7 +94,7 @@
         if seen == step:
             late.append(change.ended(cluster) and seen > 30)
             wiped.set()
-            cluster.tasks.append(asyncio.ensure_future(cluster.wipe(second, BACK_AFTER)))
+            cluster.tasks.append(asyncio.ensure_future(cluster.wipe(second, RESTART_DELAY)))
 
     cluster.before_step = count
     await asyncio.wait_for(wiped.wait(), 20)
@@ -107,15 +107,15 @@
     return late[0]
 
 
-def walk(folder, change: Change, seconds: tuple[str, ...]) -> None:
-    """Lose each of some machines at each message of a change, until the change had ended before the loss."""
+def run_at_every_message(folder, change: Change, seconds: tuple[str, ...]) -> None:
+    """Lose each of some machines at each message of a change, until the change ends before the loss."""
     copies = change.losses + 1
     for second in seconds:
         for step in range(1, 400):
             over = []
 
             async def scenario(cluster: members.Members, at=step, lost=second, over=over) -> None:
-                over.append(await played(cluster, change, at, lost))
+                over.append(await run_with_second_loss(cluster, change, at, lost))
 
             members.play(folder / f"{second[:2]}-{step}", 5, scenario, copies, copies, copies)
             if over[0]:
@@ -124,23 +124,31 @@
 
 
 def test_a_second_loss_at_every_message_while_a_replica_is_added(tmp_path):
-    def grown(cluster: members.Members) -> bool:
+    def has_grown(cluster: members.Members) -> bool:
         return len(cluster.register.standing().members()) >= cluster.goal
 
-    walk(tmp_path, Change(1, grow, grown), (PRIMARY, BACKUP, THIRD))
+    run_at_every_message(tmp_path, Change(1, raise_goal, has_grown), (PRIMARY, BACKUP, THIRD))
 
 
 def test_a_second_loss_at_every_message_of_a_drain(tmp_path):
-    walk(tmp_path, Change(1, lambda cluster: cluster.drained.add(BACKUP), whole_without(BACKUP)), (PRIMARY, THIRD))
+    run_at_every_message(
+        tmp_path, Change(1, lambda cluster: cluster.drained.add(BACKUP), is_complete_without(BACKUP)), (PRIMARY, THIRD)
+    )
 
 
 def test_a_second_loss_at_every_message_while_the_primary_is_drained(tmp_path):
-    walk(tmp_path, Change(1, lambda cluster: cluster.drained.add(PRIMARY), whole_without(PRIMARY)), (BACKUP, THIRD))
+    run_at_every_message(
+        tmp_path, Change(1, lambda cluster: cluster.drained.add(PRIMARY), is_complete_without(PRIMARY)), (BACKUP, THIRD)
+    )
 
 
 def test_a_second_loss_from_the_moment_on_that_a_lost_member_is_replaced(tmp_path):
-    walk(tmp_path, Change(1, lose(BACKUP), whole_without(BACKUP), from_whole=True), (PRIMARY, THIRD))
+    run_at_every_message(
+        tmp_path, Change(1, lose_machine(BACKUP), is_complete_without(BACKUP), from_whole=True), (PRIMARY, THIRD)
+    )
 
 
 def test_with_two_losses_to_be_borne_a_second_one_at_every_message_of_a_replacement(tmp_path):
-    walk(tmp_path, Change(2, lose(BACKUP), whole_without(BACKUP)), (PRIMARY, THIRD, SPARE))
+    run_at_every_message(
+        tmp_path, Change(2, lose_machine(BACKUP), is_complete_without(BACKUP)), (PRIMARY, THIRD, SPARE)
+    )
--- a/aspencroft/replication/snapshot_transfer_test.py
+++ b/aspencroft/replication/snapshot_transfer_test.py
@@ -1,4 +1,4 @@
-"""Large snapshots in bounded chunks: resumed after a break, never in use before they are complete."""
+"""Tests of large snapshots in bounded chunks: resumed after an interruption, never used before they are complete."""
 
 import dataclasses
 
@@ -20,8 +20,8 @@
 from aspencroft.transport import codec
 
 
-def entries_behind(member: replica.Replica, count: int, size: int = 200) -> tuple[log_records.Entry, ...]:
-    """Entries of so many bytes that follow a replica's last one."""
+def entries_after(member: replica.Replica, count: int, size: int = 200) -> tuple[log_records.Entry, ...]:
+    """Make entries with ``size`` bytes that follow a replica's last one."""
     return tuple(
         log_records.Entry(
             1,
@@ -34,25 +34,25 @@
 
 @pytest.fixture
 def small_bounds(monkeypatch):
-    """Small bounds, so that a few entries are many."""
+    """Set small bounds, so that a few entries exceed them."""
     monkeypatch.setattr(snapshotting, "COMPACT_ENTRIES", 40)
     monkeypatch.setattr(log_shipping, "REPAIR_BATCH_BYTES", 3000)
     monkeypatch.setattr(snapshot_transfer, "CHUNK_BYTES", 1000)
 
 
 async def start_with_snapshot(cluster: members.Members, count: int = 60, more: int = 30) -> replica.Replica:
-    """A primary with a snapshot and entries behind it."""
+    """Give the primary a snapshot and entries after it."""
     primary = cluster.group_replicas["n0:1"].replica
-    await primary.append(entries_behind(primary, count))
+    await primary.append(entries_after(primary, count))
     await primary.compact()
     assert primary.log.snapshot.sequence == count
-    await primary.append(entries_behind(primary, more))
+    await primary.append(entries_after(primary, more))
     cluster.group_replicas["n0:1"].has_lease = lambda: True
     return primary
 
 
 async def repair_backup(cluster: members.Members, name: str = "n1:1") -> log_records.LogPosition:
-    """Repair a node's replica from the primary's; the end of its log then."""
+    """Repair a node's replica from the primary's; return the end of its log."""
     sender, backup = cluster.group_replicas["n0:1"], cluster.group_replicas[name]
     compared = backup.compare(messages.Compare(0, 1))
     return await sender.log_shipping.repair_from(backup.me(), compared)
@@ -88,20 +88,20 @@
     members.play(tmp_path, 2, scenario)
 
 
-@pytest.mark.parametrize("broken", range(1, 40, 3))
-def test_a_transfer_that_breaks_goes_on_where_it_was_and_is_not_used_before(tmp_path, small_bounds, broken):
+@pytest.mark.parametrize("broken_at", range(1, 40, 3))
+def test_a_transfer_that_breaks_goes_on_where_it_was_and_is_not_used_before(tmp_path, small_bounds, broken_at):
     async def scenario(cluster: members.Members) -> None:
         primary = await start_with_snapshot(cluster)
         backup = cluster.group_replicas["n1:1"]
-        await backup.replica.append(entries_behind(backup.replica, 5, size=10))
-        deliver_unbroken, count = cluster.deliver, [0]
+        await backup.replica.append(entries_after(backup.replica, 5, size=10))
+        deliver_normally, count = cluster.deliver, [0]
 
         async def handle(member, message):
             count[0] += 1
-            if count[0] == broken:
+            if count[0] == broken_at:
                 cluster.silent.add("n1:1")
                 raise result.RequestError(result.ResultCode.UNREACHABLE)
-            return await deliver_unbroken(member, message)
+            return await deliver_normally(member, message)
 
         cluster.deliver = handle
         try:
@@ -109,13 +109,13 @@
             interrupted = False
         except result.RequestError:
             interrupted = True
-        count[0] = broken
+        count[0] = broken_at
         assert interrupted == (cluster.silent == {"n1:1"})
         if interrupted and backup.replica.last() != primary.last():
             reopened = replica.Replica(backup.replica.environment, backup.replica.folder, 0, control_state.ControlState)
             await reopened.open()
             assert reopened.last() == backup.replica.last()
-            if broken > 1:
+            if broken_at > 1:
                 assert backup.replica.is_incomplete() and reopened.is_incomplete()
                 backup.recovery.await_peers_until(clock.ZERO)
                 backup.recovery.confirm()
@@ -175,7 +175,7 @@
 
 
 def test_a_backup_whose_repair_broke_off_never_leads_without_what_was_acknowledged(tmp_path, small_bounds, monkeypatch):
-    """Its last entries differ from the primary's; the repair cuts it back below what was acknowledged, then ends."""
+    """Its last entries differ from the primary's; the repair truncates it below acknowledged entries, then fails."""
 
     monkeypatch.setattr(replica_log, "DENSE_DIGEST_ENTRIES", 0)
 
@@ -186,14 +186,14 @@
             await member.replica.repair(
                 primary.log.snapshot.sequence, primary.log.snapshot, tuple(primary.log.entries[:-1])
             )
-        await backup.replica.append(entries_behind(backup.replica, 1, size=1))
-        deliver_unbroken = cluster.deliver
+        await backup.replica.append(entries_after(backup.replica, 1, size=1))
+        deliver_normally = cluster.deliver
 
         async def handle(member, message):
             if isinstance(message, messages.Repair) and member is backup and message.keep_through > 70:
                 cluster.silent.add("n0:1")
                 raise result.RequestError(result.ResultCode.UNREACHABLE)
-            return await deliver_unbroken(member, message)
+            return await deliver_normally(member, message)
 
         cluster.deliver = handle
         with pytest.raises(result.RequestError):
@@ -224,11 +224,11 @@
         await backup.replica.repair(
             primary.log.snapshot.sequence, primary.log.snapshot, tuple(primary.log.entries[:count])
         )
-        await backup.replica.append(entries_behind(backup.replica, differing, size=1))
-        end_sequences, deliver_unbroken = [], cluster.deliver
+        await backup.replica.append(entries_after(backup.replica, differing, size=1))
+        end_sequences, deliver_normally = [], cluster.deliver
 
         async def deliver(member, message):
-            reply = await deliver_unbroken(member, message)
+            reply = await deliver_normally(member, message)
             end_sequences.append(member.replica.last().sequence)
             return reply
 
@@ -255,7 +255,7 @@
 
 
 def test_a_member_away_for_five_thousand_changes_and_killed_twice_while_it_catches_up(tmp_path, small_bounds):
-    """Its record stays: it is taken in again as a replica that lacks all of it, in parts, and then is the same."""
+    """It keeps its identity, is added again as a replica that lacks all entries, and catches up in chunks."""
 
     async def scenario(cluster: members.Members) -> None:
         cluster.run(*cluster.names)
@@ -286,7 +286,7 @@
             cluster.stop("n2:1")
         await start()
         await cluster.until(
-            lambda: "n2:1" in [one.address for one in primary.known.backups] and cluster.same("n0:1", "n2:1"), 30
+            lambda: "n2:1" in [member.address for member in primary.known.backups] and cluster.same("n0:1", "n2:1"), 30
         )
         caught_up = cluster.group_replicas["n2:1"].replica
         assert caught_up.state_machine.snapshot() == primary.replica.state_machine.snapshot()
--- a/aspencroft/storage/failing_disk_test.py
+++ b/aspencroft/storage/failing_disk_test.py
@@ -1,4 +1,4 @@
-"""A store on a disk that refuses or tears writes: nothing acknowledged is lost or followed by torn bytes."""
+"""Tests of a store on a failing disk: no acknowledged record is lost or followed by torn bytes."""
 
 import errno
 import random
@@ -9,12 +9,12 @@
 from aspencroft.storage import data_file, store
 
 FIRST = tuple(data_file.Record(1, bytes([number]) * 300) for number in range(3))
-REFUSED = (data_file.Record(2, b"a" * 700), data_file.Record(2, b"b" * 900))
+FAILED = (data_file.Record(2, b"a" * 700), data_file.Record(2, b"b" * 900))
 LATER = (data_file.Record(3, b"later"),)
 
 
 def open_on(machine: disk.SimDisk) -> store.OpenedStore:
-    """Open the store in a machine's folder."""
+    """Open the store in the folder of a machine."""
     return store.open_store(machine.folder / "store", machine)
 
 
@@ -25,15 +25,15 @@
         journal.append(FIRST)
         machine.space = space
         try:
-            machine.within_space(journal.append, (REFUSED,))
-            taken = (*FIRST, *REFUSED)
+            machine.within_space(journal.append, (FAILED,))
+            expected = (*FIRST, *FAILED)
         except OSError as error:
             assert error.errno == errno.ENOSPC
-            taken = FIRST
+            expected = FIRST
         machine.space = None
         journal.append(LATER)
         _, records, condition = open_on(machine)
-        assert (records, condition) == ((*taken, *LATER), data_file.Condition.SOUND), space
+        assert (records, condition) == ((*expected, *LATER), data_file.Condition.SOUND), space
 
 
 def test_a_failed_sync_is_no_append(tmp_path):
@@ -43,30 +43,30 @@
     machine.failing_sync = True
     for _ in range(3):
         with pytest.raises(OSError, match="error"):
-            journal.append(REFUSED)
+            journal.append(FAILED)
     machine.failing_sync = False
     journal.append(LATER)
     assert open_on(machine)[1:] == ((*FIRST, *LATER), data_file.Condition.SOUND)
 
 
 def test_a_replacement_refused_at_any_byte_leaves_the_older_generation_in_force(tmp_path):
-    refused = 0
+    failure_count = 0
     for space in range(0, 2200, 11):
         machine = disk.SimDisk(tmp_path / str(space), random.Random(space))
         journal = open_on(machine).store
         journal.append(FIRST)
         machine.space = space
         try:
-            machine.within_space(journal.replace, (REFUSED,))
-            taken = REFUSED
+            machine.within_space(journal.replace, (FAILED,))
+            expected = FAILED
         except OSError:
-            taken = FIRST
-            refused += 1
+            expected = FIRST
+            failure_count += 1
         machine.space = None
         journal.append(LATER)
-        assert open_on(machine)[1:] == ((*taken, *LATER), data_file.Condition.SOUND), space
+        assert open_on(machine)[1:] == ((*expected, *LATER), data_file.Condition.SOUND), space
         assert len(list((machine.folder / "store").glob("generation-*"))) == 1
-    assert 100 < refused < 200
+    assert 100 < failure_count < 200
 
 
 def test_a_pointer_that_was_not_made_to_last_holds_appends_back(tmp_path):
@@ -76,12 +76,12 @@
         journal.append(FIRST)
         syncs = machine.synchronise
 
-        def failing(path, syncs=syncs, machine=machine):
+        def failing_sync(path, syncs=syncs, machine=machine):
             if path == machine.folder / "store" and store.read_pointer(path / store.CURRENT).generation == 2:
                 raise OSError(errno.EIO, "error")
             syncs(path)
 
-        machine.synchronise = failing
+        machine.synchronise = failing_sync
         journal.replace(FIRST[:2])
         with pytest.raises(OSError, match="error"):
             journal.append(LATER)
@@ -114,33 +114,33 @@
         file.write(b"torn" * 300)
     synced_sizes, sync = [], machine.synchronise
 
-    def watched(path):
+    def record_size(path):
         if path == data_path:
             synced_sizes.append(path.stat().st_size)
         sync(path)
 
-    machine.synchronise = watched
+    machine.synchronise = record_size
     assert open_on(machine)[1] == (*FIRST, *LATER)
     assert data_path.stat().st_size == end
-    assert synced_sizes == [end + 1200, end], "synced as it was found, then without the tail"
+    assert synced_sizes == [end + 1200, end], "synced as found, then without the tail"
 
 
 def test_a_pointer_renamed_by_a_killed_process_lasts_before_the_older_generation_goes(tmp_path):
     machine = disk.SimDisk(tmp_path, random.Random(1))
     journal = open_on(machine).store
     journal.append(FIRST)
-    fresh = journal.successor(journal.generation + 1)
-    fresh.create_empty()
-    fresh.append(REFUSED)
-    fresh.finish_switch = lambda: None
-    fresh.put_in_force(journal.generation_folder())
+    successor = journal.successor(journal.generation + 1)
+    successor.create_empty()
+    successor.append(FAILED)
+    successor.finish_switch = lambda: None
+    successor.put_in_force(journal.generation_folder())
     superseded_exists, syncs = [], machine.synchronise
 
-    def watched(path):
+    def record_superseded(path):
         syncs(path)
         if path == machine.folder / "store":
             superseded_exists.append(journal.generation_folder().exists())
 
-    machine.synchronise = watched
-    assert open_on(machine)[1] == REFUSED
+    machine.synchronise = record_superseded
+    assert open_on(machine)[1] == FAILED
     assert superseded_exists == [True] and not journal.generation_folder().exists()
--- a/aspencroft/storage/store_test.py
+++ b/aspencroft/storage/store_test.py
@@ -1,4 +1,4 @@
-"""Tests of ``aspencroft.storage.store``."""
+"""Tests of the store: torn and damaged files, generations, and power loss at any sync."""
 
 import itertools
 import os
@@ -18,15 +18,15 @@
     journal, _, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
     assert condition is data_file.Condition.EMPTY
     journal.append(written)
-    home = journal.generation_folder()
-    data, index = (home / "journal.dat").read_bytes(), (home / "journal.dir").read_bytes()
+    folder = journal.generation_folder()
+    data, index = (folder / "journal.dat").read_bytes(), (folder / "journal.dir").read_bytes()
     ends = [extent.end for extent in data_file.scan(data).extents]
     for cut in range(ends[4], ends[6] + 1):
-        (home / "journal.dat").write_bytes(data[:cut])
-        (home / "journal.dir").write_bytes(index[: cut % len(index)])
-        again, records, _ = store.open_store(tmp_path / "a", store.NoSyncDisk())
+        (folder / "journal.dat").write_bytes(data[:cut])
+        (folder / "journal.dir").write_bytes(index[: cut % len(index)])
+        reopened, records, _ = store.open_store(tmp_path / "a", store.NoSyncDisk())
         assert records == written[: sum(end <= cut for end in ends)]
-        again.append((data_file.Record(99, b"after"),))
+        reopened.append((data_file.Record(99, b"after"),))
         assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1] == records + (data_file.Record(99, b"after"),)
 
 
@@ -35,15 +35,15 @@
     for _ in range(5):
         journal.append((data_file.Record(1, b"x" * 700),))
     path = journal.generation_folder() / "journal.dat"
-    sound = path.read_bytes()
+    intact = path.read_bytes()
     for offset in (0, 5, 30, 700, 1024, 2100):
-        changed = bytearray(sound)
+        changed = bytearray(intact)
         changed[offset] ^= 1
         path.write_bytes(changed)
         assert data_file.scan(bytes(changed)).condition is data_file.Condition.DAMAGED
-    again, records, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
+    reopened, records, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
     assert condition is data_file.Condition.DAMAGED and records == ()
-    again.append((data_file.Record(2, b"new"),))
+    reopened.append((data_file.Record(2, b"new"),))
     assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1:] == (
         (data_file.Record(2, b"new"),),
         data_file.Condition.SOUND,
@@ -82,11 +82,11 @@
     journal = store.open_store(tmp_path / "a", store.NoSyncDisk()).store
     journal.replace(records)
     path = journal.generation_folder() / "journal.dat"
-    sound = path.read_bytes()
-    for extent in data_file.scan(sound).extents[:-1]:
+    intact = path.read_bytes()
+    for extent in data_file.scan(intact).extents[:-1]:
         folder = tmp_path / f"b{extent.offset}"
         shutil.copytree(tmp_path / "a", folder)
-        changed = bytearray(sound)
+        changed = bytearray(intact)
         changed[extent.offset + 100] ^= 1
         (folder / journal.generation_folder().name / "journal.dat").write_bytes(changed)
         assert store.open_store(folder, store.NoSyncDisk())[1:] == ((), data_file.Condition.DAMAGED)
@@ -102,9 +102,9 @@
         data += bytes(-len(data) % data_file.BLOCK)
     (journal.generation_folder() / "journal.dat").write_bytes(data)
     (journal.folder / store.CURRENT).write_text(str(journal.generation))
-    again, records, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
+    reopened, records, condition = store.open_store(tmp_path / "a", store.NoSyncDisk())
     assert (records, condition) == (tuple(former), data_file.Condition.SOUND)
-    again.append((data_file.Record(3, b"z"),))
+    reopened.append((data_file.Record(3, b"z"),))
     assert store.open_store(tmp_path / "a", store.NoSyncDisk())[1] == (*former, data_file.Record(3, b"z"))
 
 
@@ -130,11 +130,11 @@
 
 
 class PowerCutError(Exception):
-    """The machine is off."""
+    """The machine lost power."""
 
 
 class CutDisk(disk.SimDisk):
-    """A disk whose machine loses power at the synchronisation that it is told, just before or after it."""
+    """A disk whose machine loses power at a given sync, just before or after it."""
 
     def __init__(self, folder: pathlib.Path, chance: random.Random, cut_at: int, before: bool):
         super().__init__(folder, chance)
@@ -142,7 +142,7 @@
         self.before = before
 
     def synchronise(self, path: pathlib.Path) -> None:
-        """As on any disk, until the power is gone."""
+        """Sync, or lose power at the configured sync."""
         if self.counts["syncs"] + 1 == self.cut_at and self.before:
             raise PowerCutError
         super().synchronise(path)
@@ -151,7 +151,7 @@
 
 
 class Journal:
-    """A store in use, the records that were acknowledged, and those that a cut operation may have left."""
+    """A store in use, its acknowledged records, and the contents that an interrupted operation may have left."""
 
     def __init__(self, machine: CutDisk):
         self.disk = machine
@@ -161,32 +161,32 @@
         self.store: store.Store | None = None
         self.number = 0
 
-    def fresh(self, count: int) -> tuple[data_file.Record, ...]:
-        """Records that were never written before, some longer than a block."""
+    def new_records(self, count: int) -> tuple[data_file.Record, ...]:
+        """Make records that were never written before, some longer than a block."""
         self.number += count
         return tuple(data_file.Record(1, b"%d" % number * 150) for number in range(self.number - count, self.number))
 
     def note_acknowledged(self, records: tuple[data_file.Record, ...]) -> None:
-        """An operation was acknowledged: exactly these records are held from now on."""
+        """Note an acknowledged operation: from now on the store must hold exactly these records."""
         self.acknowledged, self.allowed = records, [records]
 
     def load(self) -> None:
-        """Open the store as a process does that was started again: what it reads may be acted on from then on."""
+        """Open the store like a restarted process: the records read count as acknowledged from then on."""
         self.store, records, condition = store.open_store(self.folder, self.disk)
         assert condition is not data_file.Condition.DAMAGED
         assert records in self.allowed, (len(records), [len(each) for each in self.allowed])
         self.note_acknowledged(records)
 
     def append(self, count: int) -> None:
-        """Append records in one batch; a loss of power may leave the first of them."""
-        records = self.fresh(count)
+        """Append records in one batch; a power loss may leave only the first ones."""
+        records = self.new_records(count)
         self.allowed = [self.acknowledged + records[:number] for number in range(count + 1)]
         self.store.append(records)
         self.note_acknowledged(self.acknowledged + records)
 
     def append_and_kill(self, count: int) -> None:
-        """The process is killed when the records are written and not synced."""
-        records = self.fresh(count)
+        """Kill the process after the records were written, before they are synced."""
+        records = self.new_records(count)
         written = self.acknowledged + records
         self.allowed = [written[: len(written) - missing] for missing in range(count + 1)]
         self.store.write_unsynced(records)
@@ -194,8 +194,8 @@
         assert self.acknowledged == written
 
     def replace(self, kill: bool = False) -> None:
-        """Write a new generation; with ``kill`` the process ends as soon as the new one is named."""
-        records = self.fresh(2)
+        """Write a new generation; with ``kill`` the process ends right after the rename of the pointer."""
+        records = self.new_records(2)
         self.allowed = [self.acknowledged, records]
         if kill:
             self.cut_after_rename(records)
@@ -206,7 +206,7 @@
             self.note_acknowledged(records)
 
     def cut_after_rename(self, records: tuple[data_file.Record, ...]) -> None:
-        """As ``Store.replace`` up to the rename of the pointer."""
+        """Do the steps of ``Store.replace`` up to the rename of the pointer."""
         successor = self.store.successor(self.store.generation + 1)
         successor.create_empty()
         successor.append(records)
@@ -218,8 +218,8 @@
         os.replace(pointer, self.folder / store.CURRENT)
 
 
-def use(journal: Journal) -> None:
-    """All kinds of operations, one after the other."""
+def perform_operations(journal: Journal) -> None:
+    """Perform all kinds of operations, one after the other."""
     journal.load()
     journal.append(1)
     journal.append(4)
@@ -243,10 +243,10 @@
                 machine.durable[folder] = disk.names_in(folder)
                 journal = Journal(machine)
                 try:
-                    use(journal)
-                    cut = False
+                    perform_operations(journal)
+                    power_lost = False
                 except PowerCutError:
-                    cut = True
+                    power_lost = True
                 machine.cut_at = -1
                 machine.power_loss()
                 journal.load()
@@ -254,6 +254,6 @@
                 journal.load()
                 shutil.rmtree(folder)
                 shutil.rmtree(machine.links(), ignore_errors=True)
-                if not cut:
+                if not power_lost:
                     break
             assert cut_at > 40
