--- a/aspencroft/replication/append_patience_test.py
+++ b/aspencroft/replication/append_patience_test.py
@@ -20,62 +20,62 @@
 
 def run_scenario(scenario: collections.abc.Callable) -> None:
     """Run a scenario in simulated time."""
-    PausingLoop().run_until_complete(scenario(append_patience.AppendPatience()))
+    PausingLoop().run_until_complete(scenario(append_patience.AdaptiveTimeout()))
 
 
-async def timed_out_backups(patience: append_patience.AppendPatience, *seconds: float) -> list[bool]:
+async def timed_out_backups(adaptive_timeout: append_patience.AdaptiveTimeout, *seconds: float) -> list[bool]:
     """Query backups that reply after the given seconds; return for each whether it timed out."""
     tasks = [asyncio.ensure_future(asyncio.sleep(delay)) for delay in seconds]
-    await patience.wait_for(tasks)
+    await adaptive_timeout.wait_for(tasks)
     await asyncio.wait(tasks)
     return [task.cancelled() for task in tasks]
 
 
 def test_a_new_primary_waits_the_most_until_it_knows_better():
-    async def scenario(patience):
+    async def scenario(adaptive_timeout):
         await asyncio.sleep(100)
-        patience.begin()
-        assert patience.limit() == append_patience.MAX_TIMEOUT
-        assert await timed_out_backups(patience, 0.6) == [False]
+        adaptive_timeout.begin()
+        assert adaptive_timeout.limit() == append_patience.MAX_TIMEOUT
+        assert await timed_out_backups(adaptive_timeout, 0.6) == [False]
 
     run_scenario(scenario)
 
 
 def test_a_silent_backup_is_given_up_after_the_least_while_answers_are_quick():
-    async def scenario(patience):
+    async def scenario(adaptive_timeout):
         for _ in range(500):
-            assert await timed_out_backups(patience, 0.02, 0.03) == [False, False]
+            assert await timed_out_backups(adaptive_timeout, 0.02, 0.03) == [False, False]
         started_at = clock.now()
-        assert await timed_out_backups(patience, 0.02, 60.0) == [False, True]
+        assert await timed_out_backups(adaptive_timeout, 0.02, 60.0) == [False, True]
         assert clock.now() - started_at <= append_patience.MIN_TIMEOUT + append_patience.POLL_PERIOD
 
     run_scenario(scenario)
 
 
 def test_slow_disks_are_waited_for_as_long_as_they_were_lately():
-    async def scenario(patience):
+    async def scenario(adaptive_timeout):
         for _ in range(10):
-            assert await timed_out_backups(patience, 0.12) == [False]
-        assert patience.limit() > clock.seconds(0.55)
-        assert await timed_out_backups(patience, 0.5) == [False]
-        assert patience.limit() == append_patience.MAX_TIMEOUT
+            assert await timed_out_backups(adaptive_timeout, 0.12) == [False]
+        assert adaptive_timeout.limit() > clock.seconds(0.55)
+        assert await timed_out_backups(adaptive_timeout, 0.5) == [False]
+        assert adaptive_timeout.limit() == append_patience.MAX_TIMEOUT
         await asyncio.sleep(120)
-        assert patience.limit() == append_patience.MIN_TIMEOUT
+        assert adaptive_timeout.limit() == append_patience.MIN_TIMEOUT
 
     run_scenario(scenario)
 
 
 def test_after_a_backup_was_given_up_the_patience_is_doubled_for_a_while():
-    async def scenario(patience):
+    async def scenario(adaptive_timeout):
         await asyncio.sleep(60)
-        assert await timed_out_backups(patience, 0.4) == [True]
-        assert await timed_out_backups(patience, 0.4) == [False], "the backup is slow, not lost"
+        assert await timed_out_backups(adaptive_timeout, 0.4) == [True]
+        assert await timed_out_backups(adaptive_timeout, 0.4) == [False], "the backup is slow, not lost"
 
     run_scenario(scenario)
 
 
 def test_a_standstill_of_the_primary_itself_is_not_held_against_its_backups():
-    async def scenario(patience):
+    async def scenario(adaptive_timeout):
         pausing_loop = asyncio.get_running_loop()
         answer = pausing_loop.create_future()
         waiting_task = asyncio.ensure_future(asyncio.wait((answer,)))
@@ -85,7 +85,7 @@
             pausing_loop.call_later(0.12, answer.set_result, None)
 
         pausing_loop.call_later(0.01, pause_process)
-        await patience.wait_for((waiting_task,))
+        await adaptive_timeout.wait_for((waiting_task,))
         assert not waiting_task.cancelled()
 
     run_scenario(scenario)
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -28,9 +28,9 @@
 Each member of the replica set has synced all acknowledged entries, so its own data suffices. The wait covers disks that
 lose their last synced writes. It costs no extra time: a start waits for leases granted before it to expire anyway.
 """
-STEP_ASIDE = clock.seconds(4)
+DISK_FAULT_PAUSE = clock.seconds(4)
 """How long a member whose disk failed pauses: longer than the lease and the heartbeat time-out before a takeover."""
-RELEASE_AFTER = clock.seconds(3)
+RELEASE_DELAY = clock.seconds(3)
 """How long a non-member keeps its data: short, to free the space before other groups are moved to this node."""
 
 
@@ -59,8 +59,8 @@
     async def run(self) -> None:
         """Run in the role that the newest replica set assigns, until cancelled.
 
-        A member whose disk fails or hangs neither leads nor renews its lease for ``STEP_ASIDE``, which is longer than
-        the lease and the heartbeat time-out after which a backup takes over.
+        A member whose disk fails or hangs neither leads nor renews its lease for ``DISK_FAULT_PAUSE``, which is longer
+        than the lease and the heartbeat time-out after which a backup takes over.
         """
         self.recovery.await_peers_until(clock.now() + START_PATIENCE)
         if self.replica.record is not None:
@@ -81,12 +81,12 @@
                 supervision.heed()
                 await clock.sleep(group_state.RETRY)
             except* OSError as group:
-                action = f"steps aside for {STEP_ASIDE.total_seconds():g} s for a disk fault"
+                action = f"steps aside for {DISK_FAULT_PAUSE.total_seconds():g} s for a disk fault"
                 self.report_end(events.Event.DISK_FAULT, action, group, logbook.WARNING)
                 supervision.heed()
                 self.status_reason = "the disk failed"
                 self.counts["disk failures"] += 1
-                await clock.sleep(STEP_ASIDE)
+                await clock.sleep(DISK_FAULT_PAUSE)
 
     def report_end(self, event: events.Event, action: str, group: BaseExceptionGroup, level: int) -> None:
         """Log the errors that ended this member's work in its present role."""
@@ -110,10 +110,10 @@
         began = clock.now()
         while not self.changed.is_set():
             try:
-                async with clock.limit(RELEASE_AFTER):
+                async with clock.limit(RELEASE_DELAY):
                     await self.changed.wait()
             except TimeoutError:
-                if clock.now() - max(began, self.primary_contact.at) >= RELEASE_AFTER and self.replica.has_state():
+                if clock.now() - max(began, self.primary_contact.at) >= RELEASE_DELAY and self.replica.has_state():
                     await self.release()
 
     async def release(self) -> None:
@@ -134,7 +134,9 @@
             return
         async with self.lock:
             members = reply.record.members()
-            unneeded = len(members) >= self.policy.copies and all(member.address != self.address for member in members)
+            unneeded = len(members) >= self.policy.required_replicas and all(
+                member.address != self.address for member in members
+            )
             if unneeded and self.known == record == reply.record and not self.incoming.size:
                 released_id = self.me()
                 await self.replica.release()
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -43,19 +43,19 @@
     """Functions and numbers by which a node controls the replica of a group.
 
     ``candidates`` lists the nodes that could hold a replica, ``is_drained`` tells whether a node is to hold none, and
-    ``gone`` whether it is lost. ``publish`` passes on a newly learned replica set.
+    ``is_lost`` whether it is lost. ``publish`` passes on a newly learned replica set.
 
-    ``copies`` is the number of disks that must hold acknowledged data, ``goal`` the intended number of members.
-    ``records`` returns the newest replica sets of all groups known here, ``payload_limit`` the number of bytes of
-    callers' inputs and outputs that the group may hold.
+    ``required_replicas`` is the number of disks that must hold acknowledged data, ``target_replica_count`` the intended
+    number of members. ``records`` returns the newest replica sets of all groups known here, ``payload_limit`` the
+    number of bytes of callers' inputs and outputs that the group may hold.
     """
 
     candidates: collections.abc.Callable[[], tuple[replica_placement.Candidate, ...]]
     is_drained: collections.abc.Callable[[str], bool]
     publish: collections.abc.Callable[[replica_set.ReplicaSet], None]
-    gone: collections.abc.Callable[[str], bool]
-    copies: int
-    goal: collections.abc.Callable[[], int]
+    is_lost: collections.abc.Callable[[str], bool]
+    required_replicas: int
+    target_replica_count: collections.abc.Callable[[], int]
     records: collections.abc.Callable[[], tuple[replica_set.ReplicaSet, ...]]
     payload_limit: collections.abc.Callable[[], int]
 
@@ -115,7 +115,7 @@
         """Wait for another member until ``end`` on the monotonic clock; then proceed with the data on this disk."""
         self.wait_end = end
 
-    def is_patience_over(self) -> bool:
+    def is_wait_over(self) -> bool:
         """Whether this replica proceeds without having reached another member."""
         return clock.now() >= self.wait_end
 
@@ -292,10 +292,10 @@
         """The members that are neither drained nor about to stop."""
         return tuple(member for member in self.record.members() if not self.policy.is_drained(member.address))
 
-    def log_dropped(self, gone: collections.abc.Collection[replica_set.ReplicaId], reason: str) -> None:
+    def log_dropped(self, dropped: collections.abc.Collection[replica_set.ReplicaId], reason: str) -> None:
         """Log that a ballot removed members, if it did: one that finds another primary changes nothing."""
-        if not set(gone) & set(self.record.members()):
-            members = ", ".join(sorted(member.label() for member in gone))
+        if not set(dropped) & set(self.record.members()):
+            members = ", ".join(sorted(member.label() for member in dropped))
             events.report(
                 LOG,
                 events.EventFields(
--- a/aspencroft/replication/log_shipping.py
+++ b/aspencroft/replication/log_shipping.py
@@ -25,7 +25,7 @@
 
     def __init__(self, state: group_state.GroupState):
         self.state = state
-        self.patience = append_patience.AppendPatience()
+        self.adaptive_timeout = append_patience.AdaptiveTimeout()
         self.snapshots = snapshot_transfer.SnapshotSender(state)
         self.lost_disks: set[replica_set.ReplicaId] = set()
 
@@ -38,7 +38,7 @@
             if entries:
                 group.create_task(self.state.replica.write_entries(entries))
             sent = {backup: group.create_task(self.send(backup, message)) for backup in record.backups}
-            await self.patience.wait_for(sent.values())
+            await self.adaptive_timeout.wait_for(sent.values())
         last_here = self.state.replica.last()
         return tuple(backup for backup, task in sent.items() if task.cancelled() or task.result() != last_here)
 
@@ -178,7 +178,7 @@
                 "incomplete after an interrupted repair; waits for a member that holds the missing entries"
             )
             return False
-        if True in results or results.count(None) == len(results) or state.recovery.is_patience_over():
+        if True in results or results.count(None) == len(results) or state.recovery.is_wait_over():
             if is_comparison_final(state.role_state.is_leading):
                 state.confirm_recovery("compared with the other members")
             else:
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -179,9 +179,9 @@
                 state.lease.extend(end)
             state.update_role("the lease was granted" if end is not None else "the lease was not renewed")
             if not state.knows_chosen() and not state.balloting.locked() and state.record.primary == state.me():
-                await self.settle_record("a replica set was reported that this node did not have chosen")
+                await self.confirm_record("a replica set was reported that this node did not have chosen")
             elif end is None and self.needs_ballot(used, newest, answered):
-                await self.settle_record("no majority of the witnesses grants the lease")
+                await self.confirm_record("no majority of the witnesses grants the lease")
             state.check_tenure()
             await clock.sleep(LEASE_RENEWAL_PERIOD if end is not None else group_state.RETRY)
 
@@ -194,7 +194,7 @@
         unchanged = state.lease.chosen is used and not state.balloting.locked()
         return unchanged and bool(newest or (not state.has_lease() and answered))
 
-    async def settle_record(self, reason: str) -> None:
+    async def confirm_record(self, reason: str) -> None:
         """Run a ballot that confirms the current replica set unchanged, and learn its result."""
         state = self.state
         state.status_reason = reason
@@ -225,7 +225,7 @@
             await clock.sleep(HEARTBEAT_PERIOD)
             state.replica.state_machine.limit_payload(state.policy.payload_limit())
             if state.has_lease() and state.record.backups and not self.submissions.full():
-                for command in state.replica.state_machine.due(clock.now(), state.policy.gone):
+                for command in state.replica.state_machine.due(clock.now(), state.policy.is_lost):
                     if not self.submissions.full():
                         self.submissions.put_nowait(
                             Submission(
@@ -241,16 +241,16 @@
         ``MIN_REPLICAS`` suffice in two cases: a search through all other nodes under this replica set found no
         candidate, so the missing machines are lost, or the disks of the missing members were lost a moment ago.
         """
-        copies, lost = self.state.policy.copies, self.lost_disks
-        if lost is not None and lost.excuse(record, copies, group_state.MIN_REPLICAS, clock.now()):
+        required, lost = self.state.policy.required_replicas, self.lost_disks
+        if lost is not None and lost.covers_missing(record, required, group_state.MIN_REPLICAS, clock.now()):
             return True
-        return record_changes.has_enough_members(record, copies, group_state.MIN_REPLICAS, self.exhausted_record)
+        return record_changes.has_enough_members(record, required, group_state.MIN_REPLICAS, self.exhausted_record)
 
     async def serve(self) -> None:
         """Repair the backups, then commit batches of commands; add replicas first whenever there are too few."""
         undelivered: list[Decided] = []
         self.synchronized_record = self.exhausted_record = self.lost_disks = None
-        self.log_shipping.patience.begin()
+        self.log_shipping.adaptive_timeout.begin()
         try:
             while True:
                 await self.serve_step(undelivered)
@@ -281,7 +281,7 @@
         else:
             self.send_replies(undelivered)
             state.status_reason = service_status.SERVING
-            await self.replica_changes.move_away()
+            await self.replica_changes.remove_leaving_members()
             if state.record == record and await self.replica_changes.admit_candidate():
                 self.synchronized_record = state.record
             elif state.record == record:
@@ -296,7 +296,7 @@
         failed = await self.log_shipping.synchronize_backups(record)
         lost = self.log_shipping.lost_disks.intersection(failed)
         if failed:
-            await self.record_out_failed(failed)
+            await self.remove_failed_backups(failed)
             end = clock.now() + LOST_DISK_GRACE
             self.lost_disks = record_changes.LostDisks(self.state.record, len(lost), end)
         elif self.state.record == record:
@@ -378,7 +378,7 @@
         else:
             self.synchronized_record = None
             if failed:
-                await self.record_out_failed(failed)
+                await self.remove_failed_backups(failed)
 
     def decide(
         self,
@@ -418,7 +418,7 @@
             undelivered.append(Decided(submission, reply))
         return tuple(entries)
 
-    async def record_out_failed(self, failed: collections.abc.Iterable[replica_set.ReplicaId]) -> None:
+    async def remove_failed_backups(self, failed: collections.abc.Iterable[replica_set.ReplicaId]) -> None:
         """Remove failed backups from the replica set through a ballot of the witnesses.
 
         This happens before anything is acknowledged without them: as long as the replica set names them, they may take
@@ -428,13 +428,13 @@
             DeposedError: Another member is the primary.
 
         """
-        state, gone = self.state, frozenset(failed)
-        for backup in gone:
+        state, failed_members = self.state, frozenset(failed)
+        for backup in failed_members:
             state.suspected_peers.suspect(backup.address)
         try:
-            await state.ballot(lambda record: record_changes.without_backups(record, state.me(), gone))
+            await state.ballot(lambda record: record_changes.without_backups(record, state.me(), failed_members))
         except result.RequestError as refusal:
-            members = ", ".join(sorted(backup.label() for backup in gone))
+            members = ", ".join(sorted(backup.label() for backup in failed_members))
             events.report(
                 LOG,
                 events.EventFields(
@@ -452,7 +452,7 @@
             )
             await clock.sleep(group_state.RETRY)
         else:
-            state.log_dropped(gone, "their logs are not known to match the primary's")
+            state.log_dropped(failed_members, "their logs are not known to match the primary's")
         state.check_tenure()
 
 
--- a/aspencroft/replication/primary_test.py
+++ b/aspencroft/replication/primary_test.py
@@ -112,12 +112,12 @@
     first, second, third = (replica_set.ReplicaId(f"n{number}:1", "a") for number in range(3))
     remaining = replica_set.ReplicaSet(0, 5, first, (second,))
     lost_disks = record_changes.LostDisks(remaining, 1, clock.seconds(3))
-    assert lost_disks.excuse(remaining, 3, 2, clock.seconds(2.9))
-    assert not lost_disks.excuse(remaining, 3, 2, clock.seconds(3))
-    assert not lost_disks.excuse(remaining, 4, 2, clock.ZERO)
-    assert not lost_disks.excuse(replica_set.ReplicaSet(0, 6, first, (third,)), 3, 2, clock.ZERO)
+    assert lost_disks.covers_missing(remaining, 3, 2, clock.seconds(2.9))
+    assert not lost_disks.covers_missing(remaining, 3, 2, clock.seconds(3))
+    assert not lost_disks.covers_missing(remaining, 4, 2, clock.ZERO)
+    assert not lost_disks.covers_missing(replica_set.ReplicaSet(0, 6, first, (third,)), 3, 2, clock.ZERO)
     single = replica_set.ReplicaSet(0, 5, first, ())
-    assert not record_changes.LostDisks(single, 2, clock.seconds(3)).excuse(single, 3, 2, clock.ZERO), (
+    assert not record_changes.LostDisks(single, 2, clock.seconds(3)).covers_missing(single, 3, 2, clock.ZERO), (
         "never with one member"
     )
 
--- a/aspencroft/replication/record_changes.py
+++ b/aspencroft/replication/record_changes.py
@@ -8,10 +8,10 @@
 
 
 def take_over(
-    record: replica_set.ReplicaSet, me: replica_set.ReplicaId, silent: replica_set.ReplicaId
+    record: replica_set.ReplicaSet, me: replica_set.ReplicaId, unresponsive: replica_set.ReplicaId
 ) -> replica_set.ReplicaSet:
     """Make a backup of the newest replica set the primary, only in place of the primary that it found unresponsive."""
-    if me not in record.backups or record.primary != silent:
+    if me not in record.backups or record.primary != unresponsive:
         return record
     backups = tuple(backup for backup in record.backups if backup != me)
     return dataclasses.replace(record, epoch=record.epoch + 1, primary=me, backups=backups)
@@ -20,12 +20,12 @@
 def without_backups(
     record: replica_set.ReplicaSet,
     me: replica_set.ReplicaId,
-    gone: collections.abc.Collection[replica_set.ReplicaId],
+    removed: collections.abc.Collection[replica_set.ReplicaId],
 ) -> replica_set.ReplicaSet:
     """Remove backups, as the primary."""
-    if record.primary != me or not set(gone) & set(record.backups):
+    if record.primary != me or not set(removed) & set(record.backups):
         return record
-    backups = tuple(backup for backup in record.backups if backup not in gone)
+    backups = tuple(backup for backup in record.backups if backup not in removed)
     return dataclasses.replace(record, epoch=record.epoch + 1, backups=backups)
 
 
@@ -60,15 +60,15 @@
 
 
 def has_enough_members(
-    record: replica_set.ReplicaSet, copies: int, least: int, exhausted_record: replica_set.ReplicaSet | None
+    record: replica_set.ReplicaSet, copies: int, min_members: int, exhausted_record: replica_set.ReplicaSet | None
 ) -> bool:
     """Whether a replica set names enough members to acknowledge commands.
 
-    At least ``copies`` members are required. ``least`` suffice if ``exhausted_record`` is this very replica set: under
-    it, a search through all other nodes found no candidate, so the missing machines are lost.
+    At least ``copies`` members are required. ``min_members`` suffice if ``exhausted_record`` is this very replica set:
+    under it, a search through all other nodes found no candidate, so the missing machines are lost.
     """
     count = len(record.members())
-    return count >= copies or (count >= least and exhausted_record == record)
+    return count >= copies or (count >= min_members and exhausted_record == record)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -83,10 +83,12 @@
     count: int
     end: datetime.timedelta
 
-    def excuse(self, record: replica_set.ReplicaSet, copies: int, least: int, now: datetime.timedelta) -> bool:
+    def covers_missing(
+        self, record: replica_set.ReplicaSet, copies: int, min_members: int, now: datetime.timedelta
+    ) -> bool:
         """Whether a replica set names enough members when the lost disks are counted as members."""
         count = len(record.members())
-        return record == self.record and now < self.end and count >= least and count + self.count >= copies
+        return record == self.record and now < self.end and count >= min_members and count + self.count >= copies
 
 
 def may_leave(staying: int, members: int, copies: int) -> bool:
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -12,11 +12,11 @@
 from aspencroft.runtime import clock, events
 
 LOG = logbook.Logger("replication.replica_changes")
-BALANCE_AFTER = clock.seconds(4)
+MOVE_DELAY = clock.seconds(4)
 """How long a better disk must be available before a member moves: most machines that are down come back."""
-BALANCE_LOOK = clock.seconds(0.5)
+MOVE_CHECK_INTERVAL = clock.seconds(0.5)
 """Interval between two searches for a better disk; each one iterates over all live disks."""
-BALANCE_TURN = clock.seconds(2)
+MOVE_STAGGER = clock.seconds(2)
 """Added for each group with a lower number on the same machine, so that each move takes earlier ones into account."""
 
 
@@ -28,8 +28,8 @@
         self.log_shipping = shipping
         self.ready: replica_set.ReplicaId | None = None
         self.admitted = asyncio.Event()
-        self.unbalanced_since: datetime.timedelta | None = None
-        self.next_look = clock.ZERO
+        self.better_disk_since: datetime.timedelta | None = None
+        self.next_check = clock.ZERO
 
     def rank_candidates(self) -> list[replica_placement.Candidate]:
         """Rank the candidates for a new backup.
@@ -52,16 +52,16 @@
         best_first = replica_placement.rank_candidates(state.group_id, eligible, areas, counts)
         return sorted(best_first, key=lambda candidate: state.suspected_peers.is_suspected(candidate.address))
 
-    def is_lacking_members(self) -> bool:
+    def has_too_few_members(self) -> bool:
         """Whether fewer members stay than the group is to have."""
-        return len(self.state.staying()) < self.state.policy.goal()
+        return len(self.state.staying()) < self.state.policy.target_replica_count()
 
     async def add_replica(self, include_suspected: bool = True) -> bool:
         """While the group is not served: find one node, bring its log up to date, and add it as a backup."""
         for candidate in self.rank_candidates():
             if not include_suspected and self.state.suspected_peers.is_suspected(candidate.address):
                 continue
-            peer = await self.prepare_candidate(candidate, whole=True)
+            peer = await self.prepare_candidate(candidate, require_latest=True)
             if peer is not None and await self.record_backup(peer):
                 return True
             if any(member.address == candidate.address for member in self.state.record.members()):
@@ -69,11 +69,11 @@
         return False
 
     async def prepare_candidate(
-        self, candidate: replica_placement.Candidate, whole: bool = False
+        self, candidate: replica_placement.Candidate, require_latest: bool = False
     ) -> replica_set.ReplicaId | None:
         """Bring a candidate's log up to date; return its replica id, or none on failure.
 
-        With ``whole``, its log must match the present end of this log; else it may match an earlier position.
+        With ``require_latest``, its log must match the present end of this log; else it may match an earlier position.
         """
         state = self.state
         try:
@@ -84,7 +84,7 @@
             position = await self.log_shipping.repair_from(peer, compared)
             matches = (
                 position == state.replica.last()
-                if whole
+                if require_latest
                 else state.replica.digest_at(position.sequence) == position.digest
             )
             if not matches:
@@ -169,36 +169,40 @@
             await clock.sleep(group_state.RETRY)
             if not self.state.has_lease():
                 continue
-            self.balance()
-            if not self.is_lacking_members():
+            self.begin_move_if_due()
+            if not self.has_too_few_members():
                 continue
             for candidate in self.rank_candidates():
-                if not self.state.has_lease() or self.state.status_reason != "serving" or not self.is_lacking_members():
+                if (
+                    not self.state.has_lease()
+                    or self.state.status_reason != "serving"
+                    or not self.has_too_few_members()
+                ):
                     break
                 peer = await self.prepare_candidate(candidate)
                 if peer is not None:
                     self.admitted.clear()
                     self.ready = peer
                     await self.admitted.wait()
-            if self.is_lacking_members() and self.state.move.leaving is not None:
+            if self.has_too_few_members() and self.state.move.leaving is not None:
                 self.end_move("cancelled, as the group has too few members")
 
-    def balance(self) -> None:
+    def begin_move_if_due(self) -> None:
         """Begin to replace a member by one on a better disk, once that disk has been available for some time.
 
         The move takes the usual steps of a change: the better one is added first, then the other one is removed.
         """
         state = self.state
-        if state.move.leaving is not None or clock.now() < self.next_look:
+        if state.move.leaving is not None or clock.now() < self.next_check:
             return
-        self.next_look = clock.now() + BALANCE_LOOK
-        leaving = self.find_misplaced() if state.status_reason == "serving" else None
+        self.next_check = clock.now() + MOVE_CHECK_INTERVAL
+        leaving = self.find_replaceable_member() if state.status_reason == "serving" else None
         if leaving is None:
-            self.unbalanced_since = None
+            self.better_disk_since = None
             return
-        if self.unbalanced_since is None:
-            self.unbalanced_since = clock.now()
-        if clock.now() - self.unbalanced_since >= BALANCE_AFTER + self.count_groups_ahead(leaving) * BALANCE_TURN:
+        if self.better_disk_since is None:
+            self.better_disk_since = clock.now()
+        if clock.now() - self.better_disk_since >= MOVE_DELAY + self.count_groups_ahead(leaving) * MOVE_STAGGER:
             events.report(
                 LOG,
                 events.EventFields(
@@ -213,7 +217,7 @@
                 state.record.epoch,
                 leaving.label(),
             )
-            self.unbalanced_since = None
+            self.better_disk_since = None
             state.move.begin(leaving)
             state.counts["moves"] += 1
 
@@ -238,17 +242,17 @@
         )
         state.move.end()
 
-    def find_misplaced(self) -> replica_set.ReplicaId | None:
+    def find_replaceable_member(self) -> replica_set.ReplicaId | None:
         """Find a member to remove, because there are too many or because a better disk is available.
 
         None while there are too few members.
         """
         state = self.state
         remaining = state.remaining()
-        if len(remaining) < len(state.record.members()) or len(remaining) < state.policy.goal():
+        if len(remaining) < len(state.record.members()) or len(remaining) < state.policy.target_replica_count():
             return None
         counts = replica_placement.replica_counts(state.policy.records())
-        if len(remaining) > state.policy.goal():
+        if len(remaining) > state.policy.target_replica_count():
             return max(state.record.backups, key=lambda member: counts[member.address])
         candidates = [
             candidate
@@ -285,7 +289,7 @@
         finally:
             self.admitted.set()
 
-    async def move_away(self) -> None:
+    async def remove_leaving_members(self) -> None:
         """Move off machines that are being drained or stopped, and remove members that were replaced.
 
         One step at a time, once enough other members hold the data. A primary transfers leadership to a backup that
@@ -299,12 +303,14 @@
             successor = next((member for member in state.record.backups if member in staying), None)
             if successor is not None:
                 await self.transfer_leadership(successor)
-        elif record_changes.may_leave(len(remaining), len(state.record.members()), state.policy.copies):
-            await self.record_out(set(state.record.backups) - set(remaining))
-        elif record_changes.may_leave(len(staying), len(remaining), max(state.policy.copies, state.policy.goal())):
-            await self.record_out(set(state.record.backups) - set(staying))
-
-    async def record_out(self, leaving: set[replica_set.ReplicaId]) -> None:
+        elif record_changes.may_leave(len(remaining), len(state.record.members()), state.policy.required_replicas):
+            await self.remove_backups(set(state.record.backups) - set(remaining))
+        elif record_changes.may_leave(
+            len(staying), len(remaining), max(state.policy.required_replicas, state.policy.target_replica_count())
+        ):
+            await self.remove_backups(set(state.record.backups) - set(staying))
+
+    async def remove_backups(self, leaving: set[replica_set.ReplicaId]) -> None:
         """Remove leaving backups through a ballot of the witnesses; retried by the next call if that fails."""
         state = self.state
         try:
--- a/aspencroft/replication/replica_moves_test.py
+++ b/aspencroft/replication/replica_moves_test.py
@@ -8,7 +8,7 @@
 from aspencroft.runtime import clock
 from aspencroft.simulation import members
 
-LONG_ENOUGH = replica_changes.BALANCE_AFTER + replica_changes.BALANCE_TURN * 4 + clock.seconds(2)
+LONG_ENOUGH = replica_changes.MOVE_DELAY + replica_changes.MOVE_STAGGER * 4 + clock.seconds(2)
 
 
 def other_groups(addresses: tuple[str, ...], count: int) -> tuple[replica_set.ReplicaSet, ...]:
@@ -38,7 +38,7 @@
         cluster.register.watch = lambda standing: seen.append(len(standing.members()))
         took = await cluster.until(lambda: "n1:1" not in member_addresses(cluster), 20)
         assert member_addresses(cluster) < {"n0:1", "n2:1", "n4:1"}
-        assert took > replica_changes.BALANCE_AFTER.total_seconds()
+        assert took > replica_changes.MOVE_DELAY.total_seconds()
         assert min(seen) == 2, seen
         await cluster.write("behind-the-move")
         assert cluster.same(*member_addresses(cluster))
@@ -79,7 +79,7 @@
         before = cluster.register.standing()
         await clock.sleep(LONG_ENOUGH)
         cluster.other_records = other_groups(("n1:1", "n3:1"), 4)
-        await clock.sleep(replica_changes.BALANCE_AFTER / 2)
+        await clock.sleep(replica_changes.MOVE_DELAY / 2)
         cluster.other_records = ()
         await clock.sleep(LONG_ENOUGH)
         assert cluster.register.standing() == before
@@ -146,7 +146,7 @@
         identity, bytes_before = removed.replica.identity, stored_bytes(cluster.folders["n1:1"])
         assert removed.replica.has_state()
         took = await cluster.until(lambda: not removed.replica.has_state(), 30)
-        assert took > group_replica.RELEASE_AFTER.total_seconds() / 2
+        assert took > group_replica.RELEASE_DELAY.total_seconds() / 2
         assert removed.replica.identity != identity
         assert removed.replica.memory().journal_entries == 0
         assert stored_bytes(cluster.folders["n1:1"]) < bytes_before
@@ -180,7 +180,7 @@
         removed = cluster.group_replicas["n1:1"]
         await remove_backup(cluster)
         cluster.silent.add(cluster.register.standing().primary.address)
-        await clock.sleep(group_replica.RELEASE_AFTER * 2)
+        await clock.sleep(group_replica.RELEASE_DELAY * 2)
         assert removed.replica.has_state()
 
     members.play(tmp_path, 4, scenario, copies=2)
--- a/aspencroft/replication/replica_storage.py
+++ b/aspencroft/replication/replica_storage.py
@@ -23,7 +23,7 @@
 STALLED_AFTER = clock.seconds(1.5)
 """A write that takes longer than this counts as stalled: a healthy disk syncs in milliseconds."""
 
-DISK_RETRY = clock.seconds(2)
+DISK_RETRY_DELAY = clock.seconds(2)
 """Pause before a failed disk operation is retried."""
 
 
@@ -79,10 +79,10 @@
                     "disk fault on load: group {}, folder {}, retry in {} s: {}",
                     self.group_id,
                     self.folder,
-                    DISK_RETRY.total_seconds(),
+                    DISK_RETRY_DELAY.total_seconds(),
                     error,
                 )
-            await clock.sleep(DISK_RETRY)
+            await clock.sleep(DISK_RETRY_DELAY)
 
     async def write_items(self, items: tuple[data_file.Record, ...]) -> None:
         """Append items to the generation in force, and to the tail of a snapshot in progress.
--- a/aspencroft/replication/snapshotting.py
+++ b/aspencroft/replication/snapshotting.py
@@ -78,8 +78,8 @@
         self.early_compact_at = clock.now() + EARLY_COMPACT_INTERVAL
 
     def note_failed(self) -> None:
-        """Note a disk error: no snapshot is begun until ``DISK_RETRY`` has passed."""
-        self.retry_at = clock.now() + replica_storage.DISK_RETRY
+        """Note a disk error: no snapshot is begun until ``DISK_RETRY_DELAY`` has passed."""
+        self.retry_at = clock.now() + replica_storage.DISK_RETRY_DELAY
 
 
 class Snapshotter:
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -391,8 +391,8 @@
     Mutation(
         "too few members answer without a look at other disks",
         "replication/record_changes.py",
-        "    return count >= copies or (count >= least and exhausted_record == record)\n",
-        "    return count >= copies or count >= least\n",
+        "    return count >= copies or (count >= min_members and exhausted_record == record)\n",
+        "    return count >= copies or count >= min_members\n",
         ("replication/primary_test.py",),
     ),
     Mutation(
@@ -412,15 +412,15 @@
     Mutation(
         "a lost disk counts under every record",
         "replication/record_changes.py",
-        "        return record == self.record and now < self.end and count >= least and count + self.count >= copies\n",
-        "        return now < self.end and count >= least and count + self.count >= copies\n",
+        "        return record == self.record and now < self.end and count >= min_members and count + self.count >= copies\n",
+        "        return now < self.end and count >= min_members and count + self.count >= copies\n",
         ("replication/primary_test.py",),
     ),
     Mutation(
         "members that failed are answered for",
         "replication/primary.py",
-        "        if failed:\n            await self.record_out_failed(failed)\n            end = clock.now() + LOST_DISK_GRACE\n",
-        "        if False:\n            await self.record_out_failed(failed)\n            end = clock.now() + LOST_DISK_GRACE\n",
+        "        if failed:\n            await self.remove_failed_backups(failed)\n            end = clock.now() + LOST_DISK_GRACE\n",
+        "        if False:\n            await self.remove_failed_backups(failed)\n            end = clock.now() + LOST_DISK_GRACE\n",
         ("replication/primary_test.py",),
     ),
     Mutation(
@@ -433,7 +433,7 @@
     Mutation(
         "whoever is primary is taken over from",
         "replication/record_changes.py",
-        "    if me not in record.backups or record.primary != silent:\n",
+        "    if me not in record.backups or record.primary != unresponsive:\n",
         "    if me not in record.backups:\n",
         ("replication/backup_test.py",),
     ),
--- a/aspencroft/storage/data_file.py
+++ b/aspencroft/storage/data_file.py
@@ -114,14 +114,16 @@
     return (offset + BLOCK - 1) // BLOCK * BLOCK
 
 
-def find_extents(data: bytes | FileBytes, most: int) -> list[Extent]:
-    """Find the extents of the first records, at most ``most`` of them, without collecting their payloads.
+def find_extents(data: bytes | FileBytes, limit: int) -> list[Extent]:
+    """Find the extents of the first records, at most ``limit`` of them, without collecting their payloads.
 
     Example: ``find_extents(b"", 3) == []``
     """
     extents: list[Extent] = []
     offset = 0
-    while len(extents) < most and (found := decode_record_at(data, offset)) is not None and found.index == len(extents):
+    while (
+        len(extents) < limit and (found := decode_record_at(data, offset)) is not None and found.index == len(extents)
+    ):
         extents.append(found.extent)
         offset = next_block(found.extent.end)
     return extents
--- a/aspencroft/storage/store.py
+++ b/aspencroft/storage/store.py
@@ -19,7 +19,7 @@
 
 LOG = logbook.Logger("storage.store")
 CURRENT = "current"
-LOST_BY_DISK = 1
+MAX_LOST_RECORDS = 1
 """Number of last synced records that a disk may lose without its store counting as damaged."""
 
 
@@ -276,7 +276,7 @@
     with data_path.open("rb") as file:
         found = data_file.scan(data_file.FileBytes(file))
     missing = pointer.record_count - len(found.records)
-    return None if found.condition is data_file.Condition.DAMAGED or missing > LOST_BY_DISK else found
+    return None if found.condition is data_file.Condition.DAMAGED or missing > MAX_LOST_RECORDS else found
 
 
 class NoSyncDisk:
