--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -115,7 +115,7 @@
         ),
         replication_messages.InstallSnapshot: install_snapshot,
         replication_messages.ReplicaSetQuery: answered_at_once(
-            lambda message: node.group_replica(message.group_id).stands(message)
+            lambda message: node.group_replica(message.group_id).report_replica_set(message)
         ),
         replica_set.ReplicaSetNotice: learn_replica_set,
     }
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -157,7 +157,7 @@
         """Run a command if this node is the primary; the reply comes once its events are synced on all replicas."""
         return await self.primary.submit(command, within)
 
-    def stands(self, message: messages.ReplicaSetQuery) -> messages.ReplicaSetReply:
+    def report_replica_set(self, message: messages.ReplicaSetQuery) -> messages.ReplicaSetReply:
         """As a serving primary without a ballot in progress: return the replica set in force."""
         if not self.has_lease() or self.status_reason != "serving" or self.balloting.locked():
             raise result.RequestError(
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -223,7 +223,7 @@
             case messages.FetchLog():
                 return await one.fetch(message)
             case messages.ReplicaSetQuery():
-                return one.stands(message)
+                return one.report_replica_set(message)
         return await one.appoint(message)
 
     async def until(self, condition: collections.abc.Callable[[], bool], within: float = 10.0) -> float:
