--- a/aspencroft/consensus/replica_placement_test.py
+++ b/aspencroft/consensus/replica_placement_test.py
@@ -1,4 +1,4 @@
-"""Tests of where replicas belong: first replica sets, the order of candidates, and moves that end in an even spread."""
+"""Tests of replica placement: first replica sets, the order of candidates, and moves that end in a balanced state."""
 
 import collections
 import random
@@ -9,24 +9,24 @@
 
 
 def disks(count: int, areas: int = 3) -> list[replica_placement.Candidate]:
-    """So many disks, their areas in turn."""
+    """Return a number of disks, assigned to the areas round-robin."""
     return [replica_placement.Candidate(f"s{number}:1", AREAS[number % areas]) for number in range(count)]
 
 
 def record(group: int, *addresses: str) -> replica_set.ReplicaSet:
-    """A record that names members by their addresses, the primary first."""
+    """Return a replica set with members at the given addresses, the primary first."""
     members = [replica_set.ReplicaId(address, f"{address} {group}") for address in addresses]
     return replica_set.ReplicaSet(group, 1, members[0], tuple(members[1:]))
 
 
 def apply_move(replicas: replica_set.ReplicaSet, move: replica_placement.Move) -> replica_set.ReplicaSet:
-    """The record once a move was made; a primary hands over to a backup first."""
+    """Return the replica set after a move; a primary hands over to a backup first."""
     addresses = [member.address for member in replicas.members() if member != move.leaving]
     return record(replicas.group_id, *addresses, move.target.address)
 
 
 def spread(records: list[replica_set.ReplicaSet], candidates: list[replica_placement.Candidate]) -> int:
-    """By how many replicas the fullest disk exceeds the emptiest."""
+    """Return the difference in replica counts between the fullest and the emptiest disk."""
     counts = replica_placement.replica_counts(records)
     return max(counts[candidate.address] for candidate in candidates) - min(
         counts[candidate.address] for candidate in candidates
@@ -34,13 +34,13 @@
 
 
 def distinct_areas(replicas: replica_set.ReplicaSet, candidates: list[replica_placement.Candidate]) -> int:
-    """In how many areas a group has members."""
+    """Return the number of areas in which a group has members."""
     area_of = {candidate.address: candidate.area for candidate in candidates}
     return len({area_of[member.address] for member in replicas.members()})
 
 
 def make_all_moves(records: list[replica_set.ReplicaSet], candidates: list[replica_placement.Candidate]) -> int:
-    """Make moves, one group after the other, until there are none; how many there were."""
+    """Make improving moves, group by group, until there are none; return their number."""
     count = 0
     while True:
         for index, replicas in enumerate(records):
@@ -72,16 +72,16 @@
 
 def test_moves_end_and_leave_disks_within_one_replica_of_each_other():
     for seed in range(60):
-        chance = random.Random(seed)
-        candidates = disks(chance.randrange(3, 14), areas=1)
+        randomness = random.Random(seed)
+        candidates = disks(randomness.randrange(3, 14), areas=1)
         records = [
             record(
                 group,
-                *chance.sample(
-                    [candidate.address for candidate in candidates[: chance.randrange(3, len(candidates) + 1)]], 3
+                *randomness.sample(
+                    [candidate.address for candidate in candidates[: randomness.randrange(3, len(candidates) + 1)]], 3
                 ),
             )
-            for group in range(1, chance.randrange(2, 20))
+            for group in range(1, randomness.randrange(2, 20))
         ]
         make_all_moves(records, candidates)
         assert spread(records, candidates) <= 1, (seed, records)
@@ -89,11 +89,11 @@
 
 def test_moves_never_take_an_area_from_a_group_and_end_with_as_many_as_there_can_be():
     for seed in range(60):
-        chance = random.Random(seed)
-        candidates = disks(chance.randrange(4, 14))
+        randomness = random.Random(seed)
+        candidates = disks(randomness.randrange(4, 14))
         records = [
-            record(group, *chance.sample([candidate.address for candidate in candidates], 3))
-            for group in range(1, chance.randrange(2, 20))
+            record(group, *randomness.sample([candidate.address for candidate in candidates], 3))
+            for group in range(1, randomness.randrange(2, 20))
         ]
         before = [distinct_areas(replicas, candidates) for replicas in records]
         make_all_moves(records, candidates)
--- a/aspencroft/consensus/witness_bootstrap_test.py
+++ b/aspencroft/consensus/witness_bootstrap_test.py
@@ -1,4 +1,4 @@
-"""Tests of the first start, and of witnesses that lost their disks or were replaced, in simulated clusters."""
+"""Tests of the first start and of witnesses that lose their disks or are replaced, in simulated clusters."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 def test_founding_does_not_wait_for_a_disk_that_was_heard_of_and_fell_silent():
     async def scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
-        await cluster.until(lambda: len(cluster.nodes["core-0"].replica_candidates("talk")) == 3, 3, "heard of")
+        await cluster.until(lambda: len(cluster.nodes["core-0"].replica_candidates("talk")) == 3, 3, "disks known")
         cluster.power_off("storage-2")
         assert await cluster.until(cluster.formed, 8, "formed") < 3.5
 
@@ -40,14 +40,14 @@
 
 
 def test_lost_disks_are_never_taken_for_a_new_fleet():
-    for more in ({"witnesses": "core"}, {}):
+    for settings in ({"witnesses": "core"}, {}):
 
         async def scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
             await asyncio.sleep(15)
             assert not any(node.failure_detector.records or node.witness.voting for node in cluster.nodes.values())
 
         simulated_cluster.play(
-            3, scenario, groups.SIZE, shape.TILLS, wire.Weather(jitter=0.002), {"first_start": False, **more}
+            3, scenario, groups.SIZE, shape.TILLS, wire.Weather(jitter=0.002), {"first_start": False, **settings}
         )
 
 
@@ -62,7 +62,7 @@
             )
             return set() if newest.coming else {address.split(":")[0] for address in newest.present}
 
-        await cluster.until(lambda: voter_set() == set(cluster.cores), 8, "witnessed by all cores")
+        await cluster.until(lambda: voter_set() == set(cluster.cores), 8, "all cores are voters")
         cluster.kill("core-3")
         await asyncio.sleep(2)
         cluster.start("core-3")
@@ -75,7 +75,7 @@
         cluster.cores[1] = "core-5"
         cluster.lost.add("core-5")
         cluster.start("core-5")
-        await cluster.until(lambda: voter_set() == set(cluster.cores), 8, "witnessed by the new one")
+        await cluster.until(lambda: voter_set() == set(cluster.cores), 8, "the new core is a voter")
         assert await group.write("extra")
 
     for seed in (4, 5):
@@ -86,16 +86,14 @@
     async def scenario(group: groups.ClusterHarness) -> None:
         cluster = group.cluster
         await cluster.until(lambda: len(cluster.nodes["core-0"].proposer.voter_set.present) == 5, 8, "five witnesses")
-        for victim in ("core-0", "core-4"):
-            cluster.power_off(victim)
-            cluster.disks[victim].wipe()
-            cluster.lost.add(victim)
+        for core in ("core-0", "core-4"):
+            cluster.power_off(core)
+            cluster.disks[core].wipe()
+            cluster.lost.add(core)
             await asyncio.sleep(1)
-            cluster.start(victim)
-            await cluster.until(
-                lambda: victim in cluster.nodes and cluster.nodes[victim].witness.voting, 6, "voting again"
-            )
-            assert await group.write(f"after-{victim}")
+            cluster.start(core)
+            await cluster.until(lambda: core in cluster.nodes and cluster.nodes[core].witness.voting, 6, "voting again")
+            assert await group.write(f"after-{core}")
 
     groups.play(6, scenario)
 
@@ -128,7 +126,7 @@
 
 
 def roles_by_machine(machines_in_area: dict[str, int], group_count: int, replica_count: int) -> dict[str, list[str]]:
-    """The roles that bootstrap gives each machine, "primary" or "backup", in session groups alone."""
+    """Return the roles, "primary" or "backup", that bootstrap assigns to each machine in session groups only."""
     addresses = [f"{area}:{number}" for area, count in machines_in_area.items() for number in range(count)]
     reports = {
         address: replica_set.ReplicaReports(
--- a/aspencroft/consensus/witness_placement_test.py
+++ b/aspencroft/consensus/witness_placement_test.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of witnesses."""
+"""Tests of ``aspencroft.consensus.witness_placement``."""
 
 import random
 
@@ -44,11 +44,11 @@
 
 def test_the_choice_is_odd_bounded_and_at_rest_once_adopted():
     for seed in range(2000):
-        chance = random.Random(seed)
+        randomness = random.Random(seed)
         names = [f"n{number}" for number in range(12)]
-        present = tuple(chance.sample(names, chance.choice((1, 3, 5, 7, 9))))
-        cores = tuple(chance.sample(names, chance.randrange(13)))
-        lost = frozenset(address for address in present if address not in cores and chance.random() < 0.5)
+        present = tuple(randomness.sample(names, randomness.choice((1, 3, 5, 7, 9))))
+        cores = tuple(randomness.sample(names, randomness.randrange(13)))
+        lost = frozenset(address for address in present if address not in cores and randomness.random() < 0.5)
         chosen = witness_placement.choose_witnesses(present, cores, lost)
         assert len(chosen) % 2 == 1 and len(present) <= len(chosen) <= 9
         assert set(present) - lost <= set(chosen)
