--- a/aspencroft/leadership/__init__.py
+++ b/aspencroft/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Single-holder tasks and their epochs."""
+"""Singleton roles and their fencing epochs."""
--- a/aspencroft/leadership/singleton_role.py
+++ b/aspencroft/leadership/singleton_role.py
@@ -1,4 +1,4 @@
-"""A singleton role: work that one node does at a time, under a lease and a fencing epoch of the control group."""
+"""Singleton roles: work done by one node at a time, under a lease and a fencing epoch from the control group."""
 
 import asyncio
 import collections.abc
@@ -15,7 +15,7 @@
 LOG = logbook.Logger("leadership.singleton_role")
 CONTROL_GROUP = 0
 RENEWAL_INTERVAL = clock.seconds(0.5)  # four renewals within a lease
-ACQUIRE_TIMEOUT = clock.seconds(1)  # half a lease, so that a lost request leaves time for another
+ACQUIRE_TIMEOUT = clock.seconds(1)  # half a lease, so that a lost request can be retried in time
 INBOX_MESSAGES = 4096
 
 Members = dict[str, cluster_member.ClusterMember]
@@ -25,9 +25,9 @@
 
 
 def preferred_holder(role: str, members: Members, node_role: str = "") -> str:
-    """The address of the node that should hold a role: the first live one in the role's own order; "" without any.
+    """Return the address of the node that should hold a role: the first live one in the role's ring order, or "".
 
-    :param node_role: which nodes may hold it; all but edges if empty
+    :param node_role: only nodes of this role may hold it; if empty, all nodes except edges
     """
     eligible = [
         member.address
@@ -38,7 +38,7 @@
 
 
 class SingletonRole:
-    """A node's lease on a singleton role; ``inbox`` holds the messages for the role's holder."""
+    """A node's lease on a singleton role; ``inbox`` queues the messages for the role's holder."""
 
     def __init__(
         self,
@@ -63,13 +63,13 @@
         self.inbox: asyncio.Queue[typing.Any] = asyncio.Queue(INBOX_MESSAGES)
 
     def has_lease(self) -> bool:
-        """Whether this node may act as the role's holder at this moment."""
+        """Return whether this node may act as the role's holder now."""
         return clock.now() < self.lease_end
 
     def end_lease(self) -> None:
-        """Stop acting as the holder at once: somebody saw a higher epoch than this one's.
+        """Stop acting as the holder at once, because a higher epoch than this node's was seen.
 
-        A renewal that was asked for before is void, whenever its answer comes.
+        The reply to a renewal that was requested earlier is ignored, whenever it arrives.
         """
         self.lease_end, self.ended_at = clock.ZERO, clock.now()
 
@@ -84,8 +84,8 @@
 
     async def acquire(self) -> None:
         """Acquire or renew the lease."""
-        # The lease counts from before the request: the control group counts it from later, so it ends here first.
-        asked = clock.now()
+        # The lease runs from before the request; in the control group it starts later, so it expires here first.
+        requested_at = clock.now()
         try:
             acquired = await self.submit(
                 CONTROL_GROUP,
@@ -95,13 +95,13 @@
         except result.RequestError as rejection:
             self.log_rejection(str(rejection))
             return
-        if asked < self.ended_at:
+        if requested_at < self.ended_at:
             return
-        self.epoch, self.lease_end = acquired.epoch, asked + control_state.ROLE_LEASE
+        self.epoch, self.lease_end = acquired.epoch, requested_at + control_state.ROLE_LEASE
         self.log_acquired()
 
     def log_acquired(self) -> None:
-        """Log the role as acquired, once for each time that it is."""
+        """Log the role as acquired, once per acquisition."""
         self.rejection_logged = ""
         if not self.is_holder_logged:
             self.is_holder_logged = True
@@ -117,7 +117,7 @@
             )
 
     def log_rejection(self, reason: str) -> None:
-        """Log why the role could not be acquired, once for each reason."""
+        """Log why the role could not be acquired, once per reason."""
         if reason != self.rejection_logged:
             self.rejection_logged = reason
             LOG.info("singleton role {} not acquired by {}: {}", self.name, self.address, reason)
--- a/aspencroft/membership/__init__.py
+++ b/aspencroft/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster members, failure detection and the member table."""
+"""Cluster membership: member entries, the member table and failure detection."""
--- a/aspencroft/membership/cluster_member.py
+++ b/aspencroft/membership/cluster_member.py
@@ -1,4 +1,4 @@
-"""Member entries and the messages of membership; of two entries for one address the newer wins."""
+"""Member entries and the membership messages; of two entries for the same address the newer one wins."""
 
 import dataclasses
 import functools
@@ -9,8 +9,8 @@
 from aspencroft.transport import codec
 
 LIVE, LEAVING, DOWN = range(3)
-NUMBER_LIMIT = 1 << 60  # incarnations, serials and epochs from peers stay below it, far from 64 bits
-RING_POSITIONS = 1 << 48  # as many as six bytes of a hash give
+NUMBER_LIMIT = 1 << 60  # limit for incarnations, serials and epochs from peers; safely below 64 bits
+RING_POSITIONS = 1 << 48  # the range of a 6-byte hash
 ADDRESS = re.compile(r"[0-9A-Za-z.:\[\]-]+:[0-9]{1,5}\Z")
 STATES = ("live", "leaving", "down")
 
@@ -18,10 +18,10 @@
 @codec.kind(60)
 @dataclasses.dataclass(frozen=True)
 class ClusterMember:
-    """A node as others know it; a restart is a new incarnation, a refuted suspicion a new serial.
+    """A node as other nodes know it; a restart gets a new incarnation, a refuted suspicion a new serial.
 
-    ``state`` is LIVE, LEAVING or DOWN (an int, as the codec has it), ``http`` the address of its HTTP listener,
-    ``disk`` whether it stores groups, ``holds`` the sorts of groups that its disk may store.
+    ``state`` is LIVE, LEAVING or DOWN (an int for the codec), ``http`` is the address of the node's HTTP listener,
+    ``disk`` tells whether the node stores groups, and ``holds`` are the kinds of groups that its disk may store.
     """
 
     address: str
@@ -37,11 +37,11 @@
     holds: tuple[str, ...] = ()
 
     def precedence(self) -> tuple[int, int, int]:
-        """What orders two entries of one address: the greater supersedes the other."""
+        """Return the sort key of entries for one address: the greater entry supersedes the other."""
         return self.incarnation, self.serial, self.state
 
     def is_valid(self) -> bool:
-        """Whether the entry can be that of a node; its receiver drops any other."""
+        """Return whether the entry can belong to a node; the receiver drops invalid entries."""
         return (
             ADDRESS.match(self.address) is not None
             and self.state in range(len(STATES))
@@ -53,7 +53,7 @@
 @codec.kind(61)
 @dataclasses.dataclass(frozen=True)
 class MembershipTable:
-    """Members, replica sets of groups and the witnesses' voter set: all that one node knows, or what changed."""
+    """Members, replica sets and the voter set: everything that a node knows, or only what changed."""
 
     members: tuple[ClusterMember, ...]
     records: tuple[replica_set.ReplicaSet, ...]
@@ -72,7 +72,7 @@
 @codec.kind(63)
 @dataclasses.dataclass(frozen=True)
 class Join:
-    """The sender's table, or what changed in it; the answer is the receiver's table."""
+    """The sender's table, or the changes to it; the reply is the receiver's table."""
 
     table: MembershipTable
 
@@ -80,7 +80,7 @@
 @codec.kind(64)
 @dataclasses.dataclass(frozen=True)
 class ConfirmSuspicion:
-    """Ask a second watcher whether it suspects a member too."""
+    """Asks a second watcher whether it suspects a member too."""
 
     address: str
     incarnation: int
@@ -89,34 +89,34 @@
 @codec.kind(65)
 @dataclasses.dataclass(frozen=True)
 class SuspicionReply:
-    """Whether the second watcher hears nothing from the member either."""
+    """Tells whether the second watcher does not hear from the member either."""
 
     missing: bool
 
 
 @functools.lru_cache(1 << 17)
 def position(address: str) -> int:
-    """A node's position on the hash ring, below ``RING_POSITIONS``."""
+    """Return a node's position on the hash ring, below ``RING_POSITIONS``."""
     return int.from_bytes(hashlib.blake2b(address.encode(), digest_size=6).digest(), "big")
 
 
 def watchers(address: str, members: dict[str, ClusterMember], count: int) -> tuple[str, ...]:
-    """The nodes that watch a member: its successors on the ring, those in areas not named yet first.
+    """Return the nodes that watch a member: its successors on the ring, first one per area, then any others.
 
-    ``MemberTable.watchers`` gives the same without sorting the ring for each question.
+    ``MemberTable.watchers`` returns the same result without sorting the ring on each call.
     """
     start = position(address)
     successors = sorted(
         (member for member in members.values() if member.address != address and member.state != DOWN),
         key=lambda member: (position(member.address) - start) % RING_POSITIONS,
     )
-    named: list[str] = []
+    selected: list[str] = []
     areas: set[str] = set()
     for member in successors:
-        if member.area not in areas and len(named) < count:
+        if member.area not in areas and len(selected) < count:
             areas.add(member.area)
-            named.append(member.address)
+            selected.append(member.address)
     for member in successors:
-        if member.address not in named and len(named) < count:
-            named.append(member.address)
-    return tuple(named)
+        if member.address not in selected and len(selected) < count:
+            selected.append(member.address)
+    return tuple(selected)
--- a/aspencroft/membership/failure_detector.py
+++ b/aspencroft/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The membership of a node: its view of the cluster, the exchange of tables and the suspicion of silent members."""
+"""The failure detector of a node: its view of the cluster, table exchange, and suspicion of silent members."""
 
 from aspencroft.consensus import proposer, replica_set
 from aspencroft.membership import cluster_member, membership_view, suspicion, table_exchange
@@ -7,7 +7,7 @@
 
 
 class FailureDetector:
-    """What the other packages ask of membership; ``peers``, ``records`` and ``down_since`` are the view's."""
+    """The interface of membership for other packages; ``peers``, ``records`` and ``down_since`` belong to the view."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """Addresses that are probed for as long as no live member is known there."""
+        """Addresses that are probed while no live member is known there."""
         return self.exchange.seeds
 
     @seeds.setter
@@ -41,19 +41,19 @@
         self.exchange.seeds = seeds
 
     def live(self) -> tuple[str, ...]:
-        """Addresses of the members that are not down, in ring order."""
+        """Return the addresses of the members that are not down, in ring order."""
         return self.peers.live()
 
     def state(self, address: str) -> int:
-        """A node's state; an unknown node counts as down."""
+        """Return a node's state; an unknown node counts as down."""
         return self.view.state(address)
 
     def table(self) -> cluster_member.MembershipTable:
-        """All that this node knows, ordered by address and group."""
+        """Return everything that this node knows, ordered by address and group."""
         return self.view.table()
 
     def learn_record(self, record: replica_set.ReplicaSet) -> None:
-        """Adopt a newer replica set of a group, and pass it on."""
+        """Adopt a newer replica set of a group, and disseminate it."""
         self.view.learn_record(record)
 
     def merge_table(self, table: cluster_member.MembershipTable) -> None:
@@ -65,7 +65,7 @@
         self.view.leave()
 
     async def run(self) -> None:
-        """Send heartbeats, watch others, pass on updates and probe lost members, for as long as the node runs."""
+        """Send heartbeats, watch members, disseminate updates and probe lost members for as long as the node runs."""
         async with supervision.Group() as group:
             group.create_task(self.exchange.send_heartbeats())
             group.create_task(self.suspicion.watch())
--- a/aspencroft/membership/failure_detector_test.py
+++ b/aspencroft/membership/failure_detector_test.py
@@ -1,4 +1,4 @@
-"""What a node passes on to its neighbours on the ring, and how often it derives anything."""
+"""Tests of what a node sends to its neighbors on the ring, and of its caching of derived data."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 
 
 class Link:
-    """Notes what is sent, and answers nothing."""
+    """Records what is sent, and answers nothing."""
 
     def __init__(self):
         self.sent: list[tuple[str, object]] = []
@@ -31,13 +31,13 @@
 
 
 class Environment:
-    """An environment of which only randomness is used."""
+    """An environment with randomness only."""
 
     randomness = random.Random(1)
 
 
 class ShortPauseLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock makes every pause short."""
+    """An event loop whose clock advances on every read, so that every sleep is short."""
 
     def time(self):
         self.steps = getattr(self, "steps", 0.0) + 1.0
--- a/aspencroft/membership/member_table.py
+++ b/aspencroft/membership/member_table.py
@@ -1,6 +1,6 @@
-"""Dictionaries that count their changes, and the table of members with what is derived from it.
+"""A dictionary that counts its changes, and the member table with data derived from it.
 
-Ring order, watchers and packed entries are each kept until the table changes.
+Ring order, watchers and packed entries are cached until the table changes.
 """
 
 import bisect
@@ -15,46 +15,46 @@
 
 
 class ChangeCountingDict(dict[Key, Value]):
-    """A dictionary that counts its changes, so that what was derived from it can be kept until the next one."""
+    """A dictionary that counts its changes, so that derived data can be cached until the next change."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.changes = 0
+        self.change_count = 0
         self.updated_keys: dict[Key, None] = {}
 
     def __setitem__(self, key: Key, value: Value) -> None:
-        self.changes += 1
+        self.change_count += 1
         self.updated_keys[key] = None
         super().__setitem__(key, value)
 
     def __delitem__(self, key: Key) -> None:
         super().__delitem__(key)
-        self.changes += 1
+        self.change_count += 1
 
     def pop(self, key: Key, *default: typing.Any) -> typing.Any:
         """Remove an entry and return it."""
-        self.changes += 1
+        self.change_count += 1
         return super().pop(key, *default)
 
     def drain_updates(self) -> tuple[Value, ...]:
-        """The entries set since the last call that are still there, ordered by key."""
+        """Return the entries set since the last call that still exist, ordered by key."""
         keys, self.updated_keys = sorted(key for key in self.updated_keys if key in self), {}  # type: ignore[type-var]
         return tuple(self[key] for key in keys)
 
     def popitem(self) -> typing.Any:
-        """Not supported, like each other way to change a dictionary that would go uncounted."""
+        """Not supported, like every other mutation that would not be counted."""
         raise NotImplementedError
 
     clear = setdefault = update = __ior__ = popitem  # type: ignore[assignment]
 
 
 class MemberTable(ChangeCountingDict[str, cluster_member.ClusterMember]):
-    """Members by address; ``layout`` counts the changes that move any node on the ring or in the tree."""
+    """Members by address; ``layout_version`` counts the changes that affect the ring or the dissemination tree."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.layout = 0
-        self.sorted_layout = NEVER_SORTED
+        self.layout_version = 0
+        self.sorted_version = NEVER_SORTED
         self.ring: list[cluster_member.ClusterMember] = []
         self.positions: list[int] = []
         self.watchers_of: dict[str, tuple[str, ...]] = {}
@@ -65,7 +65,7 @@
     def __setitem__(self, address: str, member: cluster_member.ClusterMember) -> None:
         known = self.get(address)
         if known is None or layout_key(known) != layout_key(member):
-            self.layout += 1
+            self.layout_version += 1
         super().__setitem__(address, member)
 
     def __delitem__(self, address: str) -> None:
@@ -78,13 +78,13 @@
         return super().pop(address, *default)
 
     def discard_derived(self, address: str) -> None:
-        """Drop what was derived from an entry that is removed."""
-        self.layout += 1
+        """Discard the data derived from a removed entry."""
+        self.layout_version += 1
         self.packed_entries.pop(address, None)
 
     def sort_ring(self) -> None:
-        """Sort the ring again if any node moved on it since."""
-        if self.sorted_layout == self.layout:
+        """Sort the ring again if the layout changed since the last time."""
+        if self.sorted_version == self.layout_version:
             return
         self.ring = sorted(
             (member for member in self.values() if member.state != cluster_member.DOWN),
@@ -92,15 +92,15 @@
         )
         self.positions = [cluster_member.position(member.address) for member in self.ring]
         self.watchers_of, self.watched_by, self.tree = {}, None, None
-        self.sorted_layout = self.layout
+        self.sorted_version = self.layout_version
 
     def live(self) -> tuple[str, ...]:
-        """Addresses of the members that are not down, in ring order."""
+        """Return the addresses of the members that are not down, in ring order."""
         self.sort_ring()
         return tuple(member.address for member in self.ring)
 
     def watchers(self, address: str, count: int) -> tuple[str, ...]:
-        """The members that watch a node; the same as ``cluster_member.watchers``."""
+        """Return the members that watch a node; the same result as ``cluster_member.watchers``."""
         self.sort_ring()
         if address not in self.watchers_of:
             start = bisect.bisect_left(self.positions, cluster_member.position(address))
@@ -108,25 +108,25 @@
         return self.watchers_of[address]
 
     def watched(self, watcher: str, count: int) -> tuple[str, ...]:
-        """The members that a node watches, in ring order."""
+        """Return the members that a node watches, in ring order."""
         self.sort_ring()
         if self.watched_by is None:
-            found: dict[str, list[str]] = {}
+            watched_by: dict[str, list[str]] = {}
             for member in self.ring:
-                for name in self.watchers(member.address, count):
-                    found.setdefault(name, []).append(member.address)
-            self.watched_by = {name: tuple(addresses) for name, addresses in found.items()}
+                for address in self.watchers(member.address, count):
+                    watched_by.setdefault(address, []).append(member.address)
+            self.watched_by = {address: tuple(addresses) for address, addresses in watched_by.items()}
         return self.watched_by.get(watcher, ())
 
     def tree_order(self) -> tuple[str, ...]:
-        """Live members in the order that spans the dissemination tree: cores first, then by ring position."""
+        """Return the live members in the order that defines the dissemination tree: cores first, then ring order."""
         self.sort_ring()
         if self.tree is None:
             self.tree = tuple(member.address for member in sorted(self.ring, key=lambda member: member.role != "core"))
         return self.tree
 
     def packed(self, address: str) -> bytes:
-        """A member's encoded entry, as in a packed table."""
+        """Return a member's encoded entry, as in a packed table."""
         member = self[address]
         cached = self.packed_entries.get(address)
         if cached is None or cached[0] is not member:
@@ -135,24 +135,24 @@
 
 
 def layout_key(member: cluster_member.ClusterMember) -> tuple[bool, str, str]:
-    """The fields of an entry on which ring, watchers and tree depend."""
+    """Return the fields of an entry on which ring, watchers and tree depend."""
     return member.state == cluster_member.DOWN, member.area, member.role
 
 
 def select_watchers(address: str, ring: list[cluster_member.ClusterMember], start: int, count: int) -> tuple[str, ...]:
-    """The successors on the ring from an index on: those in areas not named yet first, then any."""
-    named: list[str] = []
-    passed_over: list[str] = []
+    """Return the successors on the ring from an index on: first one per area, then any others."""
+    selected: list[str] = []
+    skipped: list[str] = []
     areas: set[str] = set()
     for step in range(len(ring)):
         member = ring[(start + step) % len(ring)]
         if member.address == address:
             continue
         if member.area in areas:
-            passed_over.append(member.address)
+            skipped.append(member.address)
             continue
         areas.add(member.area)
-        named.append(member.address)
-        if len(named) == count:
-            return tuple(named)
-    return tuple((named + passed_over)[:count])
+        selected.append(member.address)
+        if len(selected) == count:
+            return tuple(selected)
+    return tuple((selected + skipped)[:count])
--- a/aspencroft/membership/member_table_test.py
+++ b/aspencroft/membership/member_table_test.py
@@ -1,4 +1,4 @@
-"""What the table of members keeps is what deriving it anew gives."""
+"""Tests that the cached data of the member table equals freshly derived data."""
 
 import dataclasses
 import random
@@ -69,9 +69,9 @@
 def test_a_change_that_moves_nobody_keeps_the_order():
     table = member_table.MemberTable()
     table["n:1"] = entry(1, random.Random(3))
-    before = table.layout
+    before = table.layout_version
     table["n:1"] = dataclasses.replace(table["n:1"], serial=5, http="x:1")
-    assert table.layout == before and table.changes == 2
+    assert table.layout_version == before and table.change_count == 2
 
 
 def test_no_way_to_change_a_table_goes_uncounted():
@@ -79,7 +79,7 @@
     table["a"] = 1
     table["a"] = 2
     del table["a"]
-    assert table.pop("a", None) is None and table.changes >= 3
+    assert table.pop("a", None) is None and table.change_count >= 3
     for change in (table.clear, table.popitem):
         with pytest.raises(NotImplementedError):
             change()
--- a/aspencroft/membership/membership_view.py
+++ b/aspencroft/membership/membership_view.py
@@ -1,4 +1,4 @@
-"""What a node knows of the cluster: members, replica sets and voter set, and how tables of others are merged."""
+"""A node's view of the cluster: members, replica sets and voter set, and the merge of other nodes' tables."""
 
 import asyncio
 import dataclasses
@@ -18,10 +18,11 @@
 
 
 class MembershipView:
-    """The node's own entry, the members and the replica sets that it knows; ``changed`` and ``unsent`` tell of changes.
+    """The node's own entry, and the members and replica sets that it knows.
 
-    ``last_heard`` and ``down_since`` are times of the loop's clock by address; ``suspected`` are the members that this
-    node watches and has missed for long, whether or not another one confirmed it.
+    ``changed`` is set on every change, ``has_unsent_updates`` while changes wait to be disseminated. ``last_heard`` and
+    ``down_since`` are times on the loop's clock by address. ``suspected`` are the watched members that have been silent
+    for longer than the suspicion timeout, whether or not another node confirmed it.
     """
 
     def __init__(self, me: cluster_member.ClusterMember, voter_sets: proposer.Proposer) -> None:
@@ -30,20 +31,20 @@
         self.members = member_table.MemberTable()
         self.members[me.address] = me
         self.records: member_table.ChangeCountingDict[int, replica_set.ReplicaSet] = member_table.ChangeCountingDict()
-        self.digested: tuple[ViewVersion | None, bytes] = (None, b"")
+        self.cached_digest: tuple[ViewVersion | None, bytes] = (None, b"")
         self.last_heard: dict[str, datetime.timedelta] = {}
         self.down_since: dict[str, datetime.timedelta] = {}
         self.suspected: frozenset[str] = frozenset()
         self.changed = asyncio.Event()
-        self.unsent = asyncio.Event()
+        self.has_unsent_updates = asyncio.Event()
         self.counts = {"suspicions": 0, "confirmed": 0, "denials": 0, "tables sent": 0, "odd entries": 0}
 
     def state(self, address: str) -> int:
-        """A node's state; an unknown node counts as down."""
+        """Return a node's state; an unknown node counts as down."""
         return self.members[address].state if address in self.members else cluster_member.DOWN
 
     def table(self) -> cluster_member.MembershipTable:
-        """All that this node knows, ordered by address and group."""
+        """Return everything that this node knows, ordered by address and group."""
         return cluster_member.MembershipTable(
             tuple(self.members[address] for address in sorted(self.members)),
             tuple(self.records[group_id] for group_id in sorted(self.records)),
@@ -51,15 +52,15 @@
         )
 
     def drain_updates(self) -> cluster_member.MembershipTable:
-        """What was set since the last call."""
+        """Return the entries set since the last call."""
         return cluster_member.MembershipTable(
             self.members.drain_updates(), self.records.drain_updates(), self.proposer.voter_set
         )
 
     def digest(self) -> bytes:
-        """A digest of the table: two nodes with equal digests have nothing to exchange."""
+        """Return a digest of the table; two nodes with equal digests have nothing to exchange."""
         version = self.version()
-        if self.digested[0] != version:
+        if self.cached_digest[0] != version:
             parts = [
                 codec.LENGTH.pack(len(self.members)),
                 *(self.members.packed(address) for address in sorted(self.members)),
@@ -67,27 +68,27 @@
                 *(codec.pack(self.records[group_id]) for group_id in sorted(self.records)),
                 codec.pack(self.proposer.voter_set),
             ]
-            self.digested = version, hashlib.blake2b(b"".join(parts), digest_size=8).digest()
-        return self.digested[1]
+            self.cached_digest = version, hashlib.blake2b(b"".join(parts), digest_size=8).digest()
+        return self.cached_digest[1]
 
     def version(self) -> ViewVersion:
-        """Differs once the table differs."""
-        return self.members.changes, self.records.changes, self.proposer.voter_set
+        """Return a version of the table that differs after every change."""
+        return self.members.change_count, self.records.change_count, self.proposer.voter_set
 
     def signal_change(self) -> None:
-        """Wake whoever waits for a change, and have it passed on along the ring."""
+        """Wake the tasks that wait for a change, and schedule its dissemination along the ring."""
         self.changed.set()
-        self.unsent.set()
+        self.has_unsent_updates.set()
 
     def learn_record(self, record: replica_set.ReplicaSet) -> None:
-        """Adopt a newer replica set of a group, and pass it on."""
+        """Adopt a newer replica set of a group, and disseminate it."""
         known = self.records.get(record.group_id)
         if known is None or record.epoch > known.epoch:
             self.records[record.group_id] = record
             self.signal_change()
 
     def merge_table(self, table: cluster_member.MembershipTable) -> None:
-        """Merge another node's table; an entry that calls this node down is refuted."""
+        """Merge another node's table; a newer entry about this node is refuted."""
         before = self.version()
         for member in table.members:
             self.merge_member(member)
@@ -98,7 +99,7 @@
             self.signal_change()
 
     def merge_record(self, record: replica_set.ReplicaSet) -> None:
-        """Merge a group's replica set; one with impossible numbers is dropped and counted."""
+        """Merge a group's replica set; one with an invalid group or epoch is dropped and counted."""
         known = self.records.get(record.group_id)
         if record.group_id < 0 or not 0 < record.epoch < cluster_member.NUMBER_LIMIT:
             self.counts["odd entries"] += 1
@@ -106,7 +107,7 @@
             self.records[record.group_id] = record
 
     def merge_member(self, member: cluster_member.ClusterMember) -> None:
-        """Merge an entry; one that cannot be a node's is dropped and counted."""
+        """Merge a member entry; an invalid one is dropped and counted."""
         if not member.is_valid():
             self.counts["odd entries"] += 1
             return
@@ -125,13 +126,13 @@
         else:
             self.down_since.pop(member.address, None)
             if known is None or known.state == cluster_member.DOWN:
-                # A member that is new here is not suspected before it could send a first heartbeat.
+                # Gives a newly known member time to send its first heartbeat before it can be suspected.
                 self.last_heard[member.address] = clock.now()
         if known is not None:
             log_transition(known, member)
 
     def refute(self, claim: cluster_member.ClusterMember) -> None:
-        """Supersede an entry about this node that is newer than its own: it comes from a suspicion or a past run."""
+        """Supersede a newer entry about this node, which stems from a suspicion or from an earlier run of the node."""
         self.counts["denials"] += 1
         incarnation = claim.incarnation + (claim.incarnation > self.me.incarnation)
         self.me = dataclasses.replace(self.me, incarnation=incarnation, serial=claim.serial + 1)
@@ -141,7 +142,7 @@
             events.EventFields(
                 events.Event.ENTRY_REFUTED,
                 member=self.me.address,
-                reason=f"called {cluster_member.STATES[claim.state]}",
+                reason=f"reported as {cluster_member.STATES[claim.state]}",
             ),
             "{} refutes an entry that calls it {}: incarnation {}, serial {} from now on",
             self.me.address,
@@ -151,17 +152,20 @@
         )
 
     def mark_down(self, member: cluster_member.ClusterMember) -> None:
-        """Record that a member is down, and pass it on."""
+        """Mark a member as down, and disseminate it."""
         self.members[member.address] = dataclasses.replace(member, state=cluster_member.DOWN)
         self.down_since[member.address] = clock.now()
         self.signal_change()
 
-    def restart_silence(self, now: datetime.timedelta) -> None:
-        """Count the silence of all members from now on: this process stood still, which says nothing about others."""
+    def reset_last_heard(self, now: datetime.timedelta) -> None:
+        """Count the silence of all members from ``now`` on, after this process was paused.
+
+        The time for which it could not receive anything tells nothing about other members.
+        """
         self.last_heard = dict.fromkeys(self.last_heard, now)
 
     def forget_down_before(self, end: datetime.timedelta) -> None:
-        """Remove the members that are down since before a time."""
+        """Remove the members that have been down since before ``end``."""
         for address in [address for address, since in self.down_since.items() if since < end]:
             del self.down_since[address]
             self.members.pop(address, None)
@@ -174,7 +178,7 @@
 
 
 def log_transition(known: cluster_member.ClusterMember, member: cluster_member.ClusterMember) -> None:
-    """Log a change of a member's state or incarnation that another node reported."""
+    """Log a change of a member's state or incarnation as reported by another node."""
     if member.state == cluster_member.DOWN:
         if known.state != cluster_member.DOWN:
             events.report(
@@ -192,7 +196,7 @@
             events.EventFields(
                 events.Event.MEMBER_BACK,
                 member=member.address,
-                reason="restarted" if known.incarnation != member.incarnation else "it was called down",
+                reason="restarted" if known.incarnation != member.incarnation else "it was reported down",
             ),
             "member {} is back: was {} in incarnation {}, is {} in incarnation {}",
             member.address,
--- a/aspencroft/membership/seeds_test.py
+++ b/aspencroft/membership/seeds_test.py
@@ -1,4 +1,4 @@
-"""Joining by seeds: at a first start in any order, and later by machines that were no seeds at first."""
+"""Tests of joining through seeds: a first start in any order, and later seeds that differ from the first ones."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 async def start_all(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Start every node at a moment of its own within 0.3 s, in any order."""
+    """Start all nodes in random order, spread over 0.3 s."""
     names = cluster.names()
     cluster.chance.shuffle(names)
     for name in names:
@@ -20,7 +20,7 @@
 
 
 async def all_know_all(cluster: simulated_cluster.SimulatedCluster, within: float) -> float:
-    """Wait until all groups are served and each node knows each other one; how long that took."""
+    """Wait until all groups are served and all nodes know each other; return how long that took."""
     count = len(cluster.names())
     return await cluster.until(
         lambda: (
--- a/aspencroft/membership/standstill_test.py
+++ b/aspencroft/membership/standstill_test.py
@@ -1,4 +1,4 @@
-"""What a node takes for a standstill of its own process: its frozen time, and no time spent waiting for others."""
+"""Tests that a node detects a pause of its own process, and does not take time spent waiting for others for a pause."""
 
 import asyncio
 
@@ -8,20 +8,20 @@
 
 SIZE = simulated_cluster.Size(4, 3, 5, apart=True)
 SETTINGS = {"witnesses": "core", "confirm": clock.seconds(0.25), "currency": clock.seconds(12)}
-CALM_S = 5.0
-FROZEN_S = 10.0
-LOOK_S = 0.05
+SETTLE_SECONDS = 5.0
+FROZEN_SECONDS = 10.0
+CHECK_SECONDS = 0.05
 
 
 def play(scenario) -> None:
-    """Run a scenario on a cluster that is formed and calm."""
+    """Run a scenario on a cluster that is formed and stable."""
 
-    async def whole(cluster: simulated_cluster.SimulatedCluster) -> None:
+    async def form_and_run(cluster: simulated_cluster.SimulatedCluster) -> None:
         await cluster.until(cluster.formed, 30, "formed")
-        await asyncio.sleep(CALM_S)
+        await asyncio.sleep(SETTLE_SECONDS)
         await scenario(cluster)
 
-    simulated_cluster.play(11, whole, SIZE, weather=wire.Weather(jitter=0.002), more=SETTINGS)
+    simulated_cluster.play(11, form_and_run, SIZE, weather=wire.Weather(jitter=0.002), more=SETTINGS)
 
 
 def detector_of(cluster: simulated_cluster.SimulatedCluster, name: str) -> failure_detector.FailureDetector:
@@ -29,15 +29,15 @@
 
 
 async def suspected_after_thaw(cluster: simulated_cluster.SimulatedCluster, name: str) -> set[str]:
-    """Freeze a node and let it go on; all that it suspects in the seconds after that."""
+    """Freeze a node for a while and return all members that it suspects in the seconds after that."""
     cluster.loop.freeze(name)
-    await asyncio.sleep(FROZEN_S)
+    await asyncio.sleep(FROZEN_SECONDS)
     cluster.loop.thaw(name)
-    found: set[str] = set()
-    for _ in range(round(4 * suspicion.SUSPICION_TIMEOUT.total_seconds() / LOOK_S)):
-        await asyncio.sleep(LOOK_S)
-        found |= detector_of(cluster, name).view.suspected
-    return found
+    suspected: set[str] = set()
+    for _ in range(round(4 * suspicion.SUSPICION_TIMEOUT.total_seconds() / CHECK_SECONDS)):
+        await asyncio.sleep(CHECK_SECONDS)
+        suspected |= detector_of(cluster, name).view.suspected
+    return suspected
 
 
 def test_a_node_that_was_frozen_suspects_nobody_when_it_goes_on():
@@ -51,17 +51,17 @@
 
 
 def test_a_node_that_was_frozen_while_it_asked_about_a_member_suspects_no_other_when_it_goes_on():
-    async def freeze_one_that_asks(cluster: simulated_cluster.SimulatedCluster) -> None:
+    async def freeze_while_asking(cluster: simulated_cluster.SimulatedCluster) -> None:
         edge = cluster.edges[0]
         view = detector_of(cluster, edge).view
-        victim = detector_of(cluster, edge).exchange.watched()[0]
-        cluster.power_off(victim.split(":")[0])
-        await cluster.until(lambda: victim in view.suspected, 5, "suspected")
-        assert view.state(victim) == cluster_member.LIVE
-        assert await suspected_after_thaw(cluster, edge) <= {victim}
-        assert view.state(victim) == cluster_member.DOWN
-
-    play(freeze_one_that_asks)
+        silent = detector_of(cluster, edge).exchange.watched()[0]
+        cluster.power_off(silent.split(":")[0])
+        await cluster.until(lambda: silent in view.suspected, 5, "suspected")
+        assert view.state(silent) == cluster_member.LIVE
+        assert await suspected_after_thaw(cluster, edge) <= {silent}
+        assert view.state(silent) == cluster_member.DOWN
+
+    play(freeze_while_asking)
 
 
 def test_a_node_that_waits_for_an_answer_about_one_member_still_notices_that_another_falls_silent():
--- a/aspencroft/membership/suspicion.py
+++ b/aspencroft/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion: a silent member is down only once a probe fails and a second watcher misses it too."""
+"""Suspicion: a silent member is marked down only if a probe fails and a second watcher does not hear from it either."""
 
 import asyncio
 import dataclasses
@@ -15,21 +15,21 @@
 
 LOG = logbook.Logger("membership.suspicion")
 SUSPICION_TIMEOUT = clock.seconds(2)
-"""Silence after which a watched member is suspected: four heartbeats missed."""
+"""Silence after which a watched member is suspected: four missed heartbeats."""
 SECOND_WATCHER_TIMEOUT = clock.seconds(1.2)
-"""Silence for which a second watcher denies a suspicion without a probe: it may have heard a later heartbeat."""
+"""Below this silence a second watcher denies a suspicion without a probe: it may have received a later heartbeat."""
 CHECK_INTERVAL = table_exchange.HEARTBEAT_INTERVAL / 2
-STANDSTILL_AFTER = SUSPICION_TIMEOUT / 2
-"""A sleep of ``CHECK_INTERVAL`` that took longer than this shows that the process stood still."""
+PAUSE_THRESHOLD = SUSPICION_TIMEOUT / 2
+"""A sleep of ``CHECK_INTERVAL`` that takes longer than this means that the process was paused."""
 FURTHER_WATCHERS = 3
-"""Members asked beside the watchers on the ring, as those may have gone at the same time."""
+"""Number of members to ask besides the watchers on the ring, as those may have failed at the same time."""
 ANSWER_TIMEOUT = 2 * table_exchange.PROBE_TIMEOUT
-"""Longest wait for another member's answer about a suspicion: it probes the suspected member itself."""
+"""Time limit for another member's reply about a suspicion; it probes the suspected member itself first."""
 FORGET_DOWN_AFTER = clock.seconds(300)
 
 
 class Verdict(enum.Enum):
-    """What became of a suspicion."""
+    """The result of a suspicion."""
 
     CONFIRMED = "confirmed"
     DENIED = "denied"
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """The verdict on a suspicion; ``reason`` is who confirmed it, else why it is denied or not confirmed."""
+    """The verdict on a suspicion; ``reason`` is who confirmed it, or why it is denied or not confirmed."""
 
     verdict: Verdict
     reason: str
@@ -47,8 +47,8 @@
 class SuspicionMonitor:
     """Watches the members that the ring assigns to this node, and confirms suspicions of other watchers.
 
-    A watched member is suspected once it was silent for ``SUSPICION_TIMEOUT``. It is probed; if it does not answer,
-    other members are asked whether they miss it too, and the first answer decides whether it is marked down.
+    A watched member is suspected after ``SUSPICION_TIMEOUT`` of silence. It is then probed. If it does not answer,
+    other members are asked whether they hear from it, and the first answer decides whether it is marked down.
     """
 
     def __init__(
@@ -64,17 +64,17 @@
         self.randomness = randomness
 
     async def answer_confirm_suspicion(self, message: cluster_member.ConfirmSuspicion) -> cluster_member.SuspicionReply:
-        """Answer as second watcher whether a member is missed here too."""
+        """Answer, as second watcher, whether this node does not hear from a member either."""
         last_heard = self.view.last_heard.get(message.address)
         if last_heard is not None and clock.now() - last_heard < SECOND_WATCHER_TIMEOUT:
             return cluster_member.SuspicionReply(False)
         return cluster_member.SuspicionReply(not await self.exchange.probe(message.address))
 
     async def watch(self) -> None:
-        """Look for silent members at each interval, and forget those that are down for long.
+        """Check for silent members in each interval, and remove those that have been down for a long time.
 
-        Each suspicion is confirmed in a task of its own: the loop waits for nothing but its own sleep, so a sleep that
-        ends late shows a standstill of this process, and a member that falls silent meanwhile is noticed in time.
+        Each suspicion is confirmed in its own task, so the loop waits for nothing but its own sleep: a sleep that ends
+        late means that this process was paused, and a member that falls silent meanwhile is noticed in time.
         """
         confirmations: dict[str, asyncio.Task[None]] = {}
         async with supervision.Group() as group:
@@ -82,8 +82,8 @@
                 slept_at = clock.now()
                 await clock.sleep(CHECK_INTERVAL)
                 now = clock.now()
-                if now - slept_at > STANDSTILL_AFTER:
-                    self.view.restart_silence(now)
+                if now - slept_at > PAUSE_THRESHOLD:
+                    self.view.reset_last_heard(now)
                 self.view.forget_down_before(now - FORGET_DOWN_AFTER)
                 silent = self.silent_members(now)
                 self.view.suspected = frozenset(silent)
@@ -93,7 +93,7 @@
                         confirmations[address] = group.create_task(self.suspect(address))
 
     def silent_members(self, now: datetime.timedelta) -> list[str]:
-        """The watched members that were not heard for longer than the suspicion timeout, in ring order."""
+        """Return the watched members that have been silent for longer than the suspicion timeout, in ring order."""
         last_heard = self.view.last_heard
         return [
             address
@@ -102,7 +102,7 @@
         ]
 
     async def suspect(self, address: str) -> None:
-        """Find out whether a silent member is gone; mark it down if another member misses it too."""
+        """Check whether a silent member has failed; mark it down if the suspicion is confirmed."""
         suspected = self.view.members[address]
         self.view.counts["suspicions"] += 1
         report_suspected(suspected)
@@ -112,23 +112,23 @@
         elif outcome.verdict is Verdict.UNCONFIRMED:
             report_unconfirmed(suspected, outcome.reason)
         elif self.view.members.get(address) == suspected:
-            # The entry may have changed during the requests; only the one that was suspected is marked down.
+            # The entry may have changed during the requests; only the entry that was suspected is marked down.
             self.view.counts["confirmed"] += 1
             report_down(suspected, outcome.reason)
             self.view.mark_down(suspected)
 
     async def investigate(self, suspected: cluster_member.ClusterMember) -> Outcome:
-        """Probe a silent member, then ask others about it; the first answer decides.
+        """Probe a silent member, then ask other members about it; the first answer decides.
 
-        A node that no other member answers is as likely cut off itself, so it confirms nothing. Only where no other
-        member is there to be asked it decides alone.
+        If no other member answers, this node itself may be cut off, so nothing is confirmed. It decides alone only if
+        the cluster has no other member to ask.
         """
         if await self.exchange.probe(suspected.address):
             return Outcome(Verdict.DENIED, "it answers a probe")
         watchers = self.other_watchers(suspected.address)
         further = self.further_members(suspected.address, watchers)
         if not watchers and not further:
-            return Outcome(Verdict.CONFIRMED, "nobody else, as this cluster has no other member")
+            return Outcome(Verdict.CONFIRMED, "this node alone, as the cluster has no other member")
         for watcher in watchers:
             outcome = await self.ask(watcher, suspected)
             if outcome is not None:
@@ -139,18 +139,18 @@
         return Outcome(Verdict.UNCONFIRMED, "no other member answers, this node may be cut off")
 
     def other_watchers(self, address: str) -> list[str]:
-        """The other members that watch a member, in ring order."""
+        """Return the other members that watch a member, in ring order."""
         watchers = self.view.members.watchers(address, table_exchange.WATCHERS)
         return [watcher for watcher in watchers if watcher != self.view.me.address]
 
     def further_members(self, address: str, watchers: list[str]) -> list[str]:
-        """Some of the live members that are neither this node, nor the member itself, nor its watchers."""
+        """Return a random sample of live members other than this node, the member itself and its watchers."""
         excluded = (address, self.view.me.address, *watchers)
         others = [other for other in self.view.members.live() if other not in excluded]
         return self.randomness.sample(others, min(FURTHER_WATCHERS, len(others)))
 
     async def ask(self, watcher: str, suspected: cluster_member.ClusterMember) -> Outcome | None:
-        """What another member says of a suspicion; None if it does not answer."""
+        """Return another member's outcome of a suspicion, or None if it does not answer."""
         message = cluster_member.ConfirmSuspicion(suspected.address, suspected.incarnation)
         try:
             reply = await self.link.request(watcher, message, ANSWER_TIMEOUT)
@@ -162,7 +162,7 @@
 
 
 def report_suspected(member: cluster_member.ClusterMember) -> None:
-    """Log that a member is silent."""
+    """Log that a member is suspected."""
     events.report(
         LOG,
         events.EventFields(events.Event.MEMBER_SUSPECTED, member=member.address, reason="no heartbeat"),
@@ -174,7 +174,7 @@
 
 
 def report_denied(member: cluster_member.ClusterMember, reason: str) -> None:
-    """Log that a suspected member lives."""
+    """Log that a suspected member is alive."""
     events.report(
         LOG,
         events.EventFields(events.Event.SUSPICION_DENIED, member=member.address, reason=reason),
@@ -185,7 +185,7 @@
 
 
 def report_unconfirmed(member: cluster_member.ClusterMember, reason: str) -> None:
-    """Log that nobody could say whether a suspected member lives."""
+    """Log that no member could confirm or deny a suspicion."""
     events.report(
         LOG,
         events.EventFields(events.Event.SUSPICION_UNCONFIRMED, member=member.address, reason=reason),
--- a/aspencroft/membership/suspicion_test.py
+++ b/aspencroft/membership/suspicion_test.py
@@ -9,7 +9,7 @@
 
 
 class AnsweringLink:
-    """A link on which the named members answer whether they miss a suspected one; nobody else answers."""
+    """A link on which the given members answer whether they miss a suspected member; no other member answers."""
 
     def __init__(self, answers: dict[str, bool]):
         self.answers = answers
@@ -30,7 +30,7 @@
 
 
 def suspect(detector: failure_detector.FailureDetector, address: str) -> int:
-    """Have a member suspected; its state afterwards."""
+    """Suspect a member and return its state afterwards."""
     asyncio.run(detector.suspicion.suspect(address))
     return detector.state(address)
 
--- a/aspencroft/membership/table_exchange.py
+++ b/aspencroft/membership/table_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of membership tables: heartbeats with digests, updates along the ring, rejoining lost members."""
+"""Exchange of membership tables: heartbeats with digests, dissemination along the ring, and rejoining after loss."""
 
 import asyncio
 
@@ -8,14 +8,14 @@
 from aspencroft.runtime import clock, environment, supervision
 from aspencroft.transport import connections
 
-WATCHERS = 3  # a member stays watched with two of them lost
+WATCHERS = 3  # a member is still watched after the loss of two watchers
 HEARTBEAT_INTERVAL = clock.seconds(0.5)
 PROBE_TIMEOUT = clock.seconds(0.7)
 REJOIN_INTERVAL = clock.seconds(1)
 
 
 class TableExchange:
-    """Sends and answers heartbeats and tables, so that all views become equal."""
+    """Sends and answers heartbeats and tables, so that the views of all nodes converge."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
     async def answer_heartbeat(
         self, message: cluster_member.Heartbeat
     ) -> cluster_member.MembershipTable | replica_set.Acknowledged:
-        """Note a heartbeat; answer with the table if the sender's differs."""
+        """Record a heartbeat; reply with this node's table if the sender's differs."""
         view, sender = self.view, message.sender
         view.last_heard[sender.address] = clock.now()
         known = view.members.get(sender.address)
@@ -43,12 +43,12 @@
         return view.table() if message.digest != view.digest() else replica_set.Acknowledged()
 
     def answer_join(self, message: cluster_member.Join) -> cluster_member.MembershipTable:
-        """Merge a table and answer with this node's."""
+        """Merge a table and reply with this node's table."""
         self.view.merge_table(message.table)
         return self.view.table()
 
     async def probe(self, address: str) -> bool:
-        """Exchange tables with a node; whether it answers within ``PROBE_TIMEOUT``."""
+        """Exchange tables with a node; return whether it answered within ``PROBE_TIMEOUT``."""
         try:
             reply = await self.link.request(address, cluster_member.Join(self.view.table()), PROBE_TIMEOUT)
             self.view.merge_table(reply)
@@ -58,7 +58,7 @@
             return False
 
     async def send_heartbeats(self) -> None:
-        """Send a heartbeat to each watcher of this node, each interval."""
+        """Send a heartbeat to each watcher of this node in every interval."""
         while True:
             watchers = self.view.members.watchers(self.view.me.address, WATCHERS)
             async with supervision.Group() as group:
@@ -67,7 +67,7 @@
                 group.create_task(clock.sleep(HEARTBEAT_INTERVAL))
 
     async def send_heartbeat(self, address: str) -> None:
-        """Send a heartbeat to a watcher; if the tables differ, both end with the merged one."""
+        """Send a heartbeat to a watcher; if the tables differ, both nodes merge them."""
         view = self.view
         try:
             reply = await self.link.request(
@@ -82,27 +82,27 @@
                 self.link.notify(address, cluster_member.Join(view.table()))
 
     def watched(self) -> tuple[str, ...]:
-        """The members that this node watches."""
+        """Return the members that this node watches."""
         return self.view.members.watched(self.view.me.address, WATCHERS)
 
     async def disseminate(self) -> None:
-        """Send at once to the neighbours on the ring what changed here since the last time.
+        """Send new changes to the neighbors on the ring without delay.
 
-        What is lost on the way is found by the digests of later heartbeats.
+        Updates that are lost on the way are detected by the digests of later heartbeats.
         """
         while True:
-            await self.view.unsent.wait()
-            # Cleared before the updates are drained: a change during the sends below wakes the loop again.
-            self.view.unsent.clear()
-            neighbours = {*self.view.members.watchers(self.view.me.address, WATCHERS), *self.watched()}
+            await self.view.has_unsent_updates.wait()
+            # Cleared before the updates are drained, so that a change during the sends below wakes the loop again.
+            self.view.has_unsent_updates.clear()
+            neighbors = {*self.view.members.watchers(self.view.me.address, WATCHERS), *self.watched()}
             updates = cluster_member.Join(self.view.drain_updates())
-            for address in sorted(neighbours):
+            for address in sorted(neighbors):
                 self.view.counts["tables sent"] += 1
                 self.link.notify(address, updates)
             await clock.sleep(HEARTBEAT_INTERVAL / 10)
 
     async def rejoin(self) -> None:
-        """Probe seeds, voters and members that are down, so that sides of a partition find each other again."""
+        """Probe seeds, voters and members that are down, so that both sides of a partition find each other again."""
         view = self.view
         while True:
             lost = [
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1251,7 +1251,7 @@
     Mutation(
         "a process that stood still counts the silence of others",
         "membership/suspicion.py",
-        "if now - slept_at > STANDSTILL_AFTER:\n",
+        "if now - slept_at > PAUSE_THRESHOLD:\n",
         "if False:\n",
         ("membership/standstill_test.py",),
     ),
