--- a/aspencroft/distribution/__init__.py
+++ b/aspencroft/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""The dissemination tree and the lease on the configuration."""
+"""Configuration distribution: the dissemination tree and the lease on the configuration."""
--- a/aspencroft/distribution/configuration_lease.py
+++ b/aspencroft/distribution/configuration_lease.py
@@ -1,4 +1,4 @@
-"""Leases on the currency of the configuration: a node's own, and those that the root has granted."""
+"""Leases on the configuration: a node's own lease, and those that the root has granted."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class ConfigurationLease:
-    """Until when this node may act on its configuration, and which nodes below it the root has counted."""
+    """A node's lease on its configuration, and the nodes below it that the root has counted."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -24,7 +24,7 @@
         self.is_valid_logged = False
 
     def extend(self, end: datetime.timedelta) -> None:
-        """Extend the lease; an earlier end than the present one changes nothing."""
+        """Extend the lease; an end before the present one has no effect."""
         self.end = max(self.end, end)
 
     def set_counted(self, addresses: tuple[str, ...]) -> None:
@@ -33,7 +33,7 @@
         self.counted_digest = subtree_state.addresses_digest(tuple(sorted(addresses)))
 
     def log_transition(self, is_valid: bool, revision: control_state.Revision, root_age: datetime.timedelta) -> None:
-        """Log the lease as lost or gained, once for each time."""
+        """Log the loss or gain of the lease, once per transition."""
         if is_valid == self.is_valid_logged:
             return
         self.is_valid_logged = is_valid
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Grant:
-    """What the root knows of a node: until when it may act on a configuration, and which one it confirmed."""
+    """A lease that the root granted to a node: its end, and the revision that the node has confirmed."""
 
     end: datetime.timedelta
     revision: control_state.Revision
@@ -74,21 +74,21 @@
         self.confirmed = asyncio.Event()
 
     def reset(self, currency: datetime.timedelta) -> None:
-        """Begin as a new root: grants of the one before are unknown, so one counts as running for everybody."""
+        """Start as a new root; the previous root's grants are unknown, so every node is assumed to hold a lease."""
         self.grants = {}
         self.unknown_grants_end = clock.now() + currency
 
     def grant(self, nodes: dict[str, control_state.Revision], end: datetime.timedelta) -> None:
-        """Grant a lease to each node of a subtree, with the revision that it confirmed."""
+        """Grant a lease to each node of a subtree and record the revision that it confirmed."""
         for address, revision in nodes.items():
             self.grants[address] = Grant(end, revision)
         self.confirmed.set()
 
     async def wait_until_applied(self, revision: control_state.Revision) -> None:
-        """Wait until each node with a lease has confirmed a revision or its lease has expired."""
+        """Wait until each node with a lease has confirmed a revision, or its lease has expired."""
         snapshot = dict(self.grants)
         while True:
-            # Cleared before the grants are read: a confirmation after that ends the wait below.
+            # Cleared before the grants are read, so that a later confirmation ends the wait below.
             self.confirmed.clear()
             now = clock.now()
             behind = [
--- a/aspencroft/distribution/configuration_state.py
+++ b/aspencroft/distribution/configuration_state.py
@@ -1,4 +1,4 @@
-"""The configuration and the other topics that a node holds, and what brings another node up to date."""
+"""The configuration and the other topics that a node holds, and the updates that bring another node up to date."""
 
 import asyncio
 import json
@@ -11,16 +11,16 @@
 from aspencroft.errors import result
 
 LOG = logbook.Logger("distribution.configuration_state")
-PATCHES_KEPT = 64  # a child that is further behind gets the complete configuration
+PATCHES_KEPT = 64  # a child that is further behind receives the complete configuration
 PATCH_BYTES_PER_MESSAGE = 256 << 10
 
 Document = dict[str, typing.Any]
 
 
 class ConfigurationState:
-    """The configuration under its revision, the patches that led to it, and the newest update of each other topic.
+    """The configuration with its revision, the patches that led to it, and the newest update of every other topic.
 
-    ``counts`` is where "news" and "whole plans" are counted.
+    ``counts`` holds the counters "news" (applied updates) and "whole plans" (complete configurations).
     """
 
     def __init__(self, address: str, counts: dict[str, int]) -> None:
@@ -36,7 +36,10 @@
         self.changes: dict[str, asyncio.Event] = {}
 
     def apply(self, update: updates.Update) -> bool:
-        """Apply a topic's newer state; whether it was applied. A patch upon another base than the one held is not."""
+        """Apply a newer state of a topic and return whether it was applied.
+
+        A patch is not applied if its base is not the revision held here.
+        """
         held = self.topics.get(update.topic)
         known = self.revision if update.topic == updates.PLAN else held.revision if held else control_state.NEVER
         if not known < update.revision:
@@ -62,7 +65,7 @@
         return True
 
     def apply_configuration(self, update: updates.Update) -> None:
-        """Apply a complete configuration, or a patch upon the one held."""
+        """Apply a complete configuration, or a patch to the one held."""
         content = json.loads(update.body)
         if update.base is not None:
             patch = content.get("plan", {})
@@ -85,7 +88,10 @@
         )
 
     def update_to(self, read: control_state.ResourcesRead) -> updates.Update | None:
-        """The update that leads from the configuration held to what the control group holds; None if it gave none."""
+        """Return the update from the configuration held here to the one read from the control group.
+
+        Return None if nothing was read.
+        """
         if not read.document:
             return None
         if self.revision == control_state.NEVER:
@@ -103,14 +109,14 @@
         await self.changes.setdefault(topic, asyncio.Event()).wait()
 
     def content(self) -> Document:
-        """The complete configuration as it is given to others."""
+        """Return the complete configuration as it is sent to other nodes."""
         return {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}
 
     def pending_updates(self, known: control_state.Revision) -> tuple[updates.Update, ...]:
-        """What brings a node from the revision it knows to the one held: consecutive patches, or the complete one.
+        """Return the updates from a known revision to the one held: consecutive patches or the complete configuration.
 
-        As many patches as one message may have. A complete configuration that is too large for one message is only
-        named, and fetched in chunks.
+        At most as many patches as fit into one message are returned. A complete configuration that is too large for one
+        message is returned without a body; the node then fetches it in chunks.
         """
         if not known < self.revision:
             return ()
@@ -129,12 +135,12 @@
         return tuple(patches)
 
     def next_chunk(self, message: updates.FetchConfiguration) -> updates.ConfigurationChunk:
-        """The next chunk of a complete configuration.
+        """Return the next chunk of a complete configuration.
 
         Raises:
             result.RequestError: NO_CLAIM, while no configuration is held.
 
         """
         if self.revision == control_state.NEVER:
-            raise result.RequestError(result.ResultCode.NO_CLAIM, detail="no plan is held here yet")
+            raise result.RequestError(result.ResultCode.NO_CLAIM, detail="no configuration is held here yet")
         return self.complete.chunk(message, self.revision, self.content())
--- a/aspencroft/distribution/configuration_transfer.py
+++ b/aspencroft/distribution/configuration_transfer.py
@@ -1,4 +1,4 @@
-"""A complete configuration in bounded chunks, for a node that is further behind than the patches its parent keeps."""
+"""Transfer of a complete configuration in bounded chunks, for a node too far behind for its parent's patches."""
 
 import dataclasses
 import datetime
@@ -14,7 +14,7 @@
 
 LOG = logbook.Logger("distribution.configuration_transfer")
 CHUNK_BYTES = 128 << 10
-KEEP_UNUSED_FOR = clock.seconds(5)  # a child whose fetch failed comes back to it by then
+KEEP_UNUSED_FOR = clock.seconds(5)  # a child whose fetch failed resumes it within this time
 NO_DIGEST = b""
 
 Document = dict[str, typing.Any]
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass
 class EncodedConfiguration:
-    """An encoded configuration and when a chunk of it was last asked for."""
+    """An encoded configuration, and the time of the last request for one of its chunks."""
 
     revision: control_state.Revision
     digest: bytes
@@ -31,18 +31,18 @@
 
 
 def body_digest(body: bytes) -> bytes:
-    """What names an encoded configuration."""
+    """Return the digest that identifies an encoded configuration."""
     return hashlib.blake2b(body, digest_size=16).digest()
 
 
 class CompleteConfigurations:
-    """The parent's side: encoded configurations, each kept for as long as a child fetches it."""
+    """The parent's side: encoded configurations, each kept while a child fetches it."""
 
     def __init__(self) -> None:
         self.encoded: dict[bytes, EncodedConfiguration] = {}
 
     def newest(self, revision: control_state.Revision, content: Document) -> EncodedConfiguration:
-        """The configuration of a revision, encoded once."""
+        """Return the encoded configuration of a revision; it is encoded only once."""
         now = clock.now()
         for configuration in self.encoded.values():
             if configuration.revision == revision:
@@ -61,7 +61,7 @@
     def chunk(
         self, message: updates.FetchConfiguration, revision: control_state.Revision, content: Document
     ) -> updates.ConfigurationChunk:
-        """The next chunk of what a child fetches; the first of the newest configuration if that is not kept."""
+        """Return the next chunk for a child; if its configuration is not kept any more, the first of the newest one."""
         encoded, offset = self.encoded.get(message.digest), message.offset
         if encoded is None or offset > len(encoded.body):
             encoded, offset = self.newest(revision, content), 0
@@ -71,18 +71,18 @@
 
 
 class PartialConfiguration:
-    """The child's side: the chunks received so far; kept when the parent fails, for the next attempt."""
+    """The child's side: the chunks received so far; they are kept for the next attempt if the parent fails."""
 
     def __init__(self) -> None:
         self.digest = NO_DIGEST
         self.body = bytearray()
 
     def next_request(self) -> updates.FetchConfiguration:
-        """The request for the next chunk."""
+        """Return the request for the next chunk."""
         return updates.FetchConfiguration(self.digest, len(self.body))
 
     def add(self, chunk: updates.ConfigurationChunk) -> updates.Update | None:
-        """Add a chunk; the configuration once it is complete, None before."""
+        """Add a chunk; return the configuration if it is complete now, or None."""
         if chunk.digest != self.digest:
             self.digest, self.body = chunk.digest, bytearray()
         if chunk.offset == len(self.body):
--- a/aspencroft/distribution/parent_selection.py
+++ b/aspencroft/distribution/parent_selection.py
@@ -1,4 +1,4 @@
-"""Which node a relay pulls from: the shape of the dissemination tree, and the parents that are avoided for a while."""
+"""Selection of the node that a relay pulls from: the shape of the dissemination tree, and parents to avoid."""
 
 import datetime
 
@@ -6,11 +6,11 @@
 from aspencroft.runtime import clock
 
 CHILDREN_PER_RELAY = 4
-SPARE_PARENTS = 9  # the first nodes of the tree order, cores as long as there are enough
+SPARE_PARENTS = 9  # the first nodes in tree order; all of them are cores if there are enough cores
 
 
 def parent_of(address: str, root: str, order: tuple[str, ...]) -> str:
-    """A node's parent in the tree that the members' order spans from the root.
+    """Return a node's parent in the tree that is built breadth-first from the root and the members in tree order.
 
     Example: ``parent_of("b", "a", ("a", "b", "c")) == "a"``
     """
@@ -21,7 +21,7 @@
 
 
 def depth_of(address: str, root: str, order: tuple[str, ...]) -> int:
-    """How many relays a node is below the root; one for a node that the order does not name.
+    """Return the depth of a node below the root; 1 for a node that is not in the tree order.
 
     Example: ``depth_of("b", "a", ("a", "b", "c")) == 1``
     """
@@ -37,7 +37,7 @@
 
 
 class ParentSelection:
-    """The parent of a node, with those that it avoids; ``parent_depth`` is that of the parent selected last."""
+    """Selects a node's parent and avoids failed ones; ``parent_depth`` is the depth of the last selected parent."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -46,10 +46,10 @@
         self.parent_depth = 0
 
     def select(self, root: str, order: tuple[str, ...]) -> str:
-        """The parent at this moment.
+        """Return the parent to pull from now.
 
-        While the parent in the tree is avoided, the root itself is asked, and while that is avoided too, another core:
-        a node that reaches the root is never more than one failed parent away from it.
+        While the parent in the tree is avoided, the root itself is selected, and while that is avoided too, another
+        core. A node that can reach the root thus finds it after at most one failed parent.
         """
         if root != self.followed_root:
             self.followed_root = root
@@ -62,10 +62,11 @@
         return parent
 
     def avoid(self, parent: str, *, is_reachable: bool = False) -> bool:
-        """Select others than this parent for a while; whether it was not avoided before.
+        """Avoid a parent for a while; return whether it was not avoided before.
 
-        A root that answers is asked again after one pull: a new one says that it heard of no root until it has read
-        what those before it acknowledged, and the parents left meanwhile may be silent ones that cost a time-out each.
+        A root that answers is avoided only for one pull interval: a new root reports that it has not heard of a root
+        until it has read what earlier roots acknowledged, and the other parents tried meanwhile may be silent and cost
+        one time-out each.
         """
         now = clock.now()
         is_new = self.avoided_until.get(parent, clock.ZERO) <= now
@@ -74,8 +75,8 @@
         return is_new
 
     def is_stale(self, root_age: datetime.timedelta, currency: datetime.timedelta) -> bool:
-        """Whether a parent that heard of the root so long ago is to be avoided.
+        """Return whether a parent heard of the root too long ago and has to be avoided.
 
-        Each relay above it may put it behind by one pull.
+        Each relay above the parent may add a delay of one pull.
         """
         return root_age > min(timing.STALE_PARENT_AFTER + timing.PULL_INTERVAL * self.parent_depth, currency / 2)
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -1,4 +1,4 @@
-"""A node of the dissemination tree: pulls updates and its lease from the parent, answers its children's pulls."""
+"""A node of the dissemination tree: pulls updates and its lease from its parent, and answers its children's pulls."""
 
 import asyncio
 import datetime
@@ -26,10 +26,10 @@
 
 
 class Relay:
-    """A node's part in the tree; ``currency`` is the length of a lease, ``root_heard`` when the root was heard of last.
+    """A node of the tree; ``currency`` is the length of a lease, ``root_heard`` the time the root was last heard of.
 
-    ``acknowledged`` is the parent that stored this node's subtree last, and that subtree: the next pull from it names
-    only what differs.
+    ``acknowledged`` is the parent that stored this node's subtree last, with that subtree: the next pull from that
+    parent lists only the differences.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         self.grants = configuration_lease.LeaseGrants(self.address)
         self.acknowledged: tuple[str, subtree_state.Subtree] = ("", self.subtree.complete)
         self.root_heard: datetime.timedelta | None = None
-        self.is_rootless_logged = False
+        self.is_missing_root_logged = False
         self.root = False
         self.pull_soon = asyncio.Event()
 
-    # -- state as others read it ------------------------------------------------------------------
+    # -- state for readers -------------------------------------------------------------------------
 
     @property
     def configuration(self) -> resources.Configuration:
@@ -83,7 +83,7 @@
 
     @property
     def topics(self) -> dict[str, updates.Update]:
-        """The newest update of each topic but the configuration."""
+        """The newest update of each topic except the configuration."""
         return self.state.topics
 
     @property
@@ -97,18 +97,18 @@
         return self.lease.end
 
     def current(self) -> bool:
-        """Whether this node holds a configuration with a lease at this moment."""
+        """Return whether this node holds a configuration and a lease on it now."""
         return clock.now() < self.lease.end and self.state.revision != control_state.NEVER
 
     def parent(self) -> str | None:
-        """The parent at this moment; none for the root, or while none is known."""
+        """Return the parent to pull from now; None for the root, or while no root is known."""
         control_group = self.failure_detector.records.get(CONTROL_GROUP)
         if control_group is None or control_group.primary.address == self.address:
             return None
         return self.parents.select(control_group.primary.address, self.failure_detector.peers.tree_order())
 
     def root_age(self) -> datetime.timedelta:
-        """How long ago the root was last heard of, by way of the relays between; ``NEVER_HEARD`` before the first."""
+        """Return how long ago the root was last heard of through the relays above; ``NEVER_HEARD`` if it never was."""
         return timing.NEVER_HEARD if self.root_heard is None else clock.now() - self.root_heard
 
     async def wait_for_change(self, topic: str) -> None:
@@ -118,14 +118,14 @@
     # -- updates -----------------------------------------------------------------------------------
 
     def apply_update(self, update: updates.Update) -> bool:
-        """Apply a topic's newer state and push it on; whether it was applied."""
+        """Apply a newer state of a topic and notify the children; return whether it was applied."""
         if not self.state.apply(update):
             return False
         self.push()
         return True
 
     def push(self) -> None:
-        """Have the children pull at once."""
+        """Notify the children so that they pull at once."""
         self.pull_soon.set()
         for address in self.subtree.live_children():
             self.counts["pushes"] += 1
@@ -143,10 +143,10 @@
         return self.state.next_chunk(message)
 
     def answer_pull(self, message: updates.Pull, rooted: bool) -> updates.Pulled:
-        """Answer a child with the updates that it lacks, and a lease no longer than this node's own.
+        """Answer a child with the updates that it lacks and a lease no longer than this node's own.
 
-        A child below a relay gets a lease only once the root counted it: the root must know all who may act on a
-        configuration. Nothing is granted without the configuration that the lease is for.
+        A child of a relay gets a lease only after the root has counted it: the root must know every node that may act
+        on a configuration. No lease is granted before this node holds a configuration.
         """
         now = clock.now()
         subtree = self.subtree.resolve(message)
@@ -184,7 +184,7 @@
     # -- pulls from the parent ---------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Pull from the parent in each interval, and at once when there is something to pull or to confirm."""
+        """Pull from the parent in each interval, and at once if there is something to pull or to confirm."""
         while True:
             try:
                 async with clock.limit(timing.PULL_INTERVAL):
@@ -198,12 +198,12 @@
             self.lease.log_transition(self.current(), self.state.revision, self.root_age())
 
     async def pull(self, parent: str) -> None:
-        """Pull once; a parent that fails, or that heard nothing of the root for long, is avoided for a while."""
-        asked = clock.now()
+        """Pull once; a parent that fails or that heard of the root too long ago is avoided for a while."""
+        requested_at = clock.now()
         self.counts["pulls"] += 1
         before, subtree = self.state.revision, self.subtree.merge(self.state.revision)
         message = self.make_pull(parent, subtree)
-        # Until the answer is there nobody knows what the parent stored: a pull after a lost answer names everything.
+        # Until the reply arrives it is unknown what the parent stored, so a pull after a lost reply lists everything.
         self.acknowledged = ("", subtree)
         try:
             reply = await self.link.request(parent, message, timing.PULL_TIMEOUT)
@@ -218,7 +218,7 @@
             await clock.sleep(timing.PULL_SOON)
             return
         self.acknowledged = (parent, subtree)
-        self.apply_reply(reply, asked)
+        self.apply_reply(reply, requested_at)
         stale = self.parents.is_stale(reply.root_age, self.currency)
         if stale:
             self.counts["stale parents"] += 1
@@ -228,7 +228,7 @@
             await clock.sleep(timing.PULL_SOON)
 
     def make_pull(self, parent: str, subtree: subtree_state.Subtree) -> updates.Pull:
-        """A pull that names the subtree: what differs from the one that this parent stored last, else all of it."""
+        """Return a pull that lists the differences from the subtree that this parent stored last, or else all of it."""
         held = tuple(updates.HeldRevision(update.topic, update.revision) for update in self.state.topics.values())
         held += (updates.HeldRevision(updates.PLAN, self.state.revision),)
         acknowledged_by, acknowledged = self.acknowledged
@@ -242,24 +242,24 @@
                 for address, revision in subtree.nodes.items()
                 if acknowledged.nodes.get(address) != revision
             }
-        named = tuple(updates.Confirmation(address, revision) for address, revision in sorted(nodes.items()))
-        return updates.Pull(self.address, held, named, base, gone, subtree.digest, self.lease.counted_digest)
+        listed = tuple(updates.Confirmation(address, revision) for address, revision in sorted(nodes.items()))
+        return updates.Pull(self.address, held, listed, base, gone, subtree.digest, self.lease.counted_digest)
 
-    def apply_reply(self, reply: updates.Pulled, asked: datetime.timedelta) -> None:
-        """Apply the updates of a pull, then extend the lease: only for the revision that it was granted for."""
+    def apply_reply(self, reply: updates.Pulled, requested_at: datetime.timedelta) -> None:
+        """Apply the updates of a reply, then extend the lease if it was granted for the revision held here."""
         for update in reply.updates:
             self.apply_update(update)
         if not reply.counted_unchanged:
             self.lease.set_counted(reply.counted)
         if reply.revision == self.state.revision and reply.currency > clock.ZERO:
-            self.lease.extend(asked + reply.currency)
+            self.lease.extend(requested_at + reply.currency)
         if reply.root_age < timing.NEVER_HEARD:
-            heard = asked - reply.root_age
+            heard = requested_at - reply.root_age
             self.root_heard = heard if self.root_heard is None else max(self.root_heard, heard)
-            self.is_rootless_logged = False
+            self.is_missing_root_logged = False
 
     async def fetch_configuration(self, parent: str) -> None:
-        """Fetch a complete configuration from a parent, chunk by chunk; what came before it failed is kept.
+        """Fetch a complete configuration from a parent in chunks; chunks received before a failure are kept.
 
         Raises:
             result.RequestError: the parent did not answer, or holds no configuration.
@@ -274,32 +274,32 @@
                 return
 
     def avoid_parent(self, parent: str, reason: str) -> None:
-        """Pull from others than this parent for a while, at once unless all were tried."""
+        """Pull from other parents for a while; pull again at once, unless all parents are avoided already."""
         if self.parents.avoid(parent):
             self.pull_soon.set()
             LOG.info("{} avoids parent {}: {}", self.address, parent, reason)
 
     def avoid_stale_parent(self, parent: str, root_age: datetime.timedelta) -> None:
-        """As ``avoid_parent``, for one that answers and heard of the root too long ago, or never."""
+        """Like ``avoid_parent``, for a parent that answers but heard of the root too long ago or never."""
         if not self.parents.avoid(parent, is_reachable=True):
             return
         self.pull_soon.set()
         if root_age < timing.NEVER_HEARD:
             age = root_age.total_seconds()
-            LOG.info("{} avoids parent {}: it heard of the root {:.1f} s ago", self.address, parent, age)
-        elif not self.is_rootless_logged:
-            self.is_rootless_logged = True
+            LOG.info("{} avoids parent {}: it last heard of the root {:.1f} s ago", self.address, parent, age)
+        elif not self.is_missing_root_logged:
+            self.is_missing_root_logged = True
             LOG.info("{} waits for a root: parent {} has heard of none yet", self.address, parent)
 
     # -- root --------------------------------------------------------------------------------------
 
     def become_root(self) -> None:
-        """Begin to grant leases, once all that was committed before is held here."""
+        """Start to grant leases as root; called once this node holds everything committed before."""
         self.root = True
         self.grants.reset(self.currency)
 
     def stop_being_root(self, reason: str) -> None:
-        """Grant no more leases as root."""
+        """Stop granting leases as root."""
         if self.root:
             events.report(
                 LOG,
@@ -313,12 +313,12 @@
         self.root = False
 
     def extend_as_root(self, lease_end: datetime.timedelta) -> None:
-        """As root: note that the root is heard of, and extend the lease to that on the control group."""
+        """As root: record that the root is alive, and extend the lease up to that on the control group."""
         self.root_heard = clock.now()
         self.lease.extend(lease_end)
 
     def apply_committed(self, read: control_state.ResourcesRead) -> None:
-        """As root: apply what the control group holds, keeping its steps as patches for those that are behind."""
+        """As root: apply what the control group holds, and keep its steps as patches for nodes that are behind."""
         for step in read.steps:
             self.apply_update(updates.Update(updates.PLAN, step.revision, step.base, step.patch))
         update = self.state.update_to(read)
@@ -326,7 +326,7 @@
             self.apply_update(update)
 
     async def wait_until_applied(self, revision: control_state.Revision) -> None:
-        """As root: wait until each node with a lease has applied a revision, or its lease has expired."""
+        """As root: wait until each node with a lease has applied a revision or its lease has expired."""
         while self.state.revision < revision:
             await self.state.wait_for_change(updates.PLAN)
         await self.grants.wait_until_applied(revision)
--- a/aspencroft/distribution/subtree_state.py
+++ b/aspencroft/distribution/subtree_state.py
@@ -1,4 +1,4 @@
-"""A relay's children and their subtrees: which node has confirmed which configuration revision."""
+"""The children of a relay and their subtrees: the configuration revision that each node has confirmed."""
 
 import dataclasses
 import datetime
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Subtree:
-    """A node and all below it with the revisions that they confirmed, and the digest of that."""
+    """A node and all nodes below it with the revisions that they confirmed, and a digest of them."""
 
     nodes: dict[str, control_state.Revision]
     digest: bytes
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CountedNodes:
-    """Sorted addresses of a subtree that the root has counted, and their digest."""
+    """The sorted addresses of a subtree that the root has counted, and their digest."""
 
     addresses: tuple[str, ...]
     digest: bytes
 
 
 def subtree_of(nodes: dict[str, control_state.Revision]) -> Subtree:
-    """A subtree with its digest.
+    """Return a subtree with its digest.
 
     Example: ``subtree_of({}) == subtree_of({})``
     """
@@ -35,7 +35,7 @@
 
 
 def addresses_digest(addresses: tuple[str, ...]) -> bytes:
-    """The digest of sorted addresses."""
+    """Return the digest of sorted addresses."""
     return hashlib.blake2b("\n".join(addresses).encode(), digest_size=16).digest()
 
 
@@ -43,7 +43,7 @@
 
 
 class SubtreeState:
-    """The children of a relay, until when each counts as one, and the subtrees that they named."""
+    """The children of a relay, the expiry time of each, and the subtrees that they reported."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -53,7 +53,7 @@
         self.counted: dict[str, tuple[tuple[bytes, bytes | None], CountedNodes]] = {}
 
     def live_children(self) -> tuple[str, ...]:
-        """The children that have pulled lately; the others are removed."""
+        """Remove expired children and return the others."""
         now = clock.now()
         for address, end in list(self.expiry.items()):
             if end < now:
@@ -63,7 +63,7 @@
         return tuple(self.expiry)
 
     def merge(self, revision: control_state.Revision) -> Subtree:
-        """This node, which has confirmed a revision, and all below it."""
+        """Return the subtree of this node, which has confirmed ``revision``, and all nodes below it."""
         now = clock.now()
         nodes: dict[str, control_state.Revision] = {}
         for child, end in self.expiry.items():
@@ -75,23 +75,23 @@
         return self.complete
 
     def resolve(self, pull: updates.Pull) -> Subtree | None:
-        """The subtree that a pull names; none if its differences are upon one that is not known here."""
+        """Return the complete subtree of a pull, or None if its differences have a base that is not known here."""
         known = self.subtrees.get(pull.address)
-        named = {confirmation.address: confirmation.revision for confirmation in pull.subtree}
+        listed = {confirmation.address: confirmation.revision for confirmation in pull.subtree}
         if not pull.base:
-            return subtree_of(named)
+            return subtree_of(listed)
         if known is None or known.digest != pull.base:
             return None
-        if not named and not pull.gone:
+        if not listed and not pull.gone:
             return known
-        nodes = {**known.nodes, **named}
+        nodes = {**known.nodes, **listed}
         for address in pull.gone:
             nodes.pop(address, None)
         resolved = subtree_of(nodes)
         return resolved if resolved.digest == pull.digest else None
 
     def store(self, child: str, subtree: Subtree) -> bool:
-        """Keep a child's subtree, as of a pull at this moment; whether it has changed."""
+        """Store the subtree of a child that pulls now; return whether it changed."""
         self.expiry[child] = clock.now() + timing.CHILD_EXPIRY
         if child in self.subtrees and subtree.digest == self.subtrees[child].digest:
             return False
@@ -101,7 +101,7 @@
     def counted_nodes(
         self, child: str, subtree: Subtree, counted: frozenset[str] | None, counted_digest: bytes | None
     ) -> CountedNodes:
-        """The nodes of a child's subtree that the root has counted; all where this node is the root (none given)."""
+        """Return the nodes of a child's subtree that the root has counted; at the root itself ``counted`` is None."""
         derived_from = subtree.digest, counted_digest
         known = self.counted.get(child)
         if known is None or known[0] != derived_from:
--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -1,4 +1,4 @@
-"""Messages of the dissemination tree: updates on their way down, confirmations on their way up."""
+"""Messages of the dissemination tree: updates flow down, confirmations flow up."""
 
 import dataclasses
 import datetime
@@ -12,9 +12,9 @@
 @codec.kind(130)
 @dataclasses.dataclass(frozen=True)
 class Update:
-    """A topic's state under a revision; with a base it is a merge patch upon that revision.
+    """The state of a topic at a revision; with a ``base`` it is a merge patch that applies to that revision.
 
-    A configuration with neither base nor body is too large for one message: it is to be fetched in chunks.
+    A configuration with neither base nor body is too large for one message and has to be fetched in chunks.
     """
 
     topic: str
@@ -26,7 +26,7 @@
 @codec.kind(131)
 @dataclasses.dataclass(frozen=True)
 class HeldRevision:
-    """A revision of a topic that a node holds."""
+    """The revision of a topic that a node holds."""
 
     topic: str
     revision: control_state.Revision
@@ -35,7 +35,7 @@
 @codec.kind(132)
 @dataclasses.dataclass(frozen=True)
 class Confirmation:
-    """The plan revision that a node of the subtree has in force."""
+    """The configuration revision that a node of the subtree has in force."""
 
     address: str
     revision: control_state.Revision
@@ -44,11 +44,11 @@
 @codec.kind(133)
 @dataclasses.dataclass(frozen=True)
 class Pull:
-    """A child asks its parent for updates and for a lease on the configuration, naming its complete subtree.
+    """A child's request to its parent for updates and for a lease on the configuration; it lists the child's subtree.
 
-    With a ``base``, the digest of the subtree that the parent stored last, only what differs from it is named: changed
-    entries and those that are ``gone``. ``digest`` is that of the complete subtree, ``counted`` that of the counted
-    nodes that the child knows.
+    ``base`` is the digest of the subtree that the parent stored last. If it is set, the message lists only the
+    differences: changed entries in ``subtree`` and removed ones in ``gone``. ``digest`` is the digest of the complete
+    subtree, ``counted`` the digest of the counted nodes that the child knows.
     """
 
     address: str
@@ -63,11 +63,12 @@
 @codec.kind(134)
 @dataclasses.dataclass(frozen=True)
 class Pulled:
-    """Updates that the child lacks, and the length of its lease, counted from when the child asked.
+    """The reply to a pull: the updates that the child lacks, and the length of its lease, which runs from the request.
 
-    ``counted_unchanged``: the counted nodes are those that the child knows. ``subtree_unknown``: the parent does not
-    hold the subtree that the child's differences are upon, and took nothing from the pull. ``root_age``: how long ago
-    the root was last heard of, over all relays up to it; zero from the root itself.
+    ``counted`` are the nodes of the child's subtree that the root has counted, that is, knows to hold a lease;
+    ``counted_unchanged`` means that the child knows them already. ``subtree_unknown`` means that the parent does not
+    hold the base subtree of the child's differences and ignored the pull. ``root_age`` is how long ago the root was
+    last heard of through all relays above; it is zero from the root itself.
     """
 
     updates: tuple[Update, ...]
@@ -82,7 +83,10 @@
 @codec.kind(185)
 @dataclasses.dataclass(frozen=True)
 class FetchConfiguration:
-    """A child asks for a configuration too large for one message, from an offset on; no digest asks for the newest."""
+    """A child's request for a chunk, at an offset, of a configuration too large for one message.
+
+    An empty digest asks for the newest configuration.
+    """
 
     digest: bytes
     offset: int
@@ -91,7 +95,7 @@
 @codec.kind(186)
 @dataclasses.dataclass(frozen=True)
 class ConfigurationChunk:
-    """Bytes of a complete configuration; all chunks of one bear its digest, ``size`` is that of all in bytes."""
+    """A chunk of a complete configuration; ``digest`` and ``size`` (in bytes) are those of the complete body."""
 
     revision: control_state.Revision
     digest: bytes
@@ -103,13 +107,13 @@
 @codec.kind(135)
 @dataclasses.dataclass(frozen=True)
 class Push:
-    """There is an update: pull at once."""
+    """Tells a child that there is an update, so that it pulls at once."""
 
 
 @codec.kind(136)
 @dataclasses.dataclass(frozen=True)
 class Publish:
-    """The holder of a singleton role gives the root a topic's new state."""
+    """Sends a topic's new state from the holder of a singleton role to the root."""
 
     news: Update
 
@@ -117,7 +121,7 @@
 @codec.kind(137)
 @dataclasses.dataclass(frozen=True)
 class WriteEverywhere:
-    """An operator's write; answered once it is in force on every node that may act on a plan."""
+    """An operator's write; answered once it is in force on every node that may act on a configuration."""
 
     write: control_state.WriteResources
     within: datetime.timedelta
@@ -126,7 +130,7 @@
 @codec.kind(138)
 @dataclasses.dataclass(frozen=True)
 class Written:
-    """The write is stored on both copies and in force everywhere."""
+    """The write is durable and in force on every node that may act on a configuration."""
 
     revision: control_state.Revision
     changed: int
@@ -136,7 +140,7 @@
 @codec.kind(139)
 @dataclasses.dataclass(frozen=True)
 class ReadEverywhere:
-    """Ask the root's node for the newest plan."""
+    """Asks the root's node for the newest configuration."""
 
     after: control_state.Revision
 
@@ -144,7 +148,7 @@
 @codec.kind(140)
 @dataclasses.dataclass(frozen=True)
 class ApplyEverywhere:
-    """An operator's configuration; answered once it is durable and delivered, at the latest after ``within``."""
+    """An operator's configuration; answered once it is durable and delivered, or after ``within`` at the latest."""
 
     command: operator_configuration.ApplyConfiguration
     within: datetime.timedelta
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1307,7 +1307,7 @@
     Mutation(
         "relay model: a lease counts from when its answer came",
         "distribution/relay.py",
-        "            self.lease.extend(asked + reply.currency)\n",
+        "            self.lease.extend(requested_at + reply.currency)\n",
         "            self.lease.extend(clock.now() + reply.currency)\n",
         ("simulation/relay_model_test.py",),
     ),
