--- a/aspencroft/distribution/parent_test.py
+++ b/aspencroft/distribution/parent_test.py
@@ -1,4 +1,4 @@
-"""Which parent a node of the relay tree asks: the usual one, then the root, then other cores; no stale one for long."""
+"""Tests of parent selection: the usual parent, then the root, then other cores, and no stale parent for long."""
 
 import asyncio
 import types
@@ -18,8 +18,8 @@
 CURRENCY = clock.seconds(12)
 
 
-class Answers:
-    """Answers of relays that heard of the root some seconds ago; one without an age does not answer."""
+class AnsweringLink:
+    """A link to relays that last heard of the root ``ages`` seconds ago; a relay without an age does not answer."""
 
     def __init__(self, ages: dict[str, float]):
         self.ages = ages
@@ -37,14 +37,14 @@
         pass
 
 
-def relay_of(address: str, answers: Answers, root: str = ROOT) -> relay.Relay:
+def relay_of(address: str, link: AnsweringLink, root: str = ROOT) -> relay.Relay:
     record = types.SimpleNamespace(primary=replica_set.ReplicaId(root, "1"), epoch=1)
     members = types.SimpleNamespace(
         me=types.SimpleNamespace(address=address),
         records={0: record},
         peers=types.SimpleNamespace(tree_order=lambda: ORDER),
     )
-    return relay.Relay(answers, members, CURRENCY)
+    return relay.Relay(link, members, CURRENCY)
 
 
 def run(work) -> None:
@@ -53,7 +53,7 @@
 
 def test_while_the_usual_parent_is_left_out_the_root_is_asked_and_then_another_core():
     async def scenario() -> None:
-        node = relay_of("edge-19:1", Answers({}))
+        node = relay_of("edge-19:1", AnsweringLink({}))
         usual = node.parent()
         assert usual == parent_selection.parent_of("edge-19:1", ROOT, ORDER) and usual.startswith("edge")
         node.avoid_parent(usual, "test")
@@ -71,7 +71,7 @@
 
 def test_a_new_root_is_asked_though_it_was_left_out_before():
     async def scenario() -> None:
-        node = relay_of("edge-19:1", Answers({}))
+        node = relay_of("edge-19:1", AnsweringLink({}))
         for address in ORDER:
             node.avoid_parent(address, "test")
             node.parent()
@@ -86,31 +86,31 @@
 def test_a_node_that_reaches_the_root_hears_of_it_within_two_failed_parents(silent):
     async def scenario() -> None:
         ages = dict.fromkeys(ORDER, 60.0) if not silent else {}
-        answers = Answers({**ages, ROOT: 0.0})
-        node = relay_of("edge-19:1", answers)
+        link = AnsweringLink({**ages, ROOT: 0.0})
+        node = relay_of("edge-19:1", link)
         running = asyncio.ensure_future(node.run())
         await clock.sleep(timing.PULL_INTERVAL + timing.PULL_TIMEOUT + clock.seconds(0.1))
         running.cancel()
-        assert ROOT in answers.asked and answers.asked.index(ROOT) == 1
+        assert ROOT in link.asked and link.asked.index(ROOT) == 1
         assert node.root_age() <= timing.PULL_INTERVAL + clock.seconds(0.1)
 
     run(scenario)
 
 
 def test_a_new_root_that_has_not_read_yet_is_asked_again_before_a_second_silent_parent():
-    """The root answers at first that it heard of no root, as it has not read under its lease; all others are silent."""
+    """A new root reports that it has heard of no root until it has read under its lease; all other nodes are silent."""
 
     async def scenario() -> None:
-        answers = Answers({ROOT: 60.0})
-        node = relay_of("edge-19:1", answers)
+        link = AnsweringLink({ROOT: 60.0})
+        node = relay_of("edge-19:1", link)
         running = asyncio.ensure_future(node.run())
-        while ROOT not in answers.asked:
+        while ROOT not in link.asked:
             await clock.sleep(clock.seconds(0.01))
         await clock.sleep(clock.seconds(0.1))
-        answers.ages[ROOT] = 0.0
+        link.ages[ROOT] = 0.0
         await clock.sleep(timing.PULL_TIMEOUT + timing.PULL_INTERVAL)
         running.cancel()
-        assert node.root_age() <= timing.PULL_INTERVAL + clock.seconds(0.1), answers.asked
+        assert node.root_age() <= timing.PULL_INTERVAL + clock.seconds(0.1), link.asked
 
     run(scenario)
 
@@ -118,8 +118,8 @@
 def test_a_root_never_heard_of_is_said_as_such_and_once():
     async def scenario() -> None:
         await clock.sleep(clock.seconds(100))
-        answers = Answers(dict.fromkeys(ORDER, timing.NEVER_HEARD.total_seconds()))
-        node = relay_of("edge-19:1", answers)
+        link = AnsweringLink(dict.fromkeys(ORDER, timing.NEVER_HEARD.total_seconds()))
+        node = relay_of("edge-19:1", link)
         running = asyncio.ensure_future(node.run())
         await clock.sleep(clock.seconds(3))
         running.cancel()
@@ -127,17 +127,17 @@
         message = updates.Pull("edge-1:1", (), (), b"", (), b"", b"")
         assert node.answer_pull(message, rooted=False).root_age == timing.NEVER_HEARD
 
-    with logbook.TestHandler() as logged:
+    with logbook.TestHandler() as handler:
         run(scenario)
-        lines = [record.message for record in logged.records]
+        lines = [record.message for record in handler.records]
     assert len(lines) == 1 and "has heard of none yet" in lines[0]
 
 
 def test_a_restarted_parent_that_holds_no_configuration_is_left_as_well():
     async def scenario() -> None:
-        answers = Answers({ROOT: 0.0})
-        node = relay_of("edge-19:1", answers)
-        answers.ages[node.parent()] = 5.0
+        link = AnsweringLink({ROOT: 0.0})
+        node = relay_of("edge-19:1", link)
+        link.ages[node.parent()] = 5.0
         await node.pull(node.parent())
         assert node.parent() == ROOT and node.counts["stale parents"] == 1
 
@@ -146,13 +146,13 @@
 
 def test_while_no_root_is_heard_of_the_tree_is_asked_at_its_usual_pace():
     async def scenario() -> None:
-        answers = Answers(dict.fromkeys(ORDER, 60.0))
-        node = relay_of("edge-19:1", answers)
+        link = AnsweringLink(dict.fromkeys(ORDER, 60.0))
+        node = relay_of("edge-19:1", link)
         running = asyncio.ensure_future(node.run())
         await clock.sleep(clock.seconds(10))
         running.cancel()
-        rounds = clock.seconds(10) / timing.AVOID_PARENT_FOR + 1
-        assert len(answers.asked) < clock.seconds(10) / timing.PULL_INTERVAL + rounds * (
+        avoid_periods = clock.seconds(10) / timing.AVOID_PARENT_FOR + 1
+        assert len(link.asked) < clock.seconds(10) / timing.PULL_INTERVAL + avoid_periods * (
             parent_selection.SPARE_PARENTS + 2
         )
 
@@ -162,7 +162,7 @@
 def test_a_relay_passes_on_how_long_ago_its_root_was_heard_of_and_a_root_says_zero():
     async def scenario() -> None:
         await clock.sleep(clock.seconds(100))
-        node = relay_of(ORDER[1], Answers({ROOT: 0.5}))
+        node = relay_of(ORDER[1], AnsweringLink({ROOT: 0.5}))
         await node.pull(ROOT)
         await clock.sleep(clock.seconds(1))
         message = updates.Pull("edge-1:1", (), (), b"", (), b"", b"")
--- a/aspencroft/distribution/relay_test.py
+++ b/aspencroft/distribution/relay_test.py
@@ -1,4 +1,4 @@
-"""Pulls that name only what differs: they say the same as pulls that name all, and nothing is granted upon a guess."""
+"""Tests that pulls with differences work like complete pulls, and that no lease is granted on an unknown base."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 
 class Link:
-    """Hands a pull to the parent at once, or loses the question or the answer."""
+    """Passes a pull to the parent at once, or loses the request or the reply."""
 
     def __init__(self, parent: relay.Relay | None = None):
         self.parent = parent
@@ -27,7 +27,7 @@
 
     async def request(self, address, message, within, epoch=0):
         self.asked.append(message)
-        if self.losing != "question":
+        if self.losing != "request":
             self.answered.append(self.parent.answer_pull(message, self.is_root))
         if self.losing:
             raise result.RequestError(result.ResultCode.OVERLOADED)
@@ -36,12 +36,12 @@
 
 def relay_of(address: str, link: Link) -> relay.Relay:
     members = types.SimpleNamespace(me=types.SimpleNamespace(address=address), records={}, peers={})
-    one = relay.Relay(link, members, CURRENCY)
-    one.state.revision = control_state.Revision(1, 1)
-    return one
+    node = relay.Relay(link, members, CURRENCY)
+    node.state.revision = control_state.Revision(1, 1)
+    return node
 
 
-def family() -> tuple[relay.Relay, relay.Relay, Link]:
+def parent_and_child() -> tuple[relay.Relay, relay.Relay, Link]:
     parent = relay_of("a:1", Link())
     link = Link(parent)
     return parent, relay_of("b:1", link), link
@@ -60,34 +60,34 @@
 def test_differences_lead_the_parent_to_the_same_subtree_and_the_child_to_the_same_counted_nodes():
     async def scenario():
         for seed in range(30):
-            chance = random.Random(seed)
-            parent, child, link = family()
+            randomness = random.Random(seed)
+            parent, child, link = parent_and_child()
             nodes: dict[str, control_state.Revision] = {}
             for _ in range(25):
-                for _ in range(chance.randrange(4)):
-                    nodes[f"n:{chance.randrange(9)}"] = control_state.Revision(1, chance.randrange(3))
-                if nodes and chance.random() < 0.3:
-                    nodes.pop(chance.choice(sorted(nodes)))
+                for _ in range(randomness.randrange(4)):
+                    nodes[f"n:{randomness.randrange(9)}"] = control_state.Revision(1, randomness.randrange(3))
+                if nodes and randomness.random() < 0.3:
+                    nodes.pop(randomness.choice(sorted(nodes)))
                 set_below(child, nodes)
-                link.is_root = chance.random() < 0.7
-                if chance.random() < 0.3:
+                link.is_root = randomness.random() < 0.7
+                if randomness.random() < 0.3:
                     parent.lease.counted = frozenset(
-                        one for one in ("b:1", "n:1", "n:2", "n:3") if chance.random() < 0.5
+                        address for address in ("b:1", "n:1", "n:2", "n:3") if randomness.random() < 0.5
                     )
                     parent.lease.counted_digest = subtree_state.addresses_digest(tuple(sorted(parent.lease.counted)))
-                if chance.random() < 0.1:
+                if randomness.random() < 0.1:
                     parent.subtree.subtrees.clear()
-                link.losing = chance.choice(("", "", "", "question", "answer"))
+                link.losing = randomness.choice(("", "", "", "request", "reply"))
                 await child.pull("a:1")
                 if link.losing:
                     continue
                 if link.answered[-1].subtree_unknown:
                     await child.pull("a:1")
-                wanted = {**nodes, "b:1": child.revision}
-                assert parent.subtree.subtrees["b:1"].nodes == wanted
-                assert parent.subtree.subtrees["b:1"].digest == subtree_state.subtree_of(wanted).digest
+                expected = {**nodes, "b:1": child.revision}
+                assert parent.subtree.subtrees["b:1"].nodes == expected
+                assert parent.subtree.subtrees["b:1"].digest == subtree_state.subtree_of(expected).digest
                 assert child.lease.counted == frozenset(
-                    one for one in wanted if link.is_root or one in parent.lease.counted
+                    address for address in expected if link.is_root or address in parent.lease.counted
                 )
 
     run(scenario)
@@ -95,7 +95,7 @@
 
 def test_a_pull_without_changes_names_nothing_and_is_answered_with_nothing():
     async def scenario():
-        parent, child, link = family()
+        parent, child, link = parent_and_child()
         set_below(child, {f"n:{number}": control_state.Revision(1, 1) for number in range(200)})
         await child.pull("a:1")
         await child.pull("a:1")
@@ -110,7 +110,7 @@
 
 def test_differences_upon_an_unknown_subtree_take_and_grant_nothing():
     async def scenario():
-        parent, child, link = family()
+        parent, child, link = parent_and_child()
         await child.pull("a:1")
         parent.subtree.subtrees.clear(), parent.subtree.expiry.clear(), parent.grants.grants.clear()
         end = child.lease.end
@@ -131,7 +131,7 @@
 
 def test_another_parent_is_told_the_whole():
     async def scenario():
-        _parent, child, link = family()
+        _parent, child, link = parent_and_child()
         await child.pull("a:1")
         link.parent = relay_of("d:1", Link())
         await child.pull("d:1")
@@ -146,24 +146,24 @@
 
 def test_tree_has_one_root_and_no_crowded_parent():
     order = tuple(f"n:{number}" for number in range(40))
-    parents = {one: parent_selection.parent_of(one, "n:7", order) for one in order}
+    parents = {address: parent_selection.parent_of(address, "n:7", order) for address in order}
     assert parents["n:7"] == "n:7"
-    for one in order:
+    for address in order:
         steps = 0
-        while one != "n:7":
-            one, steps = parents[one], steps + 1
+        while address != "n:7":
+            address, steps = parents[address], steps + 1
             assert steps < 5
-    assert max(list(parents.values()).count(one) for one in order) <= parent_selection.CHILDREN_PER_RELAY + 1
+    assert max(list(parents.values()).count(address) for address in order) <= parent_selection.CHILDREN_PER_RELAY + 1
 
 
 def test_patches_between_documents_lead_from_one_to_the_other():
     for seed in range(200):
-        chance = random.Random(seed)
+        randomness = random.Random(seed)
         documents = [
             {
-                kind: {name: {"value": chance.randrange(3)} for name in "abcd" if chance.random() < 0.6}
+                kind: {name: {"value": randomness.randrange(3)} for name in "abcd" if randomness.random() < 0.6}
                 for kind in ("lanes", "services")
-                if chance.random() < 0.8
+                if randomness.random() < 0.8
             }
             for _ in range(2)
         ]
--- a/aspencroft/leadership/singleton_role_test.py
+++ b/aspencroft/leadership/singleton_role_test.py
@@ -24,18 +24,18 @@
 
 def test_a_renewal_asked_for_before_the_lease_was_ended_does_not_revive_it():
     async def scenario():
-        answers: list[asyncio.Future] = []
+        replies: list[asyncio.Future] = []
 
         async def submit(group_id, command, within):
-            answers.append(asyncio.get_running_loop().create_future())
-            return await answers[-1]
+            replies.append(asyncio.get_running_loop().create_future())
+            return await replies[-1]
 
         async def acquire(end_meanwhile: bool) -> None:
             renewal = asyncio.ensure_future(role.acquire())
             await asyncio.sleep(0.01)
             if end_meanwhile:
                 role.end_lease()
-            answers[-1].set_result(control_state.RoleAcquired("residency", len(answers), "n:1", 1))
+            replies[-1].set_result(control_state.RoleAcquired("residency", len(replies), "n:1", 1))
             await renewal
 
         role = singleton_role.SingletonRole("residency", "n:1", 1, dict, submit)
