--- a/aspencroft/consensus/ballot.py
+++ b/aspencroft/consensus/ballot.py
@@ -58,7 +58,7 @@
     """Return whether more replies cannot change the result: a majority granted, or no majority can grant any more."""
     granting = granting_replies(replies)
     refusing = set(replies) - set(granting)
-    return voter_set.has_quorum(granting) or not voter_set.has_quorum(set(voter_set.everyone()) - refusing)
+    return voter_set.has_quorum(granting) or not voter_set.has_quorum(set(voter_set.all_voters()) - refusing)
 
 
 def newest_accepted(promises: BallotReplies) -> replica_set.Ballot:
--- a/aspencroft/consensus/proposer.py
+++ b/aspencroft/consensus/proposer.py
@@ -108,13 +108,13 @@
         voter_set, started = self.voter_set, clock.now()
         ballot = self.next_ballot()
         prepare = replica_set.Prepare(register, ballot, requester, voter_set.number)
-        replies = await self.request_voters(voter_set, dict.fromkeys(voter_set.everyone(), prepare))
+        replies = await self.request_voters(voter_set, dict.fromkeys(voter_set.all_voters(), prepare))
         promises = ballots.granting_replies(replies)
         if not voter_set.has_quorum(promises):
             raise result.RequestError(
                 result.ResultCode.NO_CLAIM,
                 retry=ballots.wait_before_retry(replies),
-                detail=f"{len(promises)} of {len(voter_set.everyone())} witnesses promised",
+                detail=f"{len(promises)} of {len(voter_set.all_voters())} witnesses promised",
             )
         value = function(ballots.newest_accepted(promises).value)
         accepts = ballots.accept_messages(voter_set, register, ballot, value, promises)
@@ -136,7 +136,7 @@
         message = replica_set.LeaseRequest(
             register, chosen.ballot, chosen.value, lease_holder, length, voter_set.number
         )
-        replies = await self.request_voters(voter_set, dict.fromkeys(voter_set.everyone(), message))
+        replies = await self.request_voters(voter_set, dict.fromkeys(voter_set.all_voters(), message))
         return ballots.lease_outcome(voter_set, replies, chosen, started, length)
 
 
--- a/aspencroft/consensus/record_recovery.py
+++ b/aspencroft/consensus/record_recovery.py
@@ -65,7 +65,7 @@
     def overdue(self) -> list[int]:
         """Return the groups whose accepted record has been unannounced for too long; voters take turns by stagger."""
         unannounced = self.unannounced_records()
-        voters = sorted(self.proposer.voter_set.everyone())
+        voters = sorted(self.proposer.voter_set.all_voters())
         rank = voters.index(self.address) if self.address in voters else len(voters)
         now = clock.now()
         self.due_at = {key: self.due_at.get(key, now + UNANNOUNCED_DELAY + rank * VOTER_STAGGER) for key in unannounced}
--- a/aspencroft/consensus/replica_set.py
+++ b/aspencroft/consensus/replica_set.py
@@ -69,7 +69,7 @@
     present: tuple[str, ...]
     coming: tuple[str, ...]
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_voters(self) -> tuple[str, ...]:
         """Return all present and coming voters."""
         return tuple(dict.fromkeys(self.present + self.coming))
 
--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -147,7 +147,7 @@
                 voter_set.number,
                 voter_set.present,
                 voter_set.coming,
-                "voting" if previous.address in voter_set.everyone() else "not a member, blank from now on",
+                "voting" if previous.address in voter_set.all_voters() else "not a member, blank from now on",
             )
 
     async def remember(self, known: replica_set.RememberedCluster) -> None:
--- a/aspencroft/consensus/witness_bootstrap.py
+++ b/aspencroft/consensus/witness_bootstrap.py
@@ -82,7 +82,7 @@
                     await self.witness.remember(replica_set.RememberedCluster(self.witness.voter_set, self.disks()))
                 if self.bootstraps_groups and self.groups_without_record():
                     await self.bootstrap_groups()
-            elif self.address in self.proposer.voter_set.everyone():
+            elif self.address in self.proposer.voter_set.all_voters():
                 try:
                     await self.try_to_vote()
                 except result.RequestError as error:
@@ -139,7 +139,7 @@
             self.status_reason = "waiting for earlier leases to expire"
             return
         voter_set = self.proposer.voter_set
-        others = tuple(voter for voter in voter_set.everyone() if voter != self.address)
+        others = tuple(voter for voter in voter_set.all_voters() if voter != self.address)
         states = await self.request_each(others, replica_set.WitnessStateRequest(self.address))
         voting = {address: state for address, state in states.items() if state.voting}
         for state in voting.values():
@@ -189,7 +189,7 @@
         The first voter begins; each next one starts a little later, in case the voters before it are down.
         """
         since, names = self.observe_disks()
-        rank = tuple(sorted(self.proposer.voter_set.everyone())).index(self.address)
+        rank = tuple(sorted(self.proposer.voter_set.all_voters())).index(self.address)
         lacking_kind = self.kind_lacking_disks()
         if lacking_kind or clock.now() - since < STABLE_BEFORE_BOOTSTRAP + rank * REQUEST_TIMEOUT:
             self.status_reason = f"waiting for nodes with disks: {names} {lacking_kind}"
@@ -249,13 +249,13 @@
     states: collections.abc.Mapping[str, replica_set.WitnessStateReply],
 ) -> str:
     """Return why a blank voter that cannot learn from others may not start from the disks either; empty if it may."""
-    others = {voter for voter in voter_set.everyone() if voter != address}
+    others = {voter for voter in voter_set.all_voters() if voter != address}
     voting = {voter for voter, state in states.items() if state.voting}
     if witness_state.has_voting_majority(voter_set, address, voting):
         return "blank; the voting witnesses do not know this voter set yet"
     if len(states) < len(others):
         return f"blank; no reply from witnesses: {sorted(others - set(states))}"
-    if address != min(voter for voter in voter_set.everyone() if voter not in voting):
+    if address != min(voter for voter in voter_set.all_voters() if voter not in voting):
         return "blank; another voter starts from the disks"
     return ""
 
--- a/aspencroft/consensus/witness_changes.py
+++ b/aspencroft/consensus/witness_changes.py
@@ -134,7 +134,7 @@
                     ready.append(address)
 
         async with supervision.Group() as group:
-            for address in voter_set.everyone():
+            for address in voter_set.all_voters():
                 group.create_task(request_state(address))
         return ready
 
@@ -164,7 +164,7 @@
             voter_set.coming,
         )
         self.proposer.learn(successor)
-        await self.announce(successor, voter_set.everyone())
+        await self.announce(successor, voter_set.all_voters())
 
     async def announce(
         self,
@@ -179,6 +179,6 @@
                 await self.link.request(address, replica_set.VoterSetChosen(voter_set), REQUEST_TIMEOUT)
 
         async with supervision.Group() as group:
-            for address in dict.fromkeys((*voter_set.everyone(), *former)):
+            for address in dict.fromkeys((*voter_set.all_voters(), *former)):
                 if address not in informed:
                     group.create_task(send(address))
--- a/aspencroft/consensus/witness_state.py
+++ b/aspencroft/consensus/witness_state.py
@@ -110,7 +110,7 @@
             voter_set=voter_set,
             ballots=ballots,
             grants={},
-            voting=recorded and self.address in voter_set.everyone(),
+            voting=recorded and self.address in voter_set.all_voters(),
             leases_expired_at=now + LEASE + LEASE_MARGIN,
         )
         if not is_first_start or self.address not in voter_set.present:
@@ -163,7 +163,7 @@
         if voter_set.number <= self.voter_set.number or not self.voting:
             return Step(self, None)
         state = dataclasses.replace(self, voter_set=voter_set)
-        if self.address not in voter_set.everyone():
+        if self.address not in voter_set.all_voters():
             state = dataclasses.replace(state, voting=False, ballots={})
         return Step(state, None, written_twice(voter_set))
 
--- a/aspencroft/membership/table_exchange.py
+++ b/aspencroft/membership/table_exchange.py
@@ -107,7 +107,7 @@
         while True:
             lost = [
                 address
-                for address in (*self.seeds, *view.proposer.voter_set.everyone())
+                for address in (*self.seeds, *view.proposer.voter_set.all_voters())
                 if address != view.me.address and view.state(address) == cluster_member.DOWN
             ]
             down = [member.address for member in view.members.values() if member.state == cluster_member.DOWN]
--- a/aspencroft/node/status.py
+++ b/aspencroft/node/status.py
@@ -37,13 +37,13 @@
         suspected = detector.view.suspected
         live = [
             address
-            for address in voter_set.everyone()
+            for address in voter_set.all_voters()
             if detector.state(address) == cluster_member.LIVE and address not in suspected
         ]
         left = voter_set.losses_left(live)
         return {
             "live": live,
-            "missing": sorted(set(voter_set.everyone()) - set(live)),
+            "missing": sorted(set(voter_set.all_voters()) - set(live)),
             "losses_left": left,
             "means": MAJORITY_LOST.format(-left) if left < 0 else "",
         }
@@ -94,7 +94,7 @@
             "witness": {
                 "voting": node.witness.voting,
                 "why": node.witness_bootstrap.status_reason,
-                "roster": list(node.proposer.voter_set.everyone()),
+                "roster": list(node.proposer.voter_set.all_voters()),
                 "roster_number": node.proposer.voter_set.number,
             },
             "quorum": self.quorum(),
--- a/aspencroft/simulation/consensus_model.py
+++ b/aspencroft/simulation/consensus_model.py
@@ -598,7 +598,7 @@
         number = (own.highest // NUMBERS + 1) * NUMBERS + own.place + 4 * (own.life % 4)
         run = BallotRun(register, number, own.voter_set, NOW, purpose)
         message = replica_set.Prepare(register, number, str(own.me()), own.voter_set.number)
-        envelopes = [Envelope(own.place, address, message) for address in own.voter_set.everyone()]
+        envelopes = [Envelope(own.place, address, message) for address in own.voter_set.all_voters()]
         return dataclasses.replace(own, ballot=run, highest=number), envelopes
 
     def add_ballot_progress(self, own: Candidate, add: typing.Callable) -> None:
@@ -672,7 +672,7 @@
             message = replica_set.LeaseRequest(
                 GROUP, own.chosen.ballot, own.chosen.value, str(own.me()), witness_state.LEASE, own.voter_set.number
             )
-            envelopes = [Envelope(own.place, address, message) for address in own.voter_set.everyone()]
+            envelopes = [Envelope(own.place, address, message) for address in own.voter_set.all_voters()]
             add("asks for a lease", "leases", dataclasses.replace(own, lease=run), envelopes)
         elif own.lease is not None and ballots.is_decided(own.lease.voter_set, dict(own.lease.answers)):
             run = own.lease
@@ -763,7 +763,7 @@
     def lesson(self, node: VoterNode) -> witness_state.Step | None:
         """What the product makes of the surveys; none while too few have told."""
         told, voting = self.sources(node)
-        if node.state.address not in told.everyone() or not witness_state.has_sources_to_learn(
+        if node.state.address not in told.all_voters() or not witness_state.has_sources_to_learn(
             told, node.state.address, voting
         ):
             return None
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -359,7 +359,7 @@
             address.split(":")[0]
             for name in self.cores
             if self.alive(name) and name in self.nodes
-            for address in self.nodes[name].proposer.voter_set.everyone()
+            for address in self.nodes[name].proposer.voter_set.all_voters()
         }
         if not self.ready() or not all(self.alive(name) for name in witnesses):
             return False
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1051,7 +1051,7 @@
     Mutation(
         "nodes do not knock at seeds that they do not know to be live",
         "membership/table_exchange.py",
-        "for address in (*self.seeds, *view.proposer.voter_set.everyone())\n",
+        "for address in (*self.seeds, *view.proposer.voter_set.all_voters())\n",
         "for address in ()\n",
         ("membership/seeds_test.py",),
     ),
@@ -1113,8 +1113,8 @@
     Mutation(
         "model: a restarted voter waits out no lease",
         "consensus/witness_state.py",
-        "            voting=recorded and self.address in voter_set.everyone(),\n            leases_expired_at=now + LEASE + LEASE_MARGIN,\n",
-        "            voting=recorded and self.address in voter_set.everyone(),\n            leases_expired_at=clock.ZERO,\n",
+        "            voting=recorded and self.address in voter_set.all_voters(),\n            leases_expired_at=now + LEASE + LEASE_MARGIN,\n",
+        "            voting=recorded and self.address in voter_set.all_voters(),\n            leases_expired_at=clock.ZERO,\n",
         (
             "simulation/model_check_test.py::test_three_voters_keep_every_invariant_to_the_small_bound[3 voters: restart and lease]",
         ),
