--- a/aspencroft/consensus/proposer.py
+++ b/aspencroft/consensus/proposer.py
@@ -140,6 +140,6 @@
         return ballots.lease_outcome(voter_set, replies, chosen, started, length)
 
 
-def replica_set_of(value: bytes) -> replica_set.ReplicaSet | None:
+def decode_replica_set(value: bytes) -> replica_set.ReplicaSet | None:
     """Return the replica set in a register's value, or None if the value is empty."""
     return codec.untagged(value) if value else None
--- a/aspencroft/consensus/record_recovery.py
+++ b/aspencroft/consensus/record_recovery.py
@@ -80,7 +80,7 @@
         if not self.witness.voting:
             return unannounced
         for ballot in self.witness.ballots.values():
-            accepted = None if ballot.register == replica_set.VOTER_SET else proposer.replica_set_of(ballot.value)
+            accepted = None if ballot.register == replica_set.VOTER_SET else proposer.decode_replica_set(ballot.value)
             if accepted is None:
                 continue
             known = self.known_records.get(ballot.register)
--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -76,7 +76,7 @@
         state.role_state.begin_campaign()
         state.update_role(f"the primary {record.primary} is silent")
         chosen = await state.ballot(lambda newest: record_changes.take_over(newest, state.me(), record.primary))
-        fresh = proposer.replica_set_of(chosen.value)
+        fresh = proposer.decode_replica_set(chosen.value)
         if fresh is not None and fresh.primary == state.me():
             state.counts["takeovers"] += 1
             self.last_refusal = ""
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -320,14 +320,14 @@
         """
 
         def change(value: bytes) -> bytes:
-            record = proposer.replica_set_of(value)
+            record = proposer.decode_replica_set(value)
             if record is None:
                 raise result.RequestError(result.ResultCode.WITNESS_BLANK, detail="no record of holders yet")
             return codec.tagged(record_changes.with_newer_epoch(function(record), self.known))
 
         async with self.balloting:
             chosen = await self.proposer.change(self.group_id, str(self.me()), change)
-            fresh = proposer.replica_set_of(chosen.value)
+            fresh = proposer.decode_replica_set(chosen.value)
             assert fresh is not None, "a ballot never chooses a blank value"
             if self.me() in fresh.members():
                 await self.replica.persist_record(fresh)
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -128,7 +128,7 @@
         state.status_reason = "claiming"
         await state.replica.persist_record(state.record)
         # First a ballot: a lease is asked for only under a record that this member had chosen itself.
-        if state.lease.chosen is None or proposer.replica_set_of(state.lease.chosen.value) != state.record:
+        if state.lease.chosen is None or proposer.decode_replica_set(state.lease.chosen.value) != state.record:
             await state.ballot(lambda record: record)
             if state.record.primary != state.me():
                 return
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -112,7 +112,7 @@
         try:
             chosen = await state.ballot(lambda record: record_changes.with_backup(record, state.me(), peer))
             state.check_tenure()
-            enlisted = proposer.replica_set_of(chosen.value)
+            enlisted = proposer.decode_replica_set(chosen.value)
             if enlisted is None or peer not in state.record.backups:
                 return False
             state.counts["recruits"] += 1
