--- a/aspencroft/distribution/parent_test.py
+++ b/aspencroft/distribution/parent_test.py
@@ -125,7 +125,7 @@
         running.cancel()
         assert node.root_age() == timing.NEVER_HEARD
         message = updates.Pull("edge-1:1", (), (), b"", (), b"", b"")
-        assert node.answer_pull(message, rooted=False).root_age == timing.NEVER_HEARD
+        assert node.answer_pull(message, is_root=False).root_age == timing.NEVER_HEARD
 
     with logbook.TestHandler() as handler:
         run(scenario)
@@ -166,9 +166,9 @@
         await node.pull(ROOT)
         await clock.sleep(clock.seconds(1))
         message = updates.Pull("edge-1:1", (), (), b"", (), b"", b"")
-        assert clock.seconds(1.5) <= node.answer_pull(message, rooted=False).root_age < clock.seconds(1.6)
-        assert node.answer_pull(message, rooted=True).root_age == clock.ZERO
+        assert clock.seconds(1.5) <= node.answer_pull(message, is_root=False).root_age < clock.seconds(1.6)
+        assert node.answer_pull(message, is_root=True).root_age == clock.ZERO
         await clock.sleep(clock.seconds(1))
-        assert node.answer_pull(message, rooted=False).root_age == clock.seconds(1)
+        assert node.answer_pull(message, is_root=False).root_age == clock.seconds(1)
 
     run(scenario)
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -142,7 +142,7 @@
         """
         return self.state.next_chunk(message)
 
-    def answer_pull(self, message: updates.Pull, rooted: bool) -> updates.Pulled:
+    def answer_pull(self, message: updates.Pull, is_root: bool) -> updates.Pulled:
         """Answer a child with the updates that it lacks and a lease no longer than this node's own.
 
         A child of a relay gets a lease only after the root has counted it: the root must know every node that may act
@@ -153,7 +153,7 @@
         if subtree is None:
             self.counts["subtrees lost"] += 1
             return updates.Pulled((), control_state.NEVER, clock.ZERO, (), False, True, self.root_age())
-        if self.subtree.store(message.address, subtree) and not rooted:
+        if self.subtree.store(message.address, subtree) and not is_root:
             self.pull_soon.set()
         known = {held.topic: held.revision for held in message.have}
         missing = [
@@ -162,7 +162,7 @@
             if known.get(update.topic, control_state.NEVER) < update.revision
         ]
         missing.extend(self.state.pending_updates(known.get(updates.PLAN, control_state.NEVER)))
-        if rooted:
+        if is_root:
             self.root_heard = now
             lease = self.currency
             self.grants.grant(subtree.nodes, now + self.currency)
@@ -174,8 +174,8 @@
         counted = self.subtree.counted_nodes(
             message.address,
             subtree,
-            None if rooted else self.lease.counted,
-            None if rooted else self.lease.counted_digest,
+            None if is_root else self.lease.counted,
+            None if is_root else self.lease.counted_digest,
         )
         same = counted.digest == message.counted
         addresses = () if same else counted.addresses
--- a/aspencroft/simulation/relay_model.py
+++ b/aspencroft/simulation/relay_model.py
@@ -258,7 +258,7 @@
             subtree = asking.subtree.merge(asking.state.revision)
             message = asking.make_pull(parent, subtree)
             asking.acknowledged = ("", subtree)
-            pulled = answering.answer_pull(message, rooted=answering.root and parent == world.root)
+            pulled = answering.answer_pull(message, is_root=answering.root and parent == world.root)
             after.replies[child] = Reply(parent, clock.now(), subtree, pulled)
             yield f"{child} pulls from {parent}", after
 
