--- a/aspencroft/consensus/record_recovery.py
+++ b/aspencroft/consensus/record_recovery.py
@@ -65,7 +65,7 @@
     def overdue(self) -> list[int]:
         """Return the groups whose accepted record has been unannounced for too long; voters take turns by stagger."""
         unannounced = self.unannounced_records()
-        voters = sorted(self.proposer.voter_set.everyone())
+        voters = sorted(self.proposer.voter_set.all_voters())
         rank = voters.index(self.address) if self.address in voters else len(voters)
         now = clock.now()
         self.due_at = {key: self.due_at.get(key, now + UNANNOUNCED_DELAY + rank * VOTER_STAGGER) for key in unannounced}
@@ -80,7 +80,7 @@
         if not self.witness.voting:
             return unannounced
         for ballot in self.witness.ballots.values():
-            accepted = None if ballot.register == replica_set.VOTER_SET else proposer.replica_set_of(ballot.value)
+            accepted = None if ballot.register == replica_set.VOTER_SET else proposer.decode_replica_set(ballot.value)
             if accepted is None:
                 continue
             known = self.known_records.get(ballot.register)
--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -77,7 +77,7 @@
         state.role_state.begin_campaign()
         state.update_role(f"the primary {record.primary} is unresponsive")
         chosen = await state.ballot(lambda newest: record_changes.take_over(newest, state.me(), record.primary))
-        chosen_record = proposer.replica_set_of(chosen.value)
+        chosen_record = proposer.decode_replica_set(chosen.value)
         if chosen_record is not None and chosen_record.primary == state.me():
             state.counts["takeovers"] += 1
             self.last_refusal = ""
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -322,7 +322,7 @@
         """
 
         def change(value: bytes) -> bytes:
-            record = proposer.replica_set_of(value)
+            record = proposer.decode_replica_set(value)
             if record is None:
                 raise result.RequestError(
                     result.ResultCode.WITNESS_BLANK, detail="the witnesses hold no replica set of this group yet"
@@ -331,7 +331,7 @@
 
         async with self.balloting:
             chosen = await self.proposer.change(self.group_id, str(self.me()), change)
-            chosen_record = proposer.replica_set_of(chosen.value)
+            chosen_record = proposer.decode_replica_set(chosen.value)
             assert chosen_record is not None, "a ballot never chooses a blank value"
             if self.me() in chosen_record.members():
                 await self.replica.persist_record(chosen_record)
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -130,7 +130,7 @@
         state.status_reason = "claiming"
         await state.replica.persist_record(state.record)
         # The ballot comes first: a lease is requested only under a replica set that this member had chosen itself.
-        if state.lease.chosen is None or proposer.replica_set_of(state.lease.chosen.value) != state.record:
+        if state.lease.chosen is None or proposer.decode_replica_set(state.lease.chosen.value) != state.record:
             await state.ballot(lambda record: record)
             if state.record.primary != state.me():
                 return
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -121,7 +121,7 @@
         try:
             chosen = await state.ballot(lambda record: record_changes.with_backup(record, state.me(), peer))
             state.check_tenure()
-            chosen_record = proposer.replica_set_of(chosen.value)
+            chosen_record = proposer.decode_replica_set(chosen.value)
             if chosen_record is None or peer not in state.record.backups:
                 return False
             state.counts["recruits"] += 1
