--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -461,8 +461,8 @@
     Mutation(
         "a connection with bytes in excess is used again",
         "workers/pool.py",
-        "        if reuse and not connection.expired and not connection.buffer and now < connection.retire:\n",
-        "        if reuse and not connection.expired and now < connection.retire:\n",
+        "        if reuse and not connection.deadline_passed and not connection.buffer and now < connection.idle_until:\n",
+        "        if reuse and not connection.deadline_passed and now < connection.idle_until:\n",
         ("workers/pool_test.py",),
     ),
     Mutation(
--- a/aspencroft/workers/pool.py
+++ b/aspencroft/workers/pool.py
@@ -1,4 +1,4 @@
-"""Connections to workers: one request at a time on each, kept for the next, and never trusted longer than is safe."""
+"""HTTP/1.1 connections to workers, one request at a time on each, reused only as long as that is safe."""
 
 import asyncio
 import collections
@@ -11,163 +11,174 @@
 from aspencroft.proxy import call
 from aspencroft.runtime import clock, environment
 
-CONNECT = clock.seconds(0.5)
-SILENCE = clock.seconds(4)
-SWEEP = clock.seconds(0.25)
-IDLE = clock.seconds(4)
-MARGIN = clock.seconds(1)
-EARLIER = 0.7
-SHORTEST = clock.seconds(0.05)
-DISTRUST = clock.seconds(30)
-MOST_OPEN = 1500
-READ = 1 << 16
-LARGEST_HEAD = 1 << 16
-LARGEST_BODY = 64 << 20
-LARGEST_LINE = 4096
-MOST_INTERIM = 8
-AT_ONCE = 1 << 15
-BODIED = frozenset(("POST", "PUT", "PATCH"))
-FRAMING = frozenset((b"content-length", b"transfer-encoding", b"connection"))
-STATUS = re.compile(rb"HTTP/1\.1 ([1-9]\d\d)(?: [^\0]*)?")
-FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\0]*)")
-TARGET = re.compile(r"[\x21-\x7e\x80-\xff]+")
-METHOD = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-SIZE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[^\0]*)?")
-LENGTH = re.compile(rb"\d{1,15}")
-TIMEOUT = re.compile(rb"(?:^|[,;\s])timeout\s*=\s*(\d{1,6})", re.IGNORECASE)
+CONNECT_TIMEOUT = clock.seconds(0.5)
+SILENCE_TIMEOUT = clock.seconds(4)
+SWEEP_INTERVAL = clock.seconds(0.25)
+DEFAULT_IDLE_TIME = clock.seconds(4)
+IDLE_TIME_MARGIN = clock.seconds(1)
+EARLY_CLOSE_FACTOR = 0.7
+MIN_IDLE_TIME = clock.seconds(0.05)
+SHORT_IDLE_PERIOD = clock.seconds(30)
+MAX_OPEN = 1500
+READ_BYTES = 1 << 16
+MAX_HEAD_BYTES = 1 << 16
+MAX_BODY_BYTES = 64 << 20
+MAX_LINE_BYTES = 4096
+MAX_INTERIM_RESPONSES = 8
+MAX_INLINE_WRITE_BYTES = 1 << 15
+METHODS_WITH_BODY = frozenset(("POST", "PUT", "PATCH"))
+FRAMING_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"connection"))
+STATUS_LINE = re.compile(rb"HTTP/1\.1 ([1-9]\d\d)(?: [^\0]*)?")
+HEADER_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\0]*)")
+TARGET_PATTERN = re.compile(r"[\x21-\x7e\x80-\xff]+")
+METHOD_PATTERN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[^\0]*)?")
+CONTENT_LENGTH = re.compile(rb"\d{1,15}")
+KEEP_ALIVE_TIMEOUT = re.compile(rb"(?:^|[,;\s])timeout\s*=\s*(\d{1,6})", re.IGNORECASE)
 
 Accepts = collections.abc.Callable[[int, call.Headers], bool]
 
 
 class Lost(result.RequestError):
-    """A connection ended before any byte of an answer; ``reused`` when it had carried another request before."""
+    """A connection ended before any byte of a response.
+
+    ``reused`` says that the connection had carried another request before.
+    """
 
     def __init__(self, reused: bool, detail: str):
         super().__init__(result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, detail)
         self.reused = reused
 
 
-class Ended(Exception):
-    """The other side closed or reset the connection, or broke the protocol; the text says which."""
+class ConnectionBrokenError(Exception):
+    """The worker closed or reset the connection, or violated the protocol; the message says which."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Head:
-    r"""The head of an answer, and how its body is bounded: a length, or none for chunks."""
+    """The head of a response. ``length`` is the body's size, None for a chunked body."""
 
     status: int
     headers: call.Headers
     length: int | None
-    keeps: bool
+    keep_alive: bool
     idle: datetime.timedelta
 
 
-def head_of(raw: bytes, bodiless: bool = False) -> Head:
-    r"""The head that bytes hold (without the empty line); Ended when they are none or do not bound a body."""
+def parse_head(raw: bytes, has_no_body: bool = False) -> Head:
+    """Parse the head of a response, without the empty line after it.
+
+    :raises ConnectionBrokenError: the bytes are not a valid head, or the end of the body is unclear
+    """
     lines = raw.split(b"\r\n")
-    status = STATUS.fullmatch(lines[0])
+    status = STATUS_LINE.fullmatch(lines[0])
     if status is None or raw.count(b"\n") != len(lines) - 1 or raw.count(b"\r") != len(lines) - 1:
-        raise Ended("what came is no HTTP/1.1 head")
+        raise ConnectionBrokenError("malformed HTTP/1.1 response head")
     code, headers = int(status[1]), []
-    lengths, encodings, options, kept = set(), [], b"", b""
+    lengths, encodings, options, keep_alive_options = set(), [], b"", b""
     for line in lines[1:]:
-        field = FIELD.fullmatch(line)
+        field = HEADER_LINE.fullmatch(line)
         if field is None:
-            raise Ended("what came is no HTTP/1.1 header")
+            raise ConnectionBrokenError("malformed HTTP/1.1 header line")
         name, value = field[1], field[2].rstrip(b" \t")
         headers.append((name, value))
-        low = name.lower()
-        if low == b"content-length":
+        lower_name = name.lower()
+        if lower_name == b"content-length":
             lengths.add(value)
-        elif low == b"transfer-encoding":
+        elif lower_name == b"transfer-encoding":
             encodings.append(value.lower())
-        elif low == b"connection":
+        elif lower_name == b"connection":
             options += b"," + value.lower()
-        elif low == b"keep-alive":
-            kept += b"," + value
+        elif lower_name == b"keep-alive":
+            keep_alive_options += b"," + value
     length = None
-    if bodiless or code < 200 or code in (204, 304):
+    if has_no_body or code < 200 or code in (204, 304):
         length = 0
     elif encodings:
         if encodings != [b"chunked"] or lengths:
-            raise Ended("the body is bounded in no known way")
-    elif len(lengths) == 1 and LENGTH.fullmatch(only := next(iter(lengths))):
+            raise ConnectionBrokenError("the end of the response body is unclear")
+    elif len(lengths) == 1 and CONTENT_LENGTH.fullmatch(only := next(iter(lengths))):
         length = int(only)
     else:
-        raise Ended("the body is bounded in no known way")
-    told = TIMEOUT.search(kept)
-    idle = IDLE
-    if told is not None:
-        whole = clock.seconds(int(told[1]))
-        idle = max(whole - MARGIN, whole / 2)
+        raise ConnectionBrokenError("the end of the response body is unclear")
+    timeout_option = KEEP_ALIVE_TIMEOUT.search(keep_alive_options)
+    idle = DEFAULT_IDLE_TIME
+    if timeout_option is not None:
+        timeout = clock.seconds(int(timeout_option[1]))
+        idle = max(timeout - IDLE_TIME_MARGIN, timeout / 2)
     return Head(code, tuple(headers), length, b"close" not in [one.strip() for one in options.split(b",")], idle)
 
 
 def request_head(method: str, target: str, headers: call.Headers, size: int) -> bytes:
-    """The bytes of a request's head; MALFORMED when it could be read as anything else than what was given."""
-    if METHOD.fullmatch(method) is None or TARGET.fullmatch(target) is None:
-        raise result.RequestError(result.ResultCode.MALFORMED, detail="no method or target")
+    """Return a request's head as bytes.
+
+    :raises result.RequestError: MALFORMED if the head could be parsed as anything else than these values
+    """
+    if METHOD_PATTERN.fullmatch(method) is None or TARGET_PATTERN.fullmatch(target) is None:
+        raise result.RequestError(result.ResultCode.MALFORMED, detail="invalid HTTP method or target")
     lines = [f"{method} {target} HTTP/1.1".encode("latin-1")]
-    lines.extend(name + b": " + value for name, value in headers if name.lower() not in FRAMING)
-    if size or method in BODIED:
+    lines.extend(name + b": " + value for name, value in headers if name.lower() not in FRAMING_HEADERS)
+    if size or method in METHODS_WITH_BODY:
         lines.append(b"Content-Length: %d" % size)
     lines.extend((b"", b""))
     raw = b"\r\n".join(lines)
     if raw.count(b"\n") != len(lines) - 1 or raw.count(b"\r") != len(lines) - 1 or b"\0" in raw:
-        raise result.RequestError(result.ResultCode.MALFORMED, detail="a header holds a line's end")
+        raise result.RequestError(result.ResultCode.MALFORMED, detail="a header contains a line break or a NUL byte")
     return raw
 
 
 class Connection:
-    """One stream to a worker's address, and the bytes that came and were not looked at yet."""
+    """A connection to a worker's address, with the bytes that were received and not yet parsed."""
 
     def __init__(self, address: str, channel: environment.Channel):
         self.address = address
         self.channel = channel
         self.buffer = bytearray()
-        self.retire = clock.ZERO
-        self.since = clock.ZERO
-        self.idled = clock.ZERO
-        self.uses = 0
-        self.expired = False
-        self.timer: asyncio.TimerHandle | None = None
-        self.writing: asyncio.Task | None = None
+        self.idle_until = clock.ZERO
+        self.idle_since = clock.ZERO
+        self.idle_for = clock.ZERO
+        self.requests_sent = 0
+        self.deadline_passed = False
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.write_task: asyncio.Task | None = None
 
     async def fill(self) -> None:
-        """Wait for more bytes; Ended when none will come."""
+        """Wait for more bytes.
+
+        :raises ConnectionBrokenError: the connection was closed or reset
+        """
         try:
-            data = await self.channel.read_some(READ)
+            data = await self.channel.read_some(READ_BYTES)
         except (OSError, EOFError) as error:
-            raise Ended(f"reset: {error!r}") from None
+            raise ConnectionBrokenError(f"reset: {error!r}") from None
         if not data:
-            raise Ended("closed")
+            raise ConnectionBrokenError("closed")
         self.buffer += data
 
     async def line(self) -> bytes:
-        """The next line, without its end."""
+        """Return the next line without its line break."""
         while (end := self.buffer.find(b"\r\n")) < 0:
-            if len(self.buffer) > LARGEST_LINE:
-                raise Ended("a line without end")
+            if len(self.buffer) > MAX_LINE_BYTES:
+                raise ConnectionBrokenError("line too long")
             await self.fill()
         raw = bytes(self.buffer[:end])
         del self.buffer[: end + 2]
         return raw
 
     def expire(self) -> None:
-        """The time of the request under way is over."""
-        self.expired = True
+        """Abort the connection because the deadline of its request has passed."""
+        self.deadline_passed = True
         self.channel.abort()
 
-    def idle(self, now: datetime.timedelta) -> bool:
-        """Whether the connection may carry another request at this moment."""
-        return now < self.retire and not self.buffer and self.channel.quiet()
+    def is_reusable(self, now: datetime.timedelta) -> bool:
+        """Whether the idle connection can carry another request now."""
+        return now < self.idle_until and not self.buffer and self.channel.quiet()
 
 
 class Response:
-    """A worker's answer, whose head was read; it must be closed.
+    """A worker's response whose head was read; it must be closed.
 
-    ``status`` and ``headers`` are the worker's own; ``reused`` says that the connection carried another request
-    before.
+    ``reused`` says that the connection had carried another request before.
     """
 
     def __init__(self, pool: "Pool", connection: Connection, head: Head):
@@ -175,13 +186,16 @@
         self.connection = connection
         self.status = head.status
         self.headers = head.headers
-        self.reused = connection.uses > 0
+        self.reused = connection.requests_sent > 0
         self.head = head
         self.whole = False
         self.closed = False
 
     async def parts(self) -> collections.abc.AsyncIterator[bytes]:
-        """The body's bytes as they come; a Refusal when it is cut short or the time is over."""
+        """Yield the bytes of the body as they arrive.
+
+        :raises result.RequestError: the body was cut off, or the deadline has passed
+        """
         connection, left = self.connection, self.head.length
         buffer = connection.buffer
         try:
@@ -195,12 +209,12 @@
                         size -= len(part)
                         yield part
                     if await connection.line():
-                        raise Ended("a chunk is longer than it says")
+                        raise ConnectionBrokenError("chunk longer than its declared size")
                 trailers = 0
                 while line := await connection.line():
                     trailers += len(line)
-                    if trailers > LARGEST_HEAD or FIELD.fullmatch(line) is None:
-                        raise Ended("what came is no trailer")
+                    if trailers > MAX_HEAD_BYTES or HEADER_LINE.fullmatch(line) is None:
+                        raise ConnectionBrokenError("malformed or too large trailer")
             else:
                 while left:
                     if not buffer:
@@ -209,89 +223,94 @@
                     del buffer[:left]
                     left -= len(part)
                     yield part
-        except Ended as error:
-            raise self.broken(f"answer cut off: {error}") from None
+        except ConnectionBrokenError as error:
+            raise self.broken(f"response cut off: {error}") from None
         self.whole = True
 
     async def chunk_size(self) -> int:
-        """The size of the next chunk; 0 is the last one's."""
-        size = SIZE.fullmatch(await self.connection.line())
+        """Return the size of the next chunk, 0 for the last one."""
+        size = CHUNK_SIZE_LINE.fullmatch(await self.connection.line())
         if size is None:
-            raise Ended("what came is no chunk")
+            raise ConnectionBrokenError("malformed chunk size")
         return int(size[1], 16)
 
     async def read(self) -> bytes:
-        """The whole body, at most 64 MiB; a Refusal when it is cut short, too large or the time is over."""
+        """Return the whole body, at most 64 MiB.
+
+        :raises result.RequestError: the body was cut off or is too large, or the deadline has passed
+        """
         length, buffer = self.head.length, self.connection.buffer
         if length is not None and length <= len(buffer):
             body = bytes(buffer[:length])
             del buffer[:length]
             self.whole = True
             return body
-        if length is not None and length > LARGEST_BODY:
-            raise self.broken("answer too large")
+        if length is not None and length > MAX_BODY_BYTES:
+            raise self.broken("response body too large")
         found, size = [], 0
         async for part in self.parts():
             found.append(part)
             size += len(part)
-            if size > LARGEST_BODY:
-                raise self.broken("answer too large")
+            if size > MAX_BODY_BYTES:
+                raise self.broken("response body too large")
         return b"".join(found)
 
-    def broken(self, why: str) -> result.RequestError:
-        """Close the connection; the refusal for an answer that cannot be used."""
-        refusal = self.pool.broken(self.connection, why)
+    def broken(self, reason: str) -> result.RequestError:
+        """Close the connection and return the error for an unusable response."""
+        refusal = self.pool.broken(self.connection, reason)
         self.finish(False)
         return refusal
 
     async def close(self, reuse: bool) -> None:
-        """Give the connection back if that is safe and wanted, or close it; saying it again does nothing."""
+        """Return the connection to the pool if wanted and safe, else close it. Further calls have no effect."""
         self.finish(reuse)
 
     def finish(self, reuse: bool) -> None:
-        """What ``close`` does, at once."""
+        """Do the work of ``close`` without awaiting."""
         if self.closed:
             return
         self.closed = True
-        self.pool.end(self.connection, reuse and self.whole and self.head.keeps, self.head.idle)
+        self.pool.end(self.connection, reuse and self.whole and self.head.keep_alive, self.head.idle)
 
 
 class Pool:
     """All connections of a node to workers.
 
-    A connection is used again only after a whole answer with nothing behind it, before the worker would
-    close it by itself; where idle connections were found dead, sooner. ``most_open``
-    bounds the connections to all addresses together.
+    A connection is reused only after a complete response with no bytes after it, and only for a time in which the
+    worker does not yet close it. This time is shorter for addresses whose idle connections were found closed.
+    ``max_open`` limits the connections to all addresses together.
     """
 
-    def __init__(self, around: environment.Environment, counts: collections.Counter, most_open: int = MOST_OPEN):
-        self.environment = around
+    def __init__(
+        self, host_environment: environment.Environment, counts: collections.Counter, max_open: int = MAX_OPEN
+    ):
+        self.environment = host_environment
         self.counts = counts
-        self.most_open = most_open
+        self.max_open = max_open
         self.resting: dict[str, list[Connection]] = {}
-        self.short: dict[str, tuple[datetime.timedelta, datetime.timedelta]] = {}
+        self.shortened_idle: dict[str, tuple[datetime.timedelta, datetime.timedelta]] = {}
         self.open: collections.Counter = collections.Counter()
         self.total = 0
 
     async def run(self) -> None:
-        """Close idle connections before workers do."""
+        """Close idle connections before the workers do."""
         while True:
-            await clock.sleep(SWEEP)
-            self.sweep()
+            await clock.sleep(SWEEP_INTERVAL)
+            self.close_expired()
 
-    def sweep(self) -> None:
-        """Close the idle connections whose time is over, or on which something came."""
+    def close_expired(self) -> None:
+        """Close idle connections whose time has passed, or on which bytes or an end arrived."""
         now = clock.now()
-        self.short = {address: known for address, known in self.short.items() if known[1] > now}
+        self.shortened_idle = {address: known for address, known in self.shortened_idle.items() if known[1] > now}
         for address, resting in list(self.resting.items()):
-            kept = []
+            keep_alive_options = []
             for one in resting:
-                if one.idle(now):
-                    kept.append(one)
+                if one.is_reusable(now):
+                    keep_alive_options.append(one)
                 else:
-                    self.retire(one, now)
-            if kept:
-                self.resting[address] = kept
+                    self.close_idle(one, now)
+            if keep_alive_options:
+                self.resting[address] = keep_alive_options
             else:
                 del self.resting[address]
 
@@ -299,7 +318,7 @@
         """Close all idle connections."""
         for resting in self.resting.values():
             for one in resting:
-                self.drop(one, "worker connections retired")
+                self.close_connection(one, "worker connections retired")
         self.resting.clear()
 
     async def request(
@@ -310,55 +329,57 @@
         headers: call.Headers,
         body: bytes,
         end: datetime.timedelta,
-        most_connections: int,
+        max_connections: int,
         accepts: Accepts | None = None,
     ) -> Response:
-        """Send a request once and read the head of its answer.
+        """Send a request once and read the head of its response.
+
+        ``end`` is on the loop's clock. A response that ``accepts`` rejects belongs to another request; its
+        connection is closed.
 
-        ``end`` is on the loop's clock. An answer that ``accepts`` rejects belongs to another request: the
-        connection is closed. Refusals: UNREACHABLE, OVERLOADED (no connection is free), MALFORMED and
-        DEADLINE that were not run say that no byte of the request left; WORKER_LOST, WORKER_BROKE and
-        DEADLINE of unknown outcome that some may have.
+        :raises result.RequestError: UNREACHABLE, OVERLOADED (no connection is free), MALFORMED, or DEADLINE with
+            ``NOT_RUN`` if no byte of the request was sent; WORKER_LOST, WORKER_BROKE, or DEADLINE with an unknown
+            outcome if some bytes may have been sent
         """
         raw = request_head(method, target, headers, len(body)) + body
-        connection = await self.obtain(address, end, most_connections)
-        connection.timer = asyncio.get_running_loop().call_at(end.total_seconds(), connection.expire)
+        connection = await self.acquire(address, end, max_connections)
+        connection.deadline_timer = asyncio.get_running_loop().call_at(end.total_seconds(), connection.expire)
         try:
             await self.send(connection, raw)
             head = await self.receive(connection, method == "HEAD")
             if accepts is not None and not accepts(head.status, head.headers):
                 self.counts["worker answers in excess"] += 1
-                raise self.broken(connection, "an answer to another request came")
+                raise self.broken(connection, "received the response to another request")
             return Response(self, connection, head)
         except BaseException:
             self.end(connection, False, clock.ZERO)
             raise
 
-    async def obtain(self, address: str, end: datetime.timedelta, most_connections: int) -> Connection:
-        """An idle connection, the one used last first, or a new one."""
+    async def acquire(self, address: str, end: datetime.timedelta, max_connections: int) -> Connection:
+        """Return the most recently used idle connection, or open a new one."""
         now = clock.now()
         resting = self.resting.get(address)
         while resting:
             one = resting.pop()
-            if one.idle(now):
+            if one.is_reusable(now):
                 self.counts["worker connections reused"] += 1
-                one.idled = now - one.since
+                one.idle_for = now - one.idle_since
                 return one
-            self.retire(one, now)
+            self.close_idle(one, now)
         if now >= end:
             raise result.RequestError(result.ResultCode.DEADLINE)
-        if self.open[address] >= most_connections or (self.total >= self.most_open and not self.make_room()):
+        if self.open[address] >= max_connections or (self.total >= self.max_open and not self.evict_idle()):
             raise result.RequestError(result.ResultCode.OVERLOADED, detail="no connection to the worker is free")
         self.open[address] += 1
         self.total += 1
         self.counts["worker connections"] += 1
         channel = None
         try:
-            async with clock.limit(min(CONNECT, end - now)):
+            async with clock.limit(min(CONNECT_TIMEOUT, end - now)):
                 channel = await self.environment.network.connect(address)
-            channel.watch(SILENCE)
+            channel.watch(SILENCE_TIMEOUT)
         except BaseException as error:
-            self.forget(address)
+            self.release_slot(address)
             if channel is not None:
                 channel.abort()
             if isinstance(error, (OSError, TimeoutError)):
@@ -368,131 +389,134 @@
             raise
         if clock.now() >= end:
             channel.abort()
-            self.forget(address)
+            self.release_slot(address)
             raise result.RequestError(result.ResultCode.DEADLINE)
         return Connection(address, channel)
 
     async def send(self, connection: Connection, raw: bytes) -> None:
-        """Write a request; a large one beside reading, as a worker may answer before it read all."""
-        if len(raw) > AT_ONCE:
-            connection.writing = asyncio.ensure_future(connection.channel.write(raw))
-            connection.writing.add_done_callback(lambda task: task.cancelled() or task.exception())
+        """Write a request; a large one while reading, as a worker may respond before it has read everything."""
+        if len(raw) > MAX_INLINE_WRITE_BYTES:
+            connection.write_task = asyncio.ensure_future(connection.channel.write(raw))
+            connection.write_task.add_done_callback(lambda task: task.cancelled() or task.exception())
             return
         try:
             await connection.channel.write(raw)
         except OSError as error:
             raise self.lost(connection, f"{error!r}") from None
 
-    async def receive(self, connection: Connection, bodiless: bool) -> Head:
-        """The head of the answer, after any interim ones."""
+    async def receive(self, connection: Connection, has_no_body: bool) -> Head:
+        """Read the head of the response, skipping interim responses."""
         buffer, interim = connection.buffer, 0
         while True:
             while (end := buffer.find(b"\r\n\r\n")) < 0:
-                if len(buffer) > LARGEST_HEAD:
-                    raise self.broken(connection, "a head without end")
+                if len(buffer) > MAX_HEAD_BYTES:
+                    raise self.broken(connection, "response head too large")
                 try:
                     await connection.fill()
-                except Ended as error:
+                except ConnectionBrokenError as error:
                     if buffer:
-                        raise self.broken(connection, f"head cut off: {error}") from None
+                        raise self.broken(connection, f"response head cut off: {error}") from None
                     raise self.lost(connection, f"{error}") from None
                 if not b"HTTP/1.1 ".startswith(buffer[:9]):
-                    raise self.broken(connection, "what came is no answer")
+                    raise self.broken(connection, "received bytes are not an HTTP/1.1 response")
             try:
-                head = head_of(bytes(buffer[:end]), bodiless)
-            except Ended as error:
+                head = parse_head(bytes(buffer[:end]), has_no_body)
+            except ConnectionBrokenError as error:
                 raise self.broken(connection, f"{error}") from None
             del buffer[: end + 4]
             if head.status >= 200:
                 return head
             interim += 1
-            if head.status == 101 or interim > MOST_INTERIM:
-                raise self.broken(connection, f"interim answer {head.status}")
+            if head.status == 101 or interim > MAX_INTERIM_RESPONSES:
+                raise self.broken(connection, f"unexpected interim response {head.status}")
 
-    def lost(self, connection: Connection, why: str) -> result.RequestError:
-        """The refusal for a request whose connection ended before any byte of an answer."""
-        if connection.expired:
+    def lost(self, connection: Connection, reason: str) -> result.RequestError:
+        """Return the error for a request whose connection ended before any byte of a response."""
+        if connection.deadline_passed:
             return result.RequestError(result.ResultCode.DEADLINE, result.Ran.UNKNOWN)
         self.counts["worker connections lost"] += 1
-        if connection.uses:
+        if connection.requests_sent:
             self.counts["worker connections dead when used again"] += 1
-            self.distrust(connection.address, connection.idled / 2)
-        return Lost(connection.uses > 0, f"{connection.address}, use {connection.uses + 1}: {why}"[:300])
+            self.shorten_idle_time(connection.address, connection.idle_for / 2)
+        return Lost(
+            connection.requests_sent > 0,
+            f"{connection.address}, request {connection.requests_sent + 1} on the connection: {reason}"[:300],
+        )
 
-    def retire(self, connection: Connection, now: datetime.timedelta) -> None:
-        """Close an idle connection; if the worker closed it first, the next ones are to be quicker."""
-        if now < connection.retire:
+    def close_idle(self, connection: Connection, now: datetime.timedelta) -> None:
+        """Close an idle connection; if the worker closed it first, later ones are kept for a shorter time."""
+        if now < connection.idle_until:
             self.counts["worker connections closed while idle"] += 1
-            self.distrust(connection.address, (now - connection.since) * EARLIER)
-        self.drop(connection, "worker connections retired")
+            self.shorten_idle_time(connection.address, (now - connection.idle_since) * EARLY_CLOSE_FACTOR)
+        self.close_connection(connection, "worker connections retired")
 
-    def distrust(self, address: str, span: datetime.timedelta) -> None:
-        """Idle connections to an address die early: for a while keep them idle for no longer than this."""
+    def shorten_idle_time(self, address: str, span: datetime.timedelta) -> None:
+        """Limit the idle time of connections to an address for a while, because the worker closes them early."""
         now = clock.now()
-        before, _ = self.short.get(address, (IDLE, now))
-        span = max(SHORTEST, min(before, span))
-        self.short[address] = (span, now + DISTRUST)
+        before, _ = self.shortened_idle.get(address, (DEFAULT_IDLE_TIME, now))
+        span = max(MIN_IDLE_TIME, min(before, span))
+        self.shortened_idle[address] = (span, now + SHORT_IDLE_PERIOD)
         for one in self.resting.get(address, ()):
-            one.retire = min(one.retire, one.since + span)
+            one.idle_until = min(one.idle_until, one.idle_since + span)
 
-    def broken(self, connection: Connection, why: str) -> result.RequestError:
-        """The refusal for an answer that cannot be used."""
-        if connection.expired:
+    def broken(self, connection: Connection, reason: str) -> result.RequestError:
+        """Return the error for an unusable response."""
+        if connection.deadline_passed:
             return result.RequestError(result.ResultCode.DEADLINE, result.Ran.UNKNOWN)
         self.counts["worker answers broken"] += 1
         return result.RequestError(
             result.ResultCode.WORKER_BROKE,
             result.Ran.UNKNOWN,
-            f"{connection.address}, use {connection.uses + 1}: {why}"[:300],
+            f"{connection.address}, request {connection.requests_sent + 1} on the connection: {reason}"[:300],
         )
 
     def end(self, connection: Connection, reuse: bool, idle: datetime.timedelta) -> None:
-        """A request is over: keep its connection for the next, or close it."""
-        if connection.timer is not None:
-            connection.timer.cancel()
-            connection.timer = None
-        writing, connection.writing = connection.writing, None
-        if writing is not None and (not writing.done() or writing.cancelled() or writing.exception()):
-            writing.cancel()
+        """Finish a request: keep its connection for the next one, or close it."""
+        if connection.deadline_timer is not None:
+            connection.deadline_timer.cancel()
+            connection.deadline_timer = None
+        write_task, connection.write_task = connection.write_task, None
+        if write_task is not None and (not write_task.done() or write_task.cancelled() or write_task.exception()):
+            write_task.cancel()
             reuse = False
-        connection.uses += 1
+        connection.requests_sent += 1
         now = clock.now()
-        if connection.address in self.short:
-            span, until = self.short[connection.address]
+        if connection.address in self.shortened_idle:
+            span, until = self.shortened_idle[connection.address]
             if now < until:
                 idle = min(idle, span)
             else:
-                del self.short[connection.address]
-        connection.since, connection.retire = now, now + idle
-        if reuse and not connection.expired and not connection.buffer and now < connection.retire:
+                del self.shortened_idle[connection.address]
+        connection.idle_since, connection.idle_until = now, now + idle
+        if reuse and not connection.deadline_passed and not connection.buffer and now < connection.idle_until:
             self.resting.setdefault(connection.address, []).append(connection)
             return
         if reuse and connection.buffer:
             self.counts["worker bytes in excess"] += 1
-        self.drop(connection, "worker connections closed")
+        self.close_connection(connection, "worker connections closed")
 
-    def drop(self, connection: Connection, why: str) -> None:
-        """Close a connection."""
-        self.counts[why] += 1
+    def close_connection(self, connection: Connection, reason: str) -> None:
+        """Close a connection and count the reason."""
+        self.counts[reason] += 1
         connection.channel.abort()
-        self.forget(connection.address)
+        self.release_slot(connection.address)
 
-    def forget(self, address: str) -> None:
-        """One connection fewer."""
+    def release_slot(self, address: str) -> None:
+        """Count one connection to an address less."""
         self.total -= 1
         self.open[address] -= 1
         if not self.open[address]:
             del self.open[address]
 
-    def make_room(self) -> bool:
-        """Close the idle connection that would be retired first; whether there was one."""
+    def evict_idle(self) -> bool:
+        """Close the idle connection that would expire first; return whether there was one."""
         found = min(
             (resting[0] for resting in self.resting.values() if resting),
-            key=lambda one: one.retire,
+            key=lambda one: one.idle_until,
             default=None,
         )
         if found is None:
             return False
         self.resting[found.address].remove(found)
-        self.drop(found, "worker connections retired")
+        self.close_connection(found, "worker connections retired")
         return True
--- a/aspencroft/workers/pool_test.py
+++ b/aspencroft/workers/pool_test.py
@@ -1,4 +1,4 @@
-"""Connections to workers, against scripted workers on simulated streams and on loopback."""
+"""Connections to workers, tested with scripted workers on simulated streams and on loopback."""
 
 import asyncio
 import collections
@@ -18,8 +18,8 @@
 HEADERS = ((b"Host", b"h.example"), (b"X-Test-Call", b"1"))
 
 
-async def taken(channel) -> bytes:
-    """One request as it came, or nothing when the caller closed."""
+async def read_request(channel) -> bytes:
+    """Return the next request as received, or nothing if the client closed the connection."""
     raw = b""
     while b"\r\n\r\n" not in raw:
         data = await channel.read_some(1 << 16)
@@ -37,31 +37,33 @@
 
 
 class PoolHarness:
-    """A pool and a scripted worker in a simulated world; ``came`` holds each connection's requests."""
+    """A pool and a scripted worker in simulated time; ``received`` has the requests of each connection."""
 
     def __init__(self, script: collections.abc.Callable, seed: int = 1):
         self.loop = loop.SimLoop()
         self.wire = wire.Wire(self.loop, random.Random(seed), wire.Weather(jitter=0.0))
         self.script = script
         self.conversations: list[asyncio.Future] = []
-        self.came: list[list[bytes]] = []
+        self.received: list[list[bytes]] = []
         self.counts = collections.Counter()
-        around = environment.Environment(wire.SimNetwork(self.wire, "edge"), None, None, random.Random(seed), None)
-        self.pool = pools.Pool(around, self.counts)
+        simulated_environment = environment.Environment(
+            wire.SimNetwork(self.wire, "edge"), None, None, random.Random(seed), None
+        )
+        self.pool = pools.Pool(simulated_environment, self.counts)
 
     async def serve(self) -> None:
-        """Be the worker."""
+        """Run the worker."""
         accepted = await wire.SimNetwork(self.wire, "worker").listen(WORKER)
         while True:
             channel = await accepted.get()
-            self.came.append([])
-            self.conversations.append(asyncio.ensure_future(self.converse(channel, len(self.came) - 1)))
+            self.received.append([])
+            self.conversations.append(asyncio.ensure_future(self.converse(channel, len(self.received) - 1)))
 
     async def converse(self, channel, connection: int) -> None:
-        """One connection of the worker: ``script(connection, number)`` gives bytes to send, or None to close."""
-        while raw := await taken(channel):
-            self.came[connection].append(raw)
-            for part in self.script(connection, len(self.came[connection]) - 1):
+        """Serve one connection: ``script(connection, number)`` yields bytes to send, pauses, or None to close."""
+        while raw := await read_request(channel):
+            self.received[connection].append(raw)
+            for part in self.script(connection, len(self.received[connection]) - 1):
                 if part is None:
                     channel.close()
                 elif isinstance(part, float):
@@ -69,10 +71,12 @@
                 else:
                     await channel.write(part)
 
-    async def ask(self, method: str = "GET", body: bytes = b"", within: float = 2.0, most: int = 8, accepts=None):
-        """One request, its answer read whole, and the connection given back."""
+    async def fetch(
+        self, method: str = "GET", body: bytes = b"", within: float = 2.0, max_connections: int = 8, accepts=None
+    ):
+        """Send one request, read its whole response and return the connection to the pool."""
         response = await self.pool.request(
-            WORKER, method, "/a?b=1", HEADERS, body, clock.now() + clock.seconds(within), most, accepts
+            WORKER, method, "/a?b=1", HEADERS, body, clock.now() + clock.seconds(within), max_connections, accepts
         )
         try:
             return response.status, await response.read()
@@ -80,15 +84,15 @@
             await response.close(True)
 
     async def refused(self, **named) -> tuple[result.ResultCode, result.Ran]:
-        """The refusal that a request ends in."""
+        """Return the result code and run state of a request that must fail."""
         try:
-            answer = await self.ask(**named)
+            answer = await self.fetch(**named)
         except result.RequestError as refusal:
             return refusal.result, refusal.ran
         raise AssertionError(answer)
 
 
-def play(script: collections.abc.Callable, scenario: collections.abc.Callable) -> PoolHarness:
+def run_scenario(script: collections.abc.Callable, scenario: collections.abc.Callable) -> PoolHarness:
     """Run a scenario with a scripted worker."""
     harness = PoolHarness(script)
 
@@ -104,22 +108,22 @@
     return harness
 
 
-BROKE = (result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN)
+BROKEN = (result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN)
 LOST = (result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN)
-LATE = (result.ResultCode.DEADLINE, result.Ran.UNKNOWN)
-FULL = (result.ResultCode.OVERLOADED, result.Ran.NOT_RUN)
-AWAY = (result.ResultCode.UNREACHABLE, result.Ran.NOT_RUN)
+DEADLINE_PASSED = (result.ResultCode.DEADLINE, result.Ran.UNKNOWN)
+NO_FREE_CONNECTION = (result.ResultCode.OVERLOADED, result.Ran.NOT_RUN)
+NOT_CONNECTED = (result.ResultCode.UNREACHABLE, result.Ran.NOT_RUN)
 
 
 def test_requests_are_written_exactly_and_the_last_connection_is_used_again():
     async def scenario(harness):
-        assert await harness.ask() == (200, b"ok")
-        assert await harness.ask("POST", b"xyz") == (200, b"ok")
-        assert await harness.ask("POST") == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
+        assert await harness.fetch("POST", b"xyz") == (200, b"ok")
+        assert await harness.fetch("POST") == (200, b"ok")
 
-    harness = play(lambda connection, number: [OK % b"1"], scenario)
+    harness = run_scenario(lambda connection, number: [OK % b"1"], scenario)
     start = b" /a?b=1 HTTP/1.1\r\nHost: h.example\r\nX-Test-Call: 1\r\n"
-    assert harness.came == [
+    assert harness.received == [
         [
             b"GET" + start + b"\r\n",
             b"POST" + start + b"Content-Length: 3\r\n\r\nxyz",
@@ -157,9 +161,9 @@
 
         async def scenario(harness):
             for _ in range(2):
-                assert await harness.ask() == (200, b"abc0123456789")
+                assert await harness.fetch() == (200, b"abc0123456789")
 
-        assert len(play(lambda connection, number: pieces, scenario).came) == 1, size
+        assert len(run_scenario(lambda connection, number: pieces, scenario).received) == 1, size
 
 
 def test_parts_come_as_they_are_sent():
@@ -169,7 +173,7 @@
         await response.close(True)
         assert [part for part, _ in came] == [b"ab", b"cd"] and came[1][1] - came[0][1] >= 0.9
 
-    play(
+    run_scenario(
         lambda connection, number: [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
             1.0,
@@ -181,10 +185,10 @@
 
 def test_answers_without_a_body_leave_the_connection_sound():
     async def scenario(harness):
-        assert await harness.ask("HEAD") == (200, b"")
-        assert await harness.ask() == (204, b"")
-        assert await harness.ask() == (304, b"")
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch("HEAD") == (200, b"")
+        assert await harness.fetch() == (204, b"")
+        assert await harness.fetch() == (304, b"")
+        assert await harness.fetch() == (200, b"ok")
 
     answers = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
@@ -192,21 +196,21 @@
         b"HTTP/1.1 304 Not Modified\r\nContent-Length: 7\r\n\r\n",
         OK % b"1",
     ]
-    assert len(play(lambda connection, number: [answers[number]], scenario).came) == 1
+    assert len(run_scenario(lambda connection, number: [answers[number]], scenario).received) == 1
 
 
 def test_interim_answers_are_passed_over_but_not_for_ever():
     interim = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 
     async def sound(harness):
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
 
     async def endless(harness):
-        assert await harness.refused() == BROKE
+        assert await harness.refused() == BROKEN
 
-    play(lambda connection, number: [interim * 3 + OK % b"1"], sound)
-    play(lambda connection, number: [interim * 30 + OK % b"1"], endless)
-    play(lambda connection, number: [b"HTTP/1.1 101 Switching Protocols\r\n\r\n" + OK % b"1"], endless)
+    run_scenario(lambda connection, number: [interim * 3 + OK % b"1"], sound)
+    run_scenario(lambda connection, number: [interim * 30 + OK % b"1"], endless)
+    run_scenario(lambda connection, number: [b"HTTP/1.1 101 Switching Protocols\r\n\r\n" + OK % b"1"], endless)
 
 
 def test_what_is_no_whole_answer_is_broken_and_its_connection_closed():
@@ -247,12 +251,12 @@
     for parts in [[raw] for raw in broken] + [[raw, None] for raw in cut]:
 
         async def scenario(harness):
-            assert await harness.refused() == BROKE, parts
+            assert await harness.refused() == BROKEN, parts
             assert harness.pool.total == 0 and not harness.pool.resting
-            assert await harness.ask() == (200, b"ok")
+            assert await harness.fetch() == (200, b"ok")
 
-        harness = play(lambda connection, number: parts if connection == 0 else [OK % b"1"], scenario)
-        assert len(harness.came) == 2 and harness.counts["worker answers broken"] == 1, parts
+        harness = run_scenario(lambda connection, number: parts if connection == 0 else [OK % b"1"], scenario)
+        assert len(harness.received) == 2 and harness.counts["worker answers broken"] == 1, parts
 
 
 def test_a_stream_that_is_cut_raises_after_its_parts():
@@ -264,12 +268,12 @@
                 came.append(part)
             raise AssertionError("looked complete")
         except result.RequestError as refusal:
-            assert (refusal.result, refusal.ran) == BROKE
-        assert came == [b"ab"] and harness.pool.total == 0, "closed at once, whoever forgets to"
+            assert (refusal.result, refusal.ran) == BROKEN
+        assert came == [b"ab"] and harness.pool.total == 0, "closed at once, even if the caller does not close it"
         await response.close(True)
         assert harness.pool.total == 0
 
-    play(
+    run_scenario(
         lambda connection, number: [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
             None,
@@ -281,24 +285,26 @@
 def test_a_connection_that_ends_before_any_answer_leaves_it_unknown_whether_the_request_ran():
     async def scenario(harness):
         assert await harness.refused() == LOST
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         assert await harness.refused() == LOST
 
-    harness = play(lambda connection, number: [OK % b"1"] if (connection, number) == (1, 0) else [None], scenario)
-    assert [len(one) for one in harness.came] == [1, 2], "sent once each"
+    harness = run_scenario(
+        lambda connection, number: [OK % b"1"] if (connection, number) == (1, 0) else [None], scenario
+    )
+    assert [len(one) for one in harness.received] == [1, 2], "sent once each"
 
 
 def test_surplus_bytes_are_never_taken_for_the_next_answer():
     async def scenario(harness):
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(0.5)
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
 
     for surplus in (OK % b"0", b"\r\n", b"x"):
-        harness = play(lambda connection, number: [OK % b"1" + surplus], scenario)
-        assert len(harness.came) == 2 and harness.counts["worker bytes in excess"] == 2
-        harness = play(lambda connection, number: [OK % b"1", 0.1, surplus], scenario)
-        assert len(harness.came) == 2, "surplus that came on an idle connection"
+        harness = run_scenario(lambda connection, number: [OK % b"1" + surplus], scenario)
+        assert len(harness.received) == 2 and harness.counts["worker bytes in excess"] == 2
+        harness = run_scenario(lambda connection, number: [OK % b"1", 0.1, surplus], scenario)
+        assert len(harness.received) == 2, "surplus that came on an idle connection"
 
 
 def test_an_answer_in_the_place_of_the_next_is_told_apart_and_closes_the_connection():
@@ -306,17 +312,19 @@
         return dict(headers).get(b"X-Test-Call") == b"1"
 
     async def scenario(harness):
-        assert await harness.ask(accepts=accepts) == (200, b"ok")
-        assert await harness.refused(accepts=accepts) == BROKE
-        assert await harness.ask(accepts=accepts) == (200, b"ok")
+        assert await harness.fetch(accepts=accepts) == (200, b"ok")
+        assert await harness.refused(accepts=accepts) == BROKEN
+        assert await harness.fetch(accepts=accepts) == (200, b"ok")
         assert harness.counts["worker answers in excess"] == 1
 
-    harness = play(lambda connection, number: [OK % (b"0" if (connection, number) == (0, 1) else b"1")], scenario)
-    assert [len(one) for one in harness.came] == [2, 1]
+    harness = run_scenario(
+        lambda connection, number: [OK % (b"0" if (connection, number) == (0, 1) else b"1")], scenario
+    )
+    assert [len(one) for one in harness.received] == [2, 1]
 
 
 def test_connections_that_are_to_close_are_not_used_again():
-    for said in (
+    for header in (
         b"Connection: close",
         b"connection: Keep-Alive, CLOSE",
         b"Connection: a\r\nConnection: close",
@@ -325,14 +333,14 @@
 
         async def scenario(harness):
             for _ in range(2):
-                assert await harness.ask() == (200, b"ok")
+                assert await harness.fetch() == (200, b"ok")
 
-        answer = b"HTTP/1.1 200 OK\r\n" + said + b"\r\nContent-Length: 2\r\n\r\nok"
-        assert len(play(lambda connection, number: [answer], scenario).came) == 2, said
+        answer = b"HTTP/1.1 200 OK\r\n" + header + b"\r\nContent-Length: 2\r\n\r\nok"
+        assert len(run_scenario(lambda connection, number: [answer], scenario).received) == 2, header
 
 
 def test_idle_connections_are_retired_before_the_worker_closes_them():
-    for said, pause, connections in (
+    for header, pause, expected_connections in (
         (b"timeout=5, max=9", 3.9, 1),
         (b"timeout=5", 4.1, 2),
         (b"Timeout=2", 0.9, 1),
@@ -342,57 +350,57 @@
         (b"none", 3.9, 1),
         (b"none", 4.1, 2),
     ):
-        for swept in (False, True):
+        for runs_sweep in (False, True):
 
             async def scenario(harness):
-                assert await harness.ask() == (200, b"ok")
-                sweeping = asyncio.ensure_future(harness.pool.run()) if swept else None
+                assert await harness.fetch() == (200, b"ok")
+                sweep_task = asyncio.ensure_future(harness.pool.run()) if runs_sweep else None
                 await asyncio.sleep(pause)
-                assert await harness.ask() == (200, b"ok")
-                if sweeping is not None:
-                    sweeping.cancel()
+                assert await harness.fetch() == (200, b"ok")
+                if sweep_task is not None:
+                    sweep_task.cancel()
 
-            answer = b"HTTP/1.1 200 OK\r\nKeep-Alive: " + said + b"\r\nContent-Length: 2\r\n\r\nok"
-            assert len(play(lambda connection, number: [answer], scenario).came) == connections, (
-                said,
+            answer = b"HTTP/1.1 200 OK\r\nKeep-Alive: " + header + b"\r\nContent-Length: 2\r\n\r\nok"
+            assert len(run_scenario(lambda connection, number: [answer], scenario).received) == expected_connections, (
+                header,
                 pause,
-                swept,
+                runs_sweep,
             )
 
 
 def test_a_connection_closed_while_idle_is_not_used_and_is_swept():
     async def scenario(harness):
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(0.5)
-        harness.pool.sweep()
+        harness.pool.close_expired()
         assert harness.pool.total == 0
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(0.5)
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
 
-    assert len(play(lambda connection, number: [OK % b"1", 0.1, None], scenario).came) == 3
+    assert len(run_scenario(lambda connection, number: [OK % b"1", 0.1, None], scenario).received) == 3
 
 
 def test_a_worker_that_closes_idle_connections_early_without_saying_so_is_learnt():
     async def scenario(harness):
         running = asyncio.ensure_future(harness.pool.run())
         for _ in range(2):
-            assert await harness.ask() == (200, b"ok")
+            assert await harness.fetch() == (200, b"ok")
             await asyncio.sleep(3)
         assert harness.counts["worker connections closed while idle"] == 1
         assert harness.counts["worker connections retired"] == 2
         running.cancel()
 
-    play(lambda connection, number: [OK % b"1", 0.8, None], scenario)
+    run_scenario(lambda connection, number: [OK % b"1", 0.8, None], scenario)
 
 
 def test_a_dead_or_silent_address_says_that_nothing_ran_within_half_a_second():
     async def scenario(harness):
         harness.wire.listeners.pop(WORKER)
-        assert await harness.refused() == AWAY
+        assert await harness.refused() == NOT_CONNECTED
         harness.wire.cut(["edge"], ["worker"])
         began = harness.loop.time()
-        assert await harness.refused() == AWAY
+        assert await harness.refused() == NOT_CONNECTED
         assert 0.4 < harness.loop.time() - began < 0.6
         began = harness.loop.time()
         assert await harness.refused(within=0.2) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
@@ -400,7 +408,7 @@
         assert await harness.refused(within=-1) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
         assert harness.pool.total == 0 and not harness.pool.open
 
-    play(lambda connection, number: [OK % b"1"], scenario)
+    run_scenario(lambda connection, number: [OK % b"1"], scenario)
 
 
 def test_a_connection_that_breaks_as_it_comes_up_says_that_nothing_ran():
@@ -418,38 +426,38 @@
 
         made = []
         harness.pool.environment.network.connect = breaking
-        assert await harness.refused() == AWAY
+        assert await harness.refused() == NOT_CONNECTED
         await asyncio.sleep(0.1)
-        assert harness.pool.total == 0 and harness.came == [[]] and not made[0].quiet()
+        assert harness.pool.total == 0 and harness.received == [[]] and not made[0].quiet()
 
-    play(lambda connection, number: [OK % b"1"], scenario)
+    run_scenario(lambda connection, number: [OK % b"1"], scenario)
 
 
 def test_silence_ends_at_the_deadline_only_in_head_and_body():
     async def scenario(harness):
         for _ in range(2):
             began = harness.loop.time()
-            assert await harness.refused(within=1.5) == LATE
+            assert await harness.refused(within=1.5) == DEADLINE_PASSED
             assert abs(harness.loop.time() - began - 1.5) < 0.01
             assert harness.pool.total == 0
 
-    harness = play(
+    harness = run_scenario(
         lambda connection, number: [] if connection == 0 else [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"],
         scenario,
     )
-    assert len(harness.came) == 2 and not harness.counts["worker answers broken"]
+    assert len(harness.received) == 2 and not harness.counts["worker answers broken"]
 
 
 def test_a_caller_that_goes_away_closes_the_connection():
     async def scenario(harness):
         for pause in (0.0002, 0.1):
-            asking = asyncio.ensure_future(harness.ask())
+            request_task = asyncio.ensure_future(harness.fetch())
             await asyncio.sleep(pause)
-            asking.cancel()
-            await asyncio.wait([asking])
-            assert asking.cancelled() and harness.pool.total == 0 and not harness.pool.open
+            request_task.cancel()
+            await asyncio.wait([request_task])
+            assert request_task.cancelled() and harness.pool.total == 0 and not harness.pool.open
 
-    play(lambda connection, number: [1.0, OK % b"1"], scenario)
+    run_scenario(lambda connection, number: [1.0, OK % b"1"], scenario)
 
 
 def test_an_answer_left_unread_is_not_followed_by_another():
@@ -458,47 +466,49 @@
         await response.close(True)
         await response.close(True)
         assert harness.pool.total == 0
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         response = await harness.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         await response.read()
         await response.close(False)
         assert harness.pool.total == 0
 
-    assert len(play(lambda connection, number: [OK % b"1"], scenario).came) == 2
+    assert len(run_scenario(lambda connection, number: [OK % b"1"], scenario).received) == 2
     slow = [(OK % b"1")[:-2], 0.2, b"ok"]
-    assert len(play(lambda connection, number: slow if connection == 0 else [OK % b"1"], scenario).came) == 2
+    assert (
+        len(run_scenario(lambda connection, number: slow if connection == 0 else [OK % b"1"], scenario).received) == 2
+    )
 
 
 def test_where_idle_connections_are_found_dead_they_are_kept_for_a_shorter_time_for_a_while():
     async def scenario(harness):
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(2)
         try:
-            raise AssertionError(await harness.ask())
+            raise AssertionError(await harness.fetch())
         except pools.Lost as lost:
             assert lost.reused
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(0.8)
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(1.2)
-        assert await harness.ask() == (200, b"ok")
-        assert [len(one) for one in harness.came] == [2, 2, 1], "idle for a second at most"
+        assert await harness.fetch() == (200, b"ok")
+        assert [len(one) for one in harness.received] == [2, 2, 1], "idle for a second at most"
         await asyncio.sleep(31)
-        assert await harness.ask() == (200, b"ok")
+        assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(3)
-        assert await harness.ask() == (200, b"ok")
-        assert [len(one) for one in harness.came] == [2, 2, 1, 2]
+        assert await harness.fetch() == (200, b"ok")
+        assert [len(one) for one in harness.received] == [2, 2, 1, 2]
 
-    play(lambda connection, number: [None] if (connection, number) == (0, 1) else [OK % b"1"], scenario)
+    run_scenario(lambda connection, number: [None] if (connection, number) == (0, 1) else [OK % b"1"], scenario)
 
 
 def test_connections_are_bounded_by_address_and_by_all():
     async def scenario(harness):
-        harness.pool.most_open = 3
+        harness.pool.max_open = 3
         async with asyncio.TaskGroup() as group:
-            tasks = [group.create_task(harness.ask(most=2)) for _ in range(2)]
+            tasks = [group.create_task(harness.fetch(max_connections=2)) for _ in range(2)]
             await asyncio.sleep(0.1)
-            assert await harness.refused(most=2) == FULL
+            assert await harness.refused(max_connections=2) == NO_FREE_CONNECTION
         assert [task.result() for task in tasks] == [(200, b"ok")] * 2
         accepted = await wire.SimNetwork(harness.wire, "worker").listen("other:80")
         response = asyncio.ensure_future(
@@ -510,49 +520,52 @@
             harness.pool.request("third:80", "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         )
         await accepted.get()
-        assert harness.pool.total == 3 and harness.pool.open[WORKER] == 1, "an idle one gave way"
+        assert harness.pool.total == 3 and harness.pool.open[WORKER] == 1, "an idle connection was closed to make room"
         response.cancel()
         more.cancel()
 
-    play(lambda connection, number: [0.5, OK % b"1"], scenario)
+    run_scenario(lambda connection, number: [0.5, OK % b"1"], scenario)
 
 
 def test_the_connection_used_last_is_used_first():
     async def scenario(harness):
-        await asyncio.gather(*[harness.ask() for _ in range(3)])
+        await asyncio.gather(*[harness.fetch() for _ in range(3)])
         for _ in range(4):
-            await harness.ask()
+            await harness.fetch()
 
-    harness = play(lambda connection, number: [0.01 * connection, OK % b"1"], scenario)
-    assert sorted(len(one) for one in harness.came) == [1, 1, 5]
+    harness = run_scenario(lambda connection, number: [0.01 * connection, OK % b"1"], scenario)
+    assert sorted(len(one) for one in harness.received) == [1, 1, 5]
 
 
 def test_all_faults_at_once_never_mix_answers_nor_leak_connections():
     for seed in range(40):
-        chance = random.Random(seed)
+        randomness = random.Random(seed)
 
         def script(connection, number):
-            wanted = harness.came[connection][number].split(b"X-Test-Call: ")[1].split(b"\r\n")[0]
+            call_id = harness.received[connection][number].split(b"X-Test-Call: ")[1].split(b"\r\n")[0]
             whole = (
-                b"HTTP/1.1 200 OK\r\nX-Test-Call: " + wanted + b"\r\nContent-Length: %d\r\n\r\n" % len(wanted) + wanted
+                b"HTTP/1.1 200 OK\r\nX-Test-Call: "
+                + call_id
+                + b"\r\nContent-Length: %d\r\n\r\n" % len(call_id)
+                + call_id
             )
-            lot = chance.random()
-            if lot < 0.1:
-                return [whole[: chance.randrange(len(whole))], None]
-            if lot < 0.2:
-                return [whole, chance.choice([0.0, 0.01, 0.3]), OK % b"0"]
-            if lot < 0.3:
+            draw = randomness.random()
+            if draw < 0.1:
+                return [whole[: randomness.randrange(len(whole))], None]
+            if draw < 0.2:
+                return [whole, randomness.choice([0.0, 0.01, 0.3]), OK % b"0"]
+            if draw < 0.3:
                 return [OK % b"0", whole]
-            if lot < 0.4:
-                return [chance.choice([0.2, 3.0]), whole]
-            if lot < 0.5:
-                return [whole, chance.choice([0.0, 0.001, 0.3]), None]
-            place = chance.randrange(len(whole))
+            if draw < 0.4:
+                return [randomness.choice([0.2, 3.0]), whole]
+            if draw < 0.5:
+                return [whole, randomness.choice([0.0, 0.001, 0.3]), None]
+            place = randomness.randrange(len(whole))
             return [whole[:place], 0.001, whole[place:]]
 
         async def one(number):
-            wanted = b"%d" % number
-            headers = ((b"Host", b"h"), (b"X-Test-Call", wanted))
+            call_id = b"%d" % number
+            headers = ((b"Host", b"h"), (b"X-Test-Call", call_id))
             try:
                 response = await harness.pool.request(
                     WORKER,
@@ -562,13 +575,13 @@
                     b"",
                     clock.now() + clock.seconds(1),
                     6,
-                    lambda status, found: dict(found)[b"X-Test-Call"] == wanted,
+                    lambda status, found: dict(found)[b"X-Test-Call"] == call_id,
                 )
             except result.RequestError as refusal:
                 outcomes[refusal.result] += 1
                 return
             try:
-                assert await response.read() == wanted
+                assert await response.read() == call_id
                 outcomes[result.ResultCode.DONE] += 1
             except result.RequestError as refusal:
                 outcomes[refusal.result] += 1
@@ -580,9 +593,9 @@
             async with asyncio.TaskGroup() as group:
                 for number in range(150):
                     task = group.create_task(one(number + 1))
-                    if chance.random() < 0.05:
+                    if randomness.random() < 0.05:
                         task.cancel()
-                    await asyncio.sleep(chance.expovariate(30))
+                    await asyncio.sleep(randomness.expovariate(30))
             await asyncio.sleep(8)
             assert harness.pool.total == 0 and not harness.pool.open and not harness.pool.resting
             running.cancel()
@@ -601,16 +614,16 @@
         harness.loop.run_until_complete(whole_scenario())
         harness.loop.bury()
         assert outcomes[result.ResultCode.DONE] > 70, outcomes
-        sent = [raw for requests in harness.came for raw in requests]
+        sent = [raw for requests in harness.received for raw in requests]
         assert len(sent) == len(set(sent)), "a request was sent twice"
 
 
 def test_a_connection_that_comes_up_after_the_end_of_the_time_carries_nothing():
     async def scenario(harness):
-        held = harness.pool.environment.network.connect
+        connect_in_time = harness.pool.environment.network.connect
 
         async def connect(address):
-            channel = await held(address)
+            channel = await connect_in_time(address)
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.sleep(1.0)
             return channel
@@ -620,14 +633,14 @@
         await asyncio.sleep(1)
         assert harness.pool.total == 0
 
-    assert not any(play(lambda connection, number: [OK % b"1"], scenario).came)
+    assert not any(run_scenario(lambda connection, number: [OK % b"1"], scenario).received)
 
 
 # -- on loopback -----------------------------------------------------------------------------------
 
 
 def on_loopback(handler: collections.abc.Callable, scenario: collections.abc.Callable) -> collections.Counter:
-    """A scene with a worker on a real socket: ``handler(reader, writer)`` and ``scenario(pool, address)``."""
+    """Run a scenario with a worker on a real socket: ``handler(reader, writer)`` and ``scenario(pool, address)``."""
     counts = collections.Counter()
 
     async def whole_scenario():
@@ -642,8 +655,8 @@
     return counts
 
 
-async def ask(pool: pools.Pool, address: str, body: bytes = b"") -> bytes:
-    """One request over loopback, its body read."""
+async def fetch(pool: pools.Pool, address: str, body: bytes = b"") -> bytes:
+    """Send one request over loopback and return the body of the response."""
     response = await pool.request(address, "POST", "/", HEADERS, body, clock.now() + clock.seconds(20), 8)
     try:
         return await response.read()
@@ -676,14 +689,14 @@
     async def scenario(pool, address):
         async def refused():
             try:
-                raise AssertionError(await ask(pool, address))
+                raise AssertionError(await fetch(pool, address))
             except result.RequestError as refusal:
                 return refusal.result, refusal.ran
 
         assert await refused() == LOST
-        assert await ask(pool, address) == b"ok"
+        assert await fetch(pool, address) == b"ok"
         assert await refused() == LOST
-        assert await refused() in (BROKE, LOST)
+        assert await refused() in (BROKEN, LOST)
 
     on_loopback(handler, scenario)
 
@@ -699,11 +712,11 @@
 
     async def scenario(pool, address):
         for surplus in (lambda one: one.send(b"x"), lambda one: one.shutdown(socket.SHUT_WR)):
-            assert await ask(pool, address) == b"ok"
-            link = writers[-1].get_extra_info("socket")
-            with socket.socket(fileno=socket.dup(link.fileno())) as raw:
+            assert await fetch(pool, address) == b"ok"
+            raw_socket = writers[-1].get_extra_info("socket")
+            with socket.socket(fileno=socket.dup(raw_socket.fileno())) as raw:
                 surplus(raw)
-            assert await ask(pool, address) == b"ok"
+            assert await fetch(pool, address) == b"ok"
         assert len(writers) == 3
 
     on_loopback(handler, scenario)
@@ -718,7 +731,7 @@
         writer.close()
 
     async def scenario(pool, address):
-        assert await ask(pool, address, b"x" * (30 << 20)) == b"no"
+        assert await fetch(pool, address, b"x" * (30 << 20)) == b"no"
         assert pool.total == 0, "a request that was not written whole leaves no connection"
 
     on_loopback(handler, scenario)
@@ -731,12 +744,12 @@
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             size = int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0])
-            given = await reader.readexactly(size)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + given)
+            received_body = await reader.readexactly(size)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + received_body)
 
     async def scenario(pool, address):
         for _ in range(2):
-            assert await ask(pool, address, body) == body
+            assert await fetch(pool, address, body) == body
 
     counts = on_loopback(handler, scenario)
     assert counts["worker connections"] == 1
