--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -206,7 +206,7 @@
     Mutation(
         "a cut stream looks complete",
         "workers/adapter.py",
-        '            raise result.RequestError(\n                result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, "the stream ended without its end"\n            )\n',
+        '            raise result.RequestError(\n                result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, "the stream was cut off before its end"\n            )\n',
         "            yield End(count, used, None)\n",
         ("workers/adapter_test.py",),
     ),
@@ -830,14 +830,14 @@
     Mutation(
         "a reader of the list waits long after the platform was out of reach",
         "workers/list_reader.py",
-        "MOST_PAUSE_UNREACHED = clock.seconds(1.2)\n",
-        "MOST_PAUSE_UNREACHED = MOST_PAUSE\n",
+        "MAX_BACKOFF_UNREACHABLE = clock.seconds(1.2)\n",
+        "MAX_BACKOFF_UNREACHABLE = MAX_BACKOFF\n",
         ("workers/list_reader_test.py",),
     ),
     Mutation(
         "a list of many pages is read as often as one of a single page",
         "workers/list_reader.py",
-        "return max(pause, self.cost() / SHARE)",
+        "return max(pause, self.cost() / RATE_SHARE)",
         "return pause",
         ("workers/list_reader_test.py",),
     ),
--- a/aspencroft/workers/__init__.py
+++ b/aspencroft/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to workers, their wire adapter and discovery."""
+"""Connections to workers, the HTTP adapter to them, and discovery of workers."""
--- a/aspencroft/workers/adapter.py
+++ b/aspencroft/workers/adapter.py
@@ -1,4 +1,4 @@
-"""The only place that knows a back end's wire form: the list, calls, orders and reports."""
+"""HTTP adapter to workers and the list of workers. No other module knows the wire format of lists, work and orders."""
 
 import collections
 import collections.abc
@@ -12,30 +12,30 @@
 from aspencroft.runtime import clock, environment, json_input
 from aspencroft.workers import worker
 
-CONNECT = clock.seconds(1)
-LIST = clock.seconds(1)
-REPORT = clock.seconds(1)
-LARGEST_LINE = 1 << 20
-LARGEST_PAGE = 8 << 20
-MOST_WORKERS = 4096
-TROUBLES = (httpx.HTTPError, httpx.InvalidURL, httpx.StreamError, TimeoutError, json_input.Unsound)
-BYTES = voluptuous.All(int, voluptuous.Range(min=0, max=1 << 50))
-TEXT = voluptuous.All(str, voluptuous.Length(min=1, max=300))
-KEPT = voluptuous.Schema(
+CONNECT_TIMEOUT = clock.seconds(1)
+LIST_TIMEOUT = clock.seconds(1)
+REPORT_TIMEOUT = clock.seconds(1)
+MAX_LINE_BYTES = 1 << 20
+MAX_PAGE_BYTES = 8 << 20
+MAX_WORKERS = 4096
+REQUEST_ERRORS = (httpx.HTTPError, httpx.InvalidURL, httpx.StreamError, TimeoutError, json_input.Unsound)
+BYTE_COUNT = voluptuous.All(int, voluptuous.Range(min=0, max=1 << 50))
+NAME_TEXT = voluptuous.All(str, voluptuous.Length(min=1, max=300))
+KEPT_SCHEMA = voluptuous.Schema(
     {
-        voluptuous.Required("name"): TEXT,
-        voluptuous.Required("size"): BYTES,
-        voluptuous.Optional("tokens", default=0): BYTES,
-        voluptuous.Required("place"): TEXT,
-        voluptuous.Optional("busy", default=0): BYTES,
+        voluptuous.Required("name"): NAME_TEXT,
+        voluptuous.Required("size"): BYTE_COUNT,
+        voluptuous.Optional("tokens", default=0): BYTE_COUNT,
+        voluptuous.Required("place"): NAME_TEXT,
+        voluptuous.Optional("busy", default=0): BYTE_COUNT,
     },
     extra=voluptuous.REMOVE_EXTRA,
 )
-REPORTED = voluptuous.Schema(
-    {voluptuous.Required("memory"): BYTES, voluptuous.Required("kept"): list}, extra=voluptuous.REMOVE_EXTRA
+REPORT_SCHEMA = voluptuous.Schema(
+    {voluptuous.Required("memory"): BYTE_COUNT, voluptuous.Required("kept"): list}, extra=voluptuous.REMOVE_EXTRA
 )
-HELD = voluptuous.Schema({voluptuous.Required("held"): [TEXT]}, extra=voluptuous.REMOVE_EXTRA)
-RESTED = voluptuous.Schema(
+ORDER_SCHEMA = voluptuous.Schema({voluptuous.Required("held"): [NAME_TEXT]}, extra=voluptuous.REMOVE_EXTRA)
+REST_SCHEMA = voluptuous.Schema(
     {
         voluptuous.Required("asleep"): bool,
         voluptuous.Optional("awake_in", default=0): voluptuous.All(
@@ -44,12 +44,12 @@
     },
     extra=voluptuous.REMOVE_EXTRA,
 )
-NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout, httpx.UnsupportedProtocol)
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout, httpx.UnsupportedProtocol)
 
 
 @dataclasses.dataclass(frozen=True)
 class Work:
-    """What a worker is asked to do."""
+    """One piece of work for a worker."""
 
     go: str
     service: str
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class End:
-    """The explicit end of a stream, or a plain worker's whole answer."""
+    """The explicit end of a stream, or the whole answer of a plain worker."""
 
     pieces: int
     used: int
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """What a worker is to release, offload, load and restore, under the duty's epoch and an order number."""
+    """What a worker must release, offload, load and restore, with the epoch of the ordering role and a number."""
 
     epoch: int
     number: int
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Kept:
-    """One thing that a worker's report names: a model, an adapter or a program's parked KV."""
+    """One entry of a worker's report: a model, an adapter or the parked KV cache of a program."""
 
     name: str
     size: int
@@ -105,87 +105,92 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """A worker's own word on what it holds; it may be late."""
+    """What a worker reports that it holds; it may be out of date."""
 
     memory: int
     kept: tuple[Kept, ...]
 
 
 class Adapter:
-    """HTTP towards back ends and the platform; all that comes back is checked here.
+    """HTTP client for workers and the platform; validates every response.
 
-    ``faults`` counts what could not be used, by the page that it came from.
+    ``faults`` counts unusable responses by the page that they came from.
     """
 
-    def __init__(self, around: environment.Environment, faults: collections.Counter):
-        timeout = httpx.Timeout(10, connect=CONNECT.total_seconds())
-        self.client = httpx.AsyncClient(transport=around.transport(), timeout=timeout, trust_env=False)
+    def __init__(self, host_environment: environment.Environment, faults: collections.Counter):
+        timeout = httpx.Timeout(10, connect=CONNECT_TIMEOUT.total_seconds())
+        self.client = httpx.AsyncClient(transport=host_environment.transport(), timeout=timeout, trust_env=False)
         self.faults = faults
 
     async def close(self) -> None:
         """Close all connections."""
         await self.client.aclose()
 
-    async def ask(
+    async def request_json(
         self, page: str, method: str, url: str, within: datetime.timedelta, body: dict | None = None
     ) -> tuple[int, object]:
-        """Status and JSON of a page, or a Refusal; an answer that is too large or no sound JSON counts as none."""
+        """Return the status and the JSON of a page.
+
+        :raises result.RequestError: UNREACHABLE if no response came, or if it is too large or not valid JSON
+        """
         try:
             async with clock.limit(within), self.client.stream(method, url, json=body) as response:
                 parts, size = [], 0
                 async for part in response.aiter_bytes():
                     parts.append(part)
                     size += len(part)
-                    if size > LARGEST_PAGE:
-                        raise json_input.Unsound(f"over {LARGEST_PAGE} bytes")
+                    if size > MAX_PAGE_BYTES:
+                        raise json_input.Unsound(f"more than {MAX_PAGE_BYTES} bytes")
                 if not response.is_success and response.status_code != 409:
                     raise json_input.Unsound(f"HTTP {response.status_code}")
                 return response.status_code, json_input.parsed(b"".join(parts))
-        except TROUBLES as error:
+        except REQUEST_ERRORS as error:
             self.faults[page] += 1
             raise result.RequestError(
                 result.ResultCode.UNREACHABLE, result.Ran.UNKNOWN, f"{url}: {error!r}"[:500]
             ) from None
 
     async def workers(self, url: str) -> tuple[worker.Worker, ...]:
-        """The platform's list; a row that cannot be read, or bears a name twice, costs just that row."""
-        _, shown = await self.ask("list", "GET", url, LIST)
-        rows = shown.get("workers") if isinstance(shown, dict) else shown
-        if not isinstance(rows, list) or len(rows) > MOST_WORKERS:
+        """Return the platform's list of workers; invalid rows and repeated names are skipped."""
+        _, content = await self.request_json("list", "GET", url, LIST_TIMEOUT)
+        entries = content.get("workers") if isinstance(content, dict) else content
+        if not isinstance(entries, list) or len(entries) > MAX_WORKERS:
             self.faults["list"] += 1
-            raise result.RequestError(result.ResultCode.LIST_BROKEN, detail="no list of workers")
+            raise result.RequestError(result.ResultCode.LIST_BROKEN, detail="the response is not a list of workers")
         found: dict[str, worker.Worker] = {}
-        for row in rows:
+        for row in entries:
             one = worker.of(row)
             if one is None or one.name in found:
                 self.faults["rows"] += 1
             else:
                 found[one.name] = one
-        if rows and not found:
-            raise result.RequestError(result.ResultCode.LIST_BROKEN, detail="no row can be read")
+        if entries and not found:
+            raise result.RequestError(result.ResultCode.LIST_BROKEN, detail="the list of workers has no valid row")
         return tuple(found.values())
 
     async def report(self, target: worker.Worker) -> Report:
-        """What a worker says it holds; priced as a probe by whoever calls this."""
-        status, shown = await self.ask("report", "GET", f"{target.url}/api/report", REPORT)
+        """Return what a worker reports that it holds; the caller accounts for the cost of the probe."""
+        status, content = await self.request_json("report", "GET", f"{target.url}/api/report", REPORT_TIMEOUT)
         try:
-            full = REPORTED(shown)
-            rows = tuple(Kept(**KEPT(one)) for one in full["kept"])
-            if status == 200 and len({one.name for one in rows}) == len(rows):
-                return Report(full["memory"], rows)
-            why = "a name twice" if status == 200 else f"HTTP {status}"
+            fields = REPORT_SCHEMA(content)
+            entries = tuple(Kept(**KEPT_SCHEMA(one)) for one in fields["kept"])
+            if status == 200 and len({one.name for one in entries}) == len(entries):
+                return Report(fields["memory"], entries)
+            reason = "a name occurs twice" if status == 200 else f"HTTP {status}"
         except voluptuous.Invalid as error:
-            why = str(error)
+            reason = str(error)
         self.faults["report"] += 1
-        raise result.RequestError(result.ResultCode.WORKER_BROKE, detail=f"report: {why}"[:500])
+        raise result.RequestError(result.ResultCode.WORKER_BROKE, detail=f"report: {reason}"[:500])
 
     async def order(self, target: worker.Worker, order: Order) -> tuple[str, ...]:
-        """Send an order; the names that the worker holds or is loading once it took the order."""
-        status, shown = await self.ask("order", "POST", f"{target.url}/api/orders", REPORT, dataclasses.asdict(order))
+        """Send an order; return the names that the worker then holds or is loading."""
+        status, content = await self.request_json(
+            "order", "POST", f"{target.url}/api/orders", REPORT_TIMEOUT, dataclasses.asdict(order)
+        )
         if status == 409:
-            raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=str(shown)[:200])
+            raise result.RequestError(result.ResultCode.LOWER_EPOCH, detail=str(content)[:200])
         try:
-            return tuple(HELD(shown)["held"])
+            return tuple(ORDER_SCHEMA(content)["held"])
         except voluptuous.Invalid as error:
             self.faults["order"] += 1
             raise result.RequestError(
@@ -193,25 +198,29 @@
             ) from None
 
     async def rest(self, target: worker.Worker, asleep: bool) -> datetime.timedelta:
-        """Put a worker's machine to rest, or wake it; how long it will be until it can serve.
+        """Put a worker's machine to sleep, or wake it; return how long it will take until the worker can serve.
 
-        Saying it again does no harm, and tells how long it is now.
+        The request is idempotent; a repeated one returns the time that is then left.
         """
-        status, shown = await self.ask("rest", "POST", f"{target.url}/api/rest", REPORT, {"asleep": asleep})
+        status, content = await self.request_json(
+            "rest", "POST", f"{target.url}/api/rest", REPORT_TIMEOUT, {"asleep": asleep}
+        )
         try:
-            full = RESTED(shown)
-            if status == 200 and full["asleep"] is asleep:
-                return clock.seconds(full["awake_in"])
-            why = f"HTTP {status}, {full}"
+            fields = REST_SCHEMA(content)
+            if status == 200 and fields["asleep"] is asleep:
+                return clock.seconds(fields["awake_in"])
+            reason = f"HTTP {status}, {fields}"
         except voluptuous.Invalid as error:
-            why = str(error)
+            reason = str(error)
         self.faults["rest"] += 1
-        raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"rest: {why}"[:500])
+        raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"rest: {reason}"[:500])
 
     async def run(self, target: worker.Worker, work: Work) -> collections.abc.AsyncIterator[Piece | End]:
-        """Send work once and hand on what comes back; a Refusal says whether it ran.
+        """Send work once and yield the pieces and the end of the answer.
 
-        Pieces must be numbered in a row and the end must tell their count; anything else is broken.
+        Pieces must be numbered consecutively and the end must state their count; any other stream is rejected.
+
+        :raises result.RequestError: its ``ran`` says whether the work ran
         """
         if target.kind == worker.MODEL:
             path = "/api/generate"
@@ -240,12 +249,12 @@
             raise result.RequestError(result.ResultCode.UNREACHABLE, result.Ran.NOT_RUN, repr(error)) from None
         try:
             response = await self.client.send(request, stream=True)
-        except NOT_SENT as error:
+        except NOT_SENT_ERRORS as error:
             raise result.RequestError(result.ResultCode.UNREACHABLE, result.Ran.NOT_RUN, repr(error)) from None
         except httpx.HTTPError as error:
             raise result.RequestError(result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, repr(error)) from None
         try:
-            async for one in self.read_answer(response, target, work):
+            async for one in self.read_response(response, target, work):
                 yield one
         except (httpx.HTTPError, httpx.StreamError) as error:
             raise result.RequestError(result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, repr(error)) from None
@@ -256,13 +265,16 @@
         finally:
             await response.aclose()
 
-    async def read_answer(
+    async def read_response(
         self, response: httpx.Response, target: worker.Worker, work: Work
     ) -> collections.abc.AsyncIterator[Piece | End]:
-        """Pieces and end of an answer, or a Refusal that says whether the work ran."""
+        """Yield the pieces and the end of an answer.
+
+        :raises result.RequestError: its ``ran`` says whether the work ran
+        """
         if response.status_code != 200:
-            shown = parsed(await whole(response))
-            if shown.get("put_back") is True:
+            content = parsed(await read_body(response))
+            if content.get("put_back") is True:
                 raise result.RequestError(result.ResultCode.PUT_BACK, result.Ran.NOT_RUN, target.name)
             raise result.RequestError(
                 result.ResultCode.WORKER_REFUSED,
@@ -270,80 +282,87 @@
                 f"{target.name}: HTTP {response.status_code}",
             )
         if target.kind == worker.PLAIN:
-            shown = parsed(await whole(response))
-            if shown.get("request") != work.go or shown.get("done") is not True:
+            content = parsed(await read_body(response))
+            if content.get("request") != work.go or content.get("done") is not True:
                 raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, target.name)
-            yield End(0, 0, shown.get("answer"))
+            yield End(0, 0, content.get("answer"))
             return
         count, used, ended = 0, 0, False
         async for line in lines(response):
-            shown = parsed(line)
-            if shown.get("put_back") is True and count == 0 and not ended:
+            content = parsed(line)
+            if content.get("put_back") is True and count == 0 and not ended:
                 raise result.RequestError(result.ResultCode.PUT_BACK, result.Ran.NOT_RUN, target.name)
-            if ended or shown.get("request") != work.go:
+            if ended or content.get("request") != work.go:
                 raise result.RequestError(
-                    result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "an answer of another request"
+                    result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "received the answer to another request"
                 )
-            if shown.get("end") is True:
-                if shown.get("pieces") != count:
-                    raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "pieces are missing")
+            if content.get("end") is True:
+                if content.get("pieces") != count:
+                    raise result.RequestError(
+                        result.ResultCode.WORKER_BROKE,
+                        result.Ran.UNKNOWN,
+                        "the end does not state the number of pieces received",
+                    )
                 ended = True
                 yield End(count, used, None)
                 continue
-            tokens = shown.get("tokens")
+            tokens = content.get("tokens")
             if (
-                shown.get("piece") != count
-                or not isinstance(shown.get("text"), str)
+                content.get("piece") != count
+                or not isinstance(content.get("text"), str)
                 or type(tokens) is not int
                 or tokens < 0
             ):
                 raise result.RequestError(
-                    result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"piece {count} is unclear"
+                    result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"piece {count} is invalid"
                 )
             used += tokens
             if used > work.most:
                 raise result.RequestError(
-                    result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "more output than allowed"
+                    result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "more output tokens than allowed"
                 )
-            yield Piece(count, shown["text"], tokens)
+            yield Piece(count, content["text"], tokens)
             count += 1
         if not ended:
             raise result.RequestError(
-                result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, "the stream ended without its end"
+                result.ResultCode.WORKER_LOST, result.Ran.UNKNOWN, "the stream was cut off before its end"
             )
 
 
 def parsed(data: bytes) -> dict:
-    """A sound JSON object, or an empty one when the bytes are none.
+    """Parse a JSON object; return an empty one if the bytes are not a valid object.
 
     Example: ``parsed(b"{") == {}``
     """
     try:
-        shown = json_input.parsed(data)
+        content = json_input.parsed(data)
     except json_input.Unsound:
         return {}
-    return shown if isinstance(shown, dict) else {}
+    return content if isinstance(content, dict) else {}
+
 
+async def read_body(response: httpx.Response) -> bytes:
+    """Read a body of bounded size.
 
-async def whole(response: httpx.Response) -> bytes:
-    """A body of bounded size; a larger one is broken."""
-    held = b""
+    :raises result.RequestError: the body is too large
+    """
+    buffer = b""
     async for part in response.aiter_bytes():
-        held += part
-        if len(held) > LARGEST_LINE:
-            raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "the answer is too large")
-    return held
+        buffer += part
+        if len(buffer) > MAX_LINE_BYTES:
+            raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "answer too large")
+    return buffer
 
 
 async def lines(response: httpx.Response) -> collections.abc.AsyncIterator[bytes]:
-    """The lines of a stream, each of bounded size; a last one without its end is handed out too."""
-    held = b""
+    """Yield the lines of a stream, each of bounded size, including a last one without a line break."""
+    buffer = b""
     async for part in response.aiter_bytes():
-        held += part
-        *full, held = held.split(b"\n")
-        for line in full:
+        buffer += part
+        *complete_lines, buffer = buffer.split(b"\n")
+        for line in complete_lines:
             yield line
-        if len(held) > LARGEST_LINE:
-            raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "a line is too large")
-    if held:
-        yield held
+        if len(buffer) > MAX_LINE_BYTES:
+            raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "line too long")
+    if buffer:
+        yield buffer
--- a/aspencroft/workers/adapter_test.py
+++ b/aspencroft/workers/adapter_test.py
@@ -17,8 +17,10 @@
     target = worker.Worker("w", "http://w:80", worker.MODEL, ("m",), False, 1, 8)
     rows = [{"request": "id", "piece": number, "text": f"t{number}", "tokens": 1} for number in range(4)]
     rows.append({"request": "id", "end": True, "pieces": 4})
-    wrong = [rows[:cut] for cut in range(len(rows))] + [rows[:place] + rows[place + 1 :] for place in range(4)]
-    wrong += [
+    invalid_streams = [rows[:cut] for cut in range(len(rows))] + [
+        rows[:place] + rows[place + 1 :] for place in range(4)
+    ]
+    invalid_streams += [
         [rows[0], *rows],
         [*rows, rows[4]],
         [*rows, rows[0]],
@@ -28,25 +30,25 @@
         [rows[1], rows[0], *rows[2:]],
     ]
 
-    async def read(shown: list[dict]) -> list:
-        body = b"".join(json.dumps(row).encode() + b"\n" for row in shown)
-        around = environment.Environment(
+    async def read(lines: list[dict]) -> list:
+        body = b"".join(json.dumps(row).encode() + b"\n" for row in lines)
+        host_environment = environment.Environment(
             None,
             None,
             lambda: httpx.MockTransport(lambda request: httpx.Response(200, content=body)),
             None,
             None,
         )
-        return [event async for event in adapter.Adapter(around, collections.Counter()).run(target, work)]
+        return [event async for event in adapter.Adapter(host_environment, collections.Counter()).run(target, work)]
 
     async def scenario():
         assert (await read(rows))[-1] == adapter.End(4, 4, None)
-        for shown in wrong:
+        for lines in invalid_streams:
             try:
-                await read(shown)
+                await read(lines)
             except result.RequestError as refusal:
-                assert refusal.ran is result.Ran.UNKNOWN, shown
+                assert refusal.ran is result.Ran.UNKNOWN, lines
                 continue
-            raise AssertionError(shown)
+            raise AssertionError(lines)
 
     asyncio.run(scenario())
--- a/aspencroft/workers/list_reader.py
+++ b/aspencroft/workers/list_reader.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers: read by one node of the fleet, and told to all others through the relay tree."""
+"""The platform's list of workers: read by one node of the cluster and published to all others by the relay tree."""
 
 import collections.abc
 import datetime
@@ -15,36 +15,34 @@
 from aspencroft.runtime import clock, events, supervision
 
 LOG = logbook.Logger("workers.list_reader")
-TOPIC, READ = "workers", "workers read"
-PERIOD = clock.seconds(0.6)
-CALM_PERIOD = timing_check.WORKER_LIST_PERIOD
-CALM = clock.seconds(4)
-BEAT = clock.seconds(1.2)
-MOST_PAUSE = clock.seconds(5)
-MOST_PAUSE_UNREACHED = clock.seconds(1.2)
-STALE = clock.seconds(2.5)
-FIRST = clock.seconds(0.2)
-READ_COST = clock.seconds(0.05)
-SHARE = 0.5
-MOST_DOUBLINGS, MOST_DOUBLINGS_UNREACHED = 3, 1
+LIST_TOPIC, READ_TOPIC = "workers", "workers read"
+READ_INTERVAL = clock.seconds(0.6)
+UNCHANGED_READ_INTERVAL = timing_check.WORKER_LIST_PERIOD
+UNCHANGED_AFTER = clock.seconds(4)
+CONFIRM_INTERVAL = clock.seconds(1.2)
+MAX_BACKOFF = clock.seconds(5)
+MAX_BACKOFF_UNREACHABLE = clock.seconds(1.2)
+STALE_AFTER = clock.seconds(2.5)
+FIRST_READ_DELAY = clock.seconds(0.2)
+DEFAULT_READ_COST = clock.seconds(0.05)
+RATE_SHARE = 0.5
+MAX_DOUBLINGS, MAX_DOUBLINGS_UNREACHABLE = 3, 1
 EPOCH_UNIT = 1 << 32
 
-Lister = collections.abc.Callable[[], collections.abc.Awaitable[list[instance.Instance]]]
+ReadList = collections.abc.Callable[[], collections.abc.Awaitable[list[instance.Instance]]]
 ReadCost = collections.abc.Callable[[], datetime.timedelta]
 
 
-def read_cost() -> datetime.timedelta:
-    """For how long one whole read takes up the rate at which the platform answers all nodes.
+def default_read_cost() -> datetime.timedelta:
+    """Return the default for how long one complete read occupies the platform's rate limit, shared by all nodes.
 
-    When nothing is known of it.
-
-    Example: ``read_cost() == READ_COST``
+    Example: ``default_read_cost() == DEFAULT_READ_COST``
     """
-    return READ_COST
+    return DEFAULT_READ_COST
 
 
 def told(found: collections.abc.Iterable[instance.Instance]) -> str:
-    """The list as it goes down the relay tree."""
+    """Encode the list for the relay tree."""
     return json.dumps(
         [
             [
@@ -64,7 +62,7 @@
 
 
 def heard(body: str) -> list[instance.Instance]:
-    """The list that came down the relay tree.
+    """Decode a list from the relay tree.
 
     Example: ``heard("[]") == []``
     """
@@ -75,7 +73,7 @@
 
 
 def matter(found: collections.abc.Iterable[instance.Instance]) -> frozenset:
-    """What of a list makes a difference: all but how long exactly a cold worker stays slow."""
+    """Return what counts as a change of the list: everything except how long exactly a cold worker stays slow."""
     return frozenset(
         (
             one.name,
@@ -91,8 +89,8 @@
     )
 
 
-def rate_spent(refusal: result.RequestError) -> bool:
-    """Whether a read was refused because all nodes together read too often."""
+def is_rate_limited(refusal: result.RequestError) -> bool:
+    """Whether a read was refused because all nodes together exceeded the platform's rate limit."""
     return refusal.result is result.ResultCode.OVERLOADED
 
 
@@ -130,193 +128,195 @@
 
 
 class ListReader:
-    """The duty's work: read the list again and again, tell it when it changed, and now and then that it did not.
+    """Reads the list periodically on the holder of a singleton role, and publishes changes and confirmations.
 
-    Each read is priced: a list that did not change for a while is read a little more seldom. A reader that
-    is refused for its rate waits longer each time; one that does not reach the platform looks again soon,
-    as workers may
-    have begun to leave once it is back.
+    Reads count against the platform's rate limit, so a list that has not changed for a while is read less often. The
+    back-off is exponential after a read refused for the rate limit. If the platform cannot be reached, it stays short,
+    as workers may have begun to drain by the time the platform is back.
     """
 
     def __init__(
         self,
         own: node.Node,
-        lister: Lister,
-        cost: ReadCost = read_cost,
-        period: datetime.timedelta = PERIOD,
-        calm_period: datetime.timedelta = CALM_PERIOD,
+        read_list: ReadList,
+        cost: ReadCost = default_read_cost,
+        period: datetime.timedelta = READ_INTERVAL,
+        unchanged_period: datetime.timedelta = UNCHANGED_READ_INTERVAL,
     ):
         self.node = own
-        self.lister = lister
+        self.read_list = read_list
         self.cost = cost
         self.period = period
-        self.calm_period = max(period, calm_period)
-        self.duty = singleton_role.SingletonRole(
+        self.unchanged_period = max(period, unchanged_period)
+        self.role = singleton_role.SingletonRole(
             "workers", own.address, own.incarnation, lambda: own.failure_detector.peers, own.submit, settings.CORE
         )
-        own.singleton_roles["workers"] = self.duty
-        self.shown: frozenset | None = None
-        self.changed = clock.ZERO
+        own.singleton_roles["workers"] = self.role
+        self.published: frozenset | None = None
+        self.changed_at = clock.ZERO
         self.revision = control_state.NEVER
-        self.beaten = clock.ZERO
-        self.refused = 0
-        self.most_pause = MOST_PAUSE
+        self.confirmed_at = clock.ZERO
+        self.consecutive_failures = 0
+        self.max_backoff = MAX_BACKOFF
         self.counts = {"list reads": 0, "list refusals": 0, "list changes": 0}
 
     async def run(self) -> None:
-        """Compete for the duty and do it while it is held."""
+        """Compete for the role and read the list while holding it."""
         async with supervision.Group() as group:
-            group.create_task(supervision.stand("workers duty", self.duty.run, self.node.standing))
-            group.create_task(supervision.stand("workers list", self.work, self.node.standing))
+            group.create_task(supervision.stand("workers duty", self.role.run, self.node.standing))
+            group.create_task(supervision.stand("workers list", self.read_while_holder, self.node.standing))
 
-    async def work(self) -> None:
-        """Read while the duty is held; how long until the next read depends on what was found."""
+    async def read_while_holder(self) -> None:
+        """Read the list while holding the role; the delay to the next read depends on the result of the last one."""
         while True:
             began = clock.now()
-            if not self.duty.has_lease():
-                self.shown = None
+            if not self.role.has_lease():
+                self.published = None
                 await clock.sleep(self.period / 4)
                 continue
-            await self.step(began)
-            await clock.sleep(self.wait() - (clock.now() - began))
+            await self.read_once(began)
+            await clock.sleep(self.next_delay() - (clock.now() - began))
 
-    def wait(self) -> datetime.timedelta:
-        """The time from one read to the next."""
-        if self.refused:
-            pause = min(self.most_pause, self.period * 2 ** min(self.refused, 8))
+    def next_delay(self) -> datetime.timedelta:
+        """Return the time from the start of one read to the start of the next."""
+        if self.consecutive_failures:
+            pause = min(self.max_backoff, self.period * 2 ** min(self.consecutive_failures, 8))
         else:
-            pause = self.calm_period if clock.now() - self.changed > CALM else self.period
-        return max(pause, self.cost() / SHARE)
+            pause = self.unchanged_period if clock.now() - self.changed_at > UNCHANGED_AFTER else self.period
+        return max(pause, self.cost() / RATE_SHARE)
 
-    async def step(self, now: datetime.timedelta) -> None:
-        """Read once, and tell what is to be told."""
+    async def read_once(self, now: datetime.timedelta) -> None:
+        """Read the list once; publish a change, or a confirmation when one is due."""
         self.counts["list reads"] += 1
         try:
-            found = await self.lister()
+            found = await self.read_list()
         except result.RequestError as refusal:
-            self.refused += 1
-            self.most_pause = MOST_PAUSE if rate_spent(refusal) else MOST_PAUSE_UNREACHED
+            self.consecutive_failures += 1
+            self.max_backoff = MAX_BACKOFF if is_rate_limited(refusal) else MAX_BACKOFF_UNREACHABLE
             self.counts["list refusals"] += 1
             report_unreadable(self.node.address, refusal)
             return
-        if self.refused:
-            report_read_again(self.node.address, self.refused)
-        self.refused = 0
-        shown = matter(found)
-        if shown != self.shown:
-            told_now = await self.publish(TOPIC, told(sorted(found, key=lambda one: one.name)))
-            if told_now is None:
+        if self.consecutive_failures:
+            report_read_again(self.node.address, self.consecutive_failures)
+        self.consecutive_failures = 0
+        significant = matter(found)
+        if significant != self.published:
+            new_revision = await self.publish(LIST_TOPIC, told(sorted(found, key=lambda one: one.name)))
+            if new_revision is None:
                 return
-            self.revision, self.shown, self.changed = told_now, shown, now
+            self.revision, self.published, self.changed_at = new_revision, significant, now
             self.counts["list changes"] += 1
             report_change(self.node.address, found)
-            self.beaten = clock.ZERO
-        if now - self.beaten >= BEAT and await self.publish(READ, json.dumps([self.revision.text()])) is not None:
-            self.beaten = now
+            self.confirmed_at = clock.ZERO
+        if (
+            now - self.confirmed_at >= CONFIRM_INTERVAL
+            and await self.publish(READ_TOPIC, json.dumps([self.revision.text()])) is not None
+        ):
+            self.confirmed_at = now
 
     async def publish(self, topic: str, body: str) -> control_state.Revision | None:
-        """Give a topic's new state to the root of the relay tree; its revision if the root took it."""
-        holders = self.node.failure_detector.records.get(0)
-        if holders is None or not self.duty.has_lease():
+        """Publish a topic's new state to the root of the relay tree; return its revision if the root accepted it."""
+        record = self.node.failure_detector.records.get(0)
+        if record is None or not self.role.has_lease():
             return None
         known = self.node.relay.topics.get(topic)
-        number = max(self.duty.epoch * EPOCH_UNIT, known.revision.number if known else 0, self.revision.number) + 1
-        one = updates.Update(topic, control_state.Revision(self.duty.epoch, number), None, body)
+        number = max(self.role.epoch * EPOCH_UNIT, known.revision.number if known else 0, self.revision.number) + 1
+        one = updates.Update(topic, control_state.Revision(self.role.epoch, number), None, body)
         try:
-            await self.node.link.request(holders.primary.address, updates.Publish(one), clock.seconds(1))
+            await self.node.link.request(record.primary.address, updates.Publish(one), clock.seconds(1))
         except result.RequestError as refusal:
-            LOG.info("publishing {}: {}", topic, refusal)
+            LOG.info("publishing topic {} failed: {}", topic, refusal)
             return None
         return one.revision
 
 
 class Watch:
-    """An edge's way to the list: the relay tree's word, or a read of its own when that stays away too long.
+    """Keeps an edge's list up to date from the relay tree, or by reads of its own when updates stay away too long.
 
-    ``cost`` says for how long one read takes up the rate that the platform grants all nodes together.
+    ``cost`` returns for how long one read occupies the platform's rate limit, which all nodes share.
     """
 
     def __init__(
         self,
         own: node.Node,
         known: instances.Instances,
-        lister: Lister,
-        cost: ReadCost = read_cost,
+        read_list: ReadList,
+        cost: ReadCost = default_read_cost,
     ):
         self.node = own
         self.instances = known
-        self.lister = lister
+        self.read_list = read_list
         self.cost = cost
-        self.taken: updates.Update | None = None
-        self.counted: updates.Update | None = None
+        self.applied_list: updates.Update | None = None
+        self.applied_confirmation: updates.Update | None = None
         self.next_read = clock.ZERO
-        self.refused = 0
+        self.consecutive_failures = 0
         self.counts = {"own list reads": 0}
 
     async def run(self) -> None:
-        """Follow the topic; read the list oneself when it is stale, or did not come with the plan."""
-        await self.begin()
+        """Follow the topics; read the list directly when it is stale or did not come with the configuration."""
+        await self.wait_for_configuration()
         async with supervision.Group() as group:
-            group.create_task(supervision.stand("workers follow", lambda: self.follow(TOPIC), self.node.standing))
-            group.create_task(supervision.stand("workers beat", lambda: self.follow(READ), self.node.standing))
-            group.create_task(supervision.stand("workers fallback", self.fall_back, self.node.standing))
+            group.create_task(supervision.stand("workers follow", lambda: self.follow(LIST_TOPIC), self.node.standing))
+            group.create_task(supervision.stand("workers beat", lambda: self.follow(READ_TOPIC), self.node.standing))
+            group.create_task(supervision.stand("workers fallback", self.read_when_stale, self.node.standing))
 
-    async def begin(self) -> None:
-        """Wait for the plan, and a moment more for the list, which comes with it when some node reads it already.
+    async def wait_for_configuration(self) -> None:
+        """Wait for the configuration, and a little longer for the list, which comes with it if some node reads it.
 
-        After a stop of all nodes who reads has to be agreed on first, and an edge cannot serve so long without the
-        list. Where the plan itself stays away, the list is read meanwhile, so that both are there together; but not at
-        the very first start, when nobody calls yet.
+        After a stop of all nodes, a holder of the reader's role has to be elected first, and an edge cannot serve
+        without the list for that long. If the configuration does not arrive, the list is read in the meantime, so that
+        both are there together; but not at the very first start of a cluster, when there are no callers yet.
         """
-        patience = STALE if self.node.settings.first_start else self.first_pause()
-        limit = clock.now() + patience
+        timeout = STALE_AFTER if self.node.settings.first_start else self.first_read_delay()
+        limit = clock.now() + timeout
         while not self.node.relay.current() and clock.now() < limit:
-            await clock.sleep(FIRST / 8)
+            await clock.sleep(FIRST_READ_DELAY / 8)
         self.next_read = clock.now()
         if self.node.relay.current() or self.node.settings.first_start:
-            self.next_read += self.first_pause()
+            self.next_read += self.first_read_delay()
 
-    def first_pause(self) -> datetime.timedelta:
-        """How long to wait for the list before reading it oneself; not the same on all edges."""
-        return FIRST * (1 + self.node.environment.randomness.random())
+    def first_read_delay(self) -> datetime.timedelta:
+        """Return how long to wait for the list before reading it directly; it differs between edges."""
+        return FIRST_READ_DELAY * (1 + self.node.environment.randomness.random())
 
     async def follow(self, topic: str) -> None:
-        """Take what the relay tree brings of a topic, each time that it changes."""
+        """Apply updates from the relay tree each time that a topic changes."""
         while True:
-            self.take()
+            self.apply_updates()
             await self.node.relay.wait_for_change(topic)
 
-    def take(self) -> None:
-        """Take what the relay tree brought."""
+    def apply_updates(self) -> None:
+        """Apply the newest list and confirmation from the relay tree."""
         now = clock.now()
-        held, beat = self.node.relay.topics.get(TOPIC), self.node.relay.topics.get(READ)
-        if held is not None and held is not self.taken:
-            self.taken = held
-            self.instances.update(heard(held.body), now)
-        if beat is not None and beat is not self.counted:
-            self.counted = beat
-            if held is not None and json.loads(beat.body) == [held.revision.text()]:
+        current_list, confirmation = self.node.relay.topics.get(LIST_TOPIC), self.node.relay.topics.get(READ_TOPIC)
+        if current_list is not None and current_list is not self.applied_list:
+            self.applied_list = current_list
+            self.instances.update(heard(current_list.body), now)
+        if confirmation is not None and confirmation is not self.applied_confirmation:
+            self.applied_confirmation = confirmation
+            if current_list is not None and json.loads(confirmation.body) == [current_list.revision.text()]:
                 self.instances.confirm(now)
 
-    async def fall_back(self) -> None:
-        """Read the list oneself while no word of it came for too long."""
+    async def read_when_stale(self) -> None:
+        """Read the list directly while it has not been updated or confirmed for too long."""
         while True:
-            await clock.sleep(PERIOD / 2 if self.instances.listed else FIRST / 2)
+            await clock.sleep(READ_INTERVAL / 2 if self.instances.listed else FIRST_READ_DELAY / 2)
             age, now = self.instances.age(), clock.now()
-            if now < self.next_read or (age is not None and age < STALE):
+            if now < self.next_read or (age is not None and age < STALE_AFTER):
                 continue
             nodes = max(1, len(self.node.failure_detector.live()))
             self.counts["own list reads"] += 1
             try:
-                found = await self.lister()
-                if self.refused:
-                    report_read_again(self.node.address, self.refused)
-                self.refused = 0
+                found = await self.read_list()
+                if self.consecutive_failures:
+                    report_read_again(self.node.address, self.consecutive_failures)
+                self.consecutive_failures = 0
                 self.instances.update(found, now)
             except result.RequestError as refusal:
-                most = MOST_DOUBLINGS if rate_spent(refusal) else MOST_DOUBLINGS_UNREACHED
-                self.refused = min(self.refused + 1, most)
+                max_doublings = MAX_DOUBLINGS if is_rate_limited(refusal) else MAX_DOUBLINGS_UNREACHABLE
+                self.consecutive_failures = min(self.consecutive_failures + 1, max_doublings)
                 report_unreadable(self.node.address, refusal)
-            span = max(CALM_PERIOD, nodes * self.cost() / SHARE)
-            span *= self.node.environment.randomness.uniform(0.7, 1.3) * 2**self.refused
+            span = max(UNCHANGED_READ_INTERVAL, nodes * self.cost() / RATE_SHARE)
+            span *= self.node.environment.randomness.uniform(0.7, 1.3) * 2**self.consecutive_failures
             self.next_read = clock.now() + span
--- a/aspencroft/workers/list_reader_test.py
+++ b/aspencroft/workers/list_reader_test.py
@@ -1,4 +1,4 @@
-"""The list of workers through a simulated fleet: one reader, what it tells, and what edges do without it."""
+"""The list of workers in a simulated cluster: one reader, what it publishes, and what edges do without it."""
 
 import asyncio
 import collections.abc
@@ -12,70 +12,70 @@
 
 
 def worker(name: str, draining: bool = False, cold: float = 0.0) -> instance.Instance:
-    """A worker of the list."""
+    """Return a worker as it is in the list."""
     return instance.Instance(name, f"{name}:80", "chat", "north", "v1", 8, draining, clock.seconds(cold))
 
 
 class Platform:
-    """A platform that counts who reads its list, and the readers and watchers of a cluster's nodes."""
+    """A platform that records who reads its list, and the readers and watches of a cluster's nodes."""
 
     def __init__(self, cluster: simulated_cluster.SimulatedCluster):
         self.cluster = cluster
         self.listed: dict[str, instance.Instance] = {"a": worker("a"), "b": worker("b")}
         self.reads: list[tuple[float, str]] = []
-        self.refuses = False
+        self.is_refusing = False
         self.refusal = result.ResultCode.OVERLOADED
         self.cost = clock.seconds(1 / 44)
         self.readers: dict[str, list_reader.ListReader] = {}
         self.watches: dict[str, list_reader.Watch] = {}
 
-    def lister(self, name: str) -> list_reader.Lister:
-        """The list as one node reads it."""
+    def read_list(self, name: str) -> list_reader.ReadList:
+        """Return the function with which one node reads the list."""
 
         async def read() -> list[instance.Instance]:
             self.reads.append((self.cluster.loop.time(), name))
             await asyncio.sleep(0.02)
-            if self.refuses:
+            if self.is_refusing:
                 raise result.RequestError(self.refusal)
             return list(self.listed.values())
 
         return read
 
     def attach(self, name: str) -> None:
-        """Give a running node its part."""
+        """Start a reader or a watch on a running node."""
         own = self.cluster.nodes[name]
         if name.startswith("edge"):
-            self.watches[name] = part = list_reader.Watch(
-                own, instances.Instances(), self.lister(name), lambda: self.cost
+            self.watches[name] = watch_or_reader = list_reader.Watch(
+                own, instances.Instances(), self.read_list(name), lambda: self.cost
             )
         else:
-            self.readers[name] = part = list_reader.ListReader(own, self.lister(name), lambda: self.cost)
-        self.cluster.loop.create_task(part.run(), context=self.cluster.loop.context_of(name))
+            self.readers[name] = watch_or_reader = list_reader.ListReader(own, self.read_list(name), lambda: self.cost)
+        self.cluster.loop.create_task(watch_or_reader.run(), context=self.cluster.loop.context_of(name))
 
     def holder(self) -> str:
-        """The node that does the duty, or nothing."""
+        """Return the node that holds the role, or an empty name."""
         return next(
-            (name for name, one in self.readers.items() if self.cluster.alive(name) and one.duty.has_lease()), ""
+            (name for name, one in self.readers.items() if self.cluster.alive(name) and one.role.has_lease()), ""
         )
 
     def known(self) -> list[frozenset[str]]:
-        """What each edge would send to."""
+        """Return the workers that each edge would send requests to."""
         return [frozenset(one.name for one in watch.instances.of("chat")) for watch in self.watches.values()]
 
-    async def everywhere(self, names: str, within: float) -> float:
-        """Wait until every edge knows just these workers; how long that took."""
+    async def wait_until_known(self, names: str, within: float) -> float:
+        """Wait until every edge knows exactly these workers; return how long that took."""
         return await self.cluster.until(lambda: all(one == frozenset(names) for one in self.known()), within, names)
 
 
-def play(seed: int, scenario: collections.abc.Callable) -> None:
-    """Run a scenario once the fleet is formed and all parts are attached."""
+def run_scenario(seed: int, scenario: collections.abc.Callable) -> None:
+    """Run a scenario once the cluster is formed and all readers and watches have started."""
 
     async def whole_scenario(cluster: simulated_cluster.SimulatedCluster) -> None:
         await cluster.until(cluster.formed, 30, "formed")
         platform = Platform(cluster)
         for name in [*cluster.cores, *cluster.edges]:
             platform.attach(name)
-        await platform.everywhere("ab", 8)
+        await platform.wait_until_known("ab", 8)
         await scenario(platform)
         assert not cluster.ended and not cluster.loop.exceptions, (cluster.ended, cluster.loop.exceptions)
 
@@ -99,22 +99,22 @@
         assert {name for _, name in platform.reads} == {platform.holder()}
         assert platform.holder().startswith("core")
         assert 8 <= len(platform.reads) <= 11, "a list that stays the same is read once a second"
-        assert all(watch.instances.age() < list_reader.STALE for watch in platform.watches.values())
+        assert all(watch.instances.age() < list_reader.STALE_AFTER for watch in platform.watches.values())
         changes = platform.readers[platform.holder()].counts["list changes"]
-        assert changes == 1, "nothing is told that did not change"
+        assert changes == 1, "an unchanged list is not published again"
         platform.listed["b"] = worker("b", True)
-        assert await platform.everywhere("a", 2) < 2
+        assert await platform.wait_until_known("a", 2) < 2
         assert all(watch.instances.is_excluded("b") for watch in platform.watches.values())
         platform.listed["c"] = worker("c")
         await asyncio.sleep(0.1)
         platform.reads.clear()
-        assert await platform.everywhere("ac", 1.5) < 1.5
+        assert await platform.wait_until_known("ac", 1.5) < 1.5
         await asyncio.sleep(2)
         gaps = [late - early for (early, _), (late, _) in zip(platform.reads, platform.reads[1:], strict=False)]
         assert max(gaps) < 0.65, "after a change it is read more often"
         assert began < platform.cluster.loop.time()
 
-    play(3, scenario)
+    run_scenario(3, scenario)
 
 
 def test_edges_read_for_themselves_while_nobody_does_the_duty_and_stop_when_one_does():
@@ -123,7 +123,7 @@
             platform.cluster.loop.freeze(name)
         platform.listed["b"] = worker("b", True)
         platform.reads.clear()
-        assert await platform.everywhere("a", 6) < 4
+        assert await platform.wait_until_known("a", 6) < 4
         await asyncio.sleep(5)
         assert {name for _, name in platform.reads} == set(platform.cluster.edges)
         assert len(platform.reads) <= 2 * 9, "no edge reads more often than one core would"
@@ -133,11 +133,11 @@
         await asyncio.sleep(4)
         platform.reads.clear()
         platform.listed["a"] = worker("a", True)
-        await platform.everywhere("", 2)
+        await platform.wait_until_known("", 2)
         await asyncio.sleep(4)
         assert {name for _, name in platform.reads} == {platform.holder()}
 
-    play(5, scenario)
+    run_scenario(5, scenario)
 
 
 def test_the_duty_moves_when_its_holder_dies():
@@ -145,15 +145,15 @@
         holder = platform.holder()
         platform.cluster.kill(holder)
         platform.listed["b"] = worker("b", True)
-        assert await platform.everywhere("a", 6) < 4
+        assert await platform.wait_until_known("a", 6) < 4
         await platform.cluster.until(lambda: platform.holder() not in ("", holder), 15, "another holder")
 
-    play(6, scenario)
+    run_scenario(6, scenario)
 
 
 def test_readers_that_are_refused_read_ever_more_seldom_and_edges_keep_what_they_know():
     async def scenario(platform):
-        platform.refuses = True
+        platform.is_refusing = True
         await asyncio.sleep(12)
         before, platform.reads = len(platform.reads), []
         assert before < 40
@@ -161,27 +161,27 @@
         assert len([name for _, name in platform.reads if name.startswith("core")]) <= 5
         assert len([name for _, name in platform.reads if name.startswith("edge")]) <= 2 * 20 / 5
         assert platform.known() == [frozenset("ab")] * 2
-        platform.refuses = False
+        platform.is_refusing = False
         platform.listed["c"] = worker("c")
-        assert await platform.everywhere("abc", 9) < 9
+        assert await platform.wait_until_known("abc", 9) < 9
 
-    play(7, scenario)
+    run_scenario(7, scenario)
 
 
 def test_a_worker_that_leaves_as_the_platform_comes_back_is_known_as_soon_as_ever():
     for seed in range(20, 26):
 
         async def scenario(platform):
-            platform.refuses, platform.refusal = True, result.ResultCode.LIST_BROKEN
+            platform.is_refusing, platform.refusal = True, result.ResultCode.LIST_BROKEN
             await asyncio.sleep(30 + platform.cluster.chance.random() * 5)
-            platform.refuses = False
+            platform.is_refusing = False
             platform.listed["b"] = worker("b", True)
             platform.reads.clear()
-            assert await platform.everywhere("a", 2) < 2
+            assert await platform.wait_until_known("a", 2) < 2
             await asyncio.sleep(1.3)
             assert platform.holder() in {name for _, name in platform.reads}
 
-        play(seed, scenario)
+        run_scenario(seed, scenario)
 
 
 def test_a_list_that_takes_many_pages_is_read_no_more_often_than_half_of_the_rate():
@@ -198,7 +198,7 @@
         await asyncio.sleep(60)
         assert len(platform.reads) <= 60 / 4 * 1.3
 
-    play(8, scenario)
+    run_scenario(8, scenario)
 
 
 def test_a_frozen_holder_tells_nothing_old_when_it_wakes():
@@ -206,21 +206,21 @@
         holder = platform.holder()
         platform.cluster.loop.freeze(holder)
         platform.listed["b"] = worker("b", True)
-        await platform.everywhere("a", 6)
+        await platform.wait_until_known("a", 6)
         await platform.cluster.until(
-            lambda: any(one.duty.has_lease() for name, one in platform.readers.items() if name != holder),
+            lambda: any(one.role.has_lease() for name, one in platform.readers.items() if name != holder),
             15,
             "another holder",
         )
         platform.listed["c"] = worker("c")
-        await platform.everywhere("ac", 4)
+        await platform.wait_until_known("ac", 4)
         platform.cluster.loop.thaw(holder)
         ended = platform.cluster.loop.time() + 5
         while platform.cluster.loop.time() < ended:
             assert set(platform.known()) == {frozenset("ac")}
             await asyncio.sleep(0.05)
 
-    play(11, scenario)
+    run_scenario(11, scenario)
 
 
 def test_an_edge_that_starts_again_knows_the_list_without_reading_it():
@@ -235,10 +235,10 @@
         )
         platform.reads.clear()
         platform.attach("edge-0")
-        assert await platform.everywhere("ab", 4) < 3
+        assert await platform.wait_until_known("ab", 4) < 3
         assert not [name for _, name in platform.reads if name == "edge-0"]
 
-    play(13, scenario)
+    run_scenario(13, scenario)
 
 
 def test_edges_that_begin_before_any_reader_read_once_each_as_soon_as_they_have_the_plan():
@@ -252,8 +252,8 @@
         platform = Platform(cluster)
         for name in cluster.edges:
             platform.attach(name)
-        assert await platform.everywhere("ab", 2) < 0.6, (
-            "nobody does the duty, and an edge cannot serve without the list"
+        assert await platform.wait_until_known("ab", 2) < 0.6, (
+            "no node holds the role, and an edge cannot serve without the list"
         )
         await asyncio.sleep(0.5)
         assert sorted(name for _, name in platform.reads) == sorted(cluster.edges)
@@ -261,8 +261,8 @@
     simulated_cluster.play(17, whole_scenario)
 
 
-def restarted_without_plan(first_start: bool) -> list[tuple[float, str]]:
-    """An edge starts again while all other nodes are down; its reads of the list within a second."""
+def reads_of_edge_restarted_alone(first_start: bool) -> list[tuple[float, str]]:
+    """Restart an edge while all other nodes are down; return its reads of the list within a second."""
     found: list[tuple[float, str]] = []
 
     async def scenario(platform):
@@ -279,12 +279,12 @@
         assert not cluster.nodes["edge-0"].relay.current()
         found.extend((at - began, name) for at, name in platform.reads if name == "edge-0")
 
-    play(21, scenario)
+    run_scenario(21, scenario)
     return found
 
 
 def test_an_edge_that_starts_again_reads_the_list_itself_when_the_plan_stays_away():
-    reads = restarted_without_plan(first_start=False)
+    reads = reads_of_edge_restarted_alone(first_start=False)
     assert reads and reads[0][0] < 0.6, "so that both are there together once the others are back"
     assert len(reads) <= 3
-    assert not restarted_without_plan(first_start=True), "at the very first start nobody calls yet"
+    assert not reads_of_edge_restarted_alone(first_start=True), "there are no callers at the very first start"
--- a/aspencroft/workers/worker.py
+++ b/aspencroft/workers/worker.py
@@ -1,4 +1,4 @@
-"""A back end as the platform's list shows it."""
+"""A worker as described in the platform's list."""
 
 import dataclasses
 
@@ -10,21 +10,24 @@
 MODEL, PLAIN = "model", "plain"
 
 
-def usable(url: str) -> str:
-    """The URL, if the HTTP client can use it."""
+def check_url(url: str) -> str:
+    """Return the URL if the HTTP client can use it.
+
+    :raises voluptuous.Invalid: it cannot
+    """
     try:
         parsed = httpx.URL(url)
     except httpx.InvalidURL as error:
         raise voluptuous.Invalid(str(error)) from None
     if not parsed.host or (parsed.port is not None and not 0 < parsed.port < 65536):
-        raise voluptuous.Invalid("no usable address")
+        raise voluptuous.Invalid("expected a URL with a host and a valid port")
     return url
 
 
 SCHEMA = voluptuous.Schema(
     {
         voluptuous.Required("name"): lane.NAME,
-        voluptuous.Required("url"): voluptuous.All(voluptuous.Match(r"^https?://[^/\s]+\Z"), usable),
+        voluptuous.Required("url"): voluptuous.All(voluptuous.Match(r"^https?://[^/\s]+\Z"), check_url),
         voluptuous.Required("kind"): voluptuous.Any(MODEL, PLAIN),
         voluptuous.Required("services"): lane.NAMES,
         voluptuous.Optional("leaving", default=False): bool,
@@ -37,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Worker:
-    """One model worker or plain worker."""
+    """A model worker or a plain worker."""
 
     name: str
     url: str
@@ -48,18 +51,18 @@
     places: int
 
 
-def of(raw) -> Worker | None:
-    """The worker that one row of the list shows; a row that cannot be read is none."""
+def of(row) -> Worker | None:
+    """Return the worker that a row of the list describes, or None for an invalid row."""
     try:
-        full = SCHEMA(raw)
+        fields = SCHEMA(row)
     except voluptuous.Invalid:
         return None
     return Worker(
-        full["name"],
-        full["url"],
-        full["kind"],
-        tuple(full["services"]),
-        full["leaving"],
-        full["memory"],
-        full["places"],
+        fields["name"],
+        fields["url"],
+        fields["kind"],
+        tuple(fields["services"]),
+        fields["leaving"],
+        fields["memory"],
+        fields["places"],
     )
