--- a/aspencroft/gateway/__init__.py
+++ b/aspencroft/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The product's own request interface."""
+"""The native request interface for callers."""
--- a/aspencroft/gateway/call.py
+++ b/aspencroft/gateway/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way through the stages."""
+"""A caller's request and its state while it passes through the stages."""
 
 import asyncio
 import dataclasses
@@ -11,13 +11,13 @@
 from aspencroft.runtime import clock
 from aspencroft.sessions import messages
 
-PIECES = 256
-PATIENCE = clock.seconds(0.5)
+MAX_PENDING_PIECES = 256
+CALLER_CHECK_INTERVAL = clock.seconds(0.5)
 
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """What the caller asked for, checked."""
+    """A validated request of a caller."""
 
     identity: str
     lane: str
@@ -31,8 +31,8 @@
     tool: str
 
     def digest(self) -> bytes:
-        """What tells two requests under one operation key apart; the identity is not part of it."""
-        whole = [
+        """Return a digest that distinguishes requests with the same operation key; it does not cover the identity."""
+        content = [
             self.lane,
             self.program,
             self.helper,
@@ -42,78 +42,78 @@
             self.budget,
             self.tool,
         ]
-        return hashlib.blake2b(json.dumps(whole, sort_keys=True).encode(), digest_size=16).digest()
+        return hashlib.blake2b(json.dumps(content, sort_keys=True).encode(), digest_size=16).digest()
 
 
 @dataclasses.dataclass
 class Call:
-    """A request under way: the one task that works on it at a time changes it.
+    """A request in flight; only the one task that is working on it changes it.
 
-    ``sent`` tells that the present go may run, ``unsure`` that an earlier go may have run, ``handed`` how many
-    pieces the caller was given.
+    ``sent`` means that the current attempt may run, ``may_have_run`` that an earlier attempt may have run, and
+    ``pieces_delivered`` is how many pieces the caller has received.
     """
 
     request: Request
     lane: lane.Lane
-    began: datetime.timedelta
+    started_at: datetime.timedelta
     end: datetime.timedelta
-    out: asyncio.Queue = dataclasses.field(default_factory=asyncio.Queue)
-    room: asyncio.Semaphore = dataclasses.field(default_factory=lambda: asyncio.Semaphore(PIECES))
+    events: asyncio.Queue = dataclasses.field(default_factory=asyncio.Queue)
+    free_slots: asyncio.Semaphore = dataclasses.field(default_factory=lambda: asyncio.Semaphore(MAX_PENDING_PIECES))
     granted: messages.TurnGranted | None = None
     claimed: bool = False
     sent: bool = False
-    unsure: bool = False
+    may_have_run: bool = False
     abandoned: bool = False
-    deaf: bool = False
+    caller_gone: bool = False
     done: bool = False
-    tried: frozenset[str] = frozenset()
-    goes: int = 0
-    repeats: int = 0
-    handed: int = 0
+    tried_workers: frozenset[str] = frozenset()
+    attempts: int = 0
+    repetitions: int = 0
+    pieces_delivered: int = 0
     sent_at: datetime.timedelta = clock.ZERO
     worker: object = None
     service: str = ""
 
     def go(self) -> str:
-        """The name of the present go: the request's, with a number once its work is repeated."""
-        return f"{self.request.identity}.{self.repeats}" if self.repeats else self.request.identity
+        """Return the id of the current attempt: the request's identity, with a number once its work is repeated."""
+        return f"{self.request.identity}.{self.repetitions}" if self.repetitions else self.request.identity
 
     def turns(self) -> bool:
         """Whether the call is a turn of a program."""
         return self.lane.kind == lane.TURNS
 
     def ran(self) -> result.Ran:
-        """What may be said of the call's work at this moment if it is given up."""
-        return result.Ran.UNKNOWN if self.sent or self.unsure else result.Ran.NOT_RUN
+        """Return whether the work may have run, for a refusal at this moment."""
+        return result.Ran.UNKNOWN if self.sent or self.may_have_run else result.Ran.NOT_RUN
 
     async def put(self, event) -> None:
-        """Hand the caller's task a piece, waiting for room; nobody waits for a caller that went away."""
-        while not self.deaf:
+        """Queue a piece for the caller, waiting for a free slot unless the caller is gone."""
+        while not self.caller_gone:
             try:
-                async with clock.limit(PATIENCE):
-                    await self.room.acquire()
-                self.handed += 1
-                self.out.put_nowait(event)
+                async with clock.limit(CALLER_CHECK_INTERVAL):
+                    await self.free_slots.acquire()
+                self.pieces_delivered += 1
+                self.events.put_nowait(event)
                 return
             except TimeoutError:
                 if clock.now() > self.end:
-                    self.deaf = True
+                    self.caller_gone = True
 
     def close(self, end: "Ended") -> None:
-        """Hand out the final event, for which there is always room."""
-        self.out.put_nowait(end)
+        """Queue the final event, for which there is always room."""
+        self.events.put_nowait(end)
 
     async def take(self):
-        """The next event for the caller."""
-        event = await self.out.get()
+        """Return the next event for the caller."""
+        event = await self.events.get()
         if not isinstance(event, Ended):
-            self.room.release()
+            self.free_slots.release()
         return event
 
 
 @dataclasses.dataclass(frozen=True)
 class Ended:
-    """The final event: the answer that is kept, or a refusal."""
+    """The final event: a stored answer, or a refusal."""
 
     turn: int
     pieces: int
--- a/aspencroft/gateway/callers.py
+++ b/aspencroft/gateway/callers.py
@@ -1,4 +1,4 @@
-"""HTTP for callers: one address for requests of every lane; turns stream back as lines of JSON."""
+"""HTTP API for callers: one URL for requests of every lane; turns are streamed back as lines of JSON."""
 
 import collections.abc
 import json
@@ -13,79 +13,79 @@
 from aspencroft.node import operator_api
 from aspencroft.runtime import clock
 
-SLACK = clock.seconds(0.3)
-IDENTITY = voluptuous.All(str, voluptuous.Length(min=1, max=200))
-COUNT = voluptuous.All(int, voluptuous.Range(min=0, max=1 << 40))
+ANSWER_GRACE = clock.seconds(0.3)
+ID_TEXT = voluptuous.All(str, voluptuous.Length(min=1, max=200))
+COUNT_VALUE = voluptuous.All(int, voluptuous.Range(min=0, max=1 << 40))
 SCHEMA = voluptuous.Schema(
     {
         voluptuous.Required("lane"): lane.NAME,
         voluptuous.Required("input"): object,
-        voluptuous.Optional("program", default=""): voluptuous.Any("", IDENTITY),
-        voluptuous.Optional("helper", default=""): voluptuous.Any("", IDENTITY),
-        voluptuous.Optional("after", default=0): COUNT,
-        voluptuous.Optional("operation", default=""): voluptuous.Any("", IDENTITY),
-        voluptuous.Optional("most", default=0): COUNT,
-        voluptuous.Optional("budget", default=0): COUNT,
+        voluptuous.Optional("program", default=""): voluptuous.Any("", ID_TEXT),
+        voluptuous.Optional("helper", default=""): voluptuous.Any("", ID_TEXT),
+        voluptuous.Optional("after", default=0): COUNT_VALUE,
+        voluptuous.Optional("operation", default=""): voluptuous.Any("", ID_TEXT),
+        voluptuous.Optional("most", default=0): COUNT_VALUE,
+        voluptuous.Optional("budget", default=0): COUNT_VALUE,
         voluptuous.Optional("tool", default=""): voluptuous.Any("", lane.NAME),
     }
 )
 
 
 def request_of(body, lanes: dict[str, lane.Lane], identity: str) -> call.Request:
-    """A checked request; output and budget never exceed the lane's."""
+    """Validate a request; its output and budget never exceed the limits of the lane."""
     try:
-        full = SCHEMA(body)
+        fields = SCHEMA(body)
     except voluptuous.MultipleInvalid as error:
         detail = "; ".join(f"{'/'.join(str(part) for part in one.path)}: {one.msg}" for one in error.errors)
         raise result.RequestError(result.ResultCode.MALFORMED, detail=detail) from None
-    known = lanes.get(full["lane"])
+    known = lanes.get(fields["lane"])
     if known is None:
-        raise result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=full["lane"])
-    most = min(full["most"] or known.turn_output, known.turn_output)
-    budget = min(full["budget"] or known.budget, known.budget)
+        raise result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=fields["lane"])
+    most = min(fields["most"] or known.turn_output, known.turn_output)
+    budget = min(fields["budget"] or known.budget, known.budget)
     return call.Request(
         identity,
-        full["lane"],
-        full["program"],
-        full["helper"],
-        full["after"],
-        full["input"],
-        full["operation"],
+        fields["lane"],
+        fields["program"],
+        fields["helper"],
+        fields["after"],
+        fields["input"],
+        fields["operation"],
         most,
         budget,
-        full["tool"],
+        fields["tool"],
     )
 
 
 async def next_event(one: call.Call):
-    """The call's next event; at the deadline the call is given up at once."""
+    """Return the call's next event; at the deadline the call is abandoned at once."""
     try:
-        async with clock.limit(one.end + (SLACK if one.sent else clock.ZERO) - clock.now()):
+        async with clock.limit(one.end + (ANSWER_GRACE if one.sent else clock.ZERO) - clock.now()):
             return await one.take()
     except TimeoutError:
-        if one.sent and clock.now() < one.end + SLACK:
+        if one.sent and clock.now() < one.end + ANSWER_GRACE:
             return await next_event(one)
-        one.abandoned = one.deaf = True
+        one.abandoned = one.caller_gone = True
         return call.Ended(0, 0, 0, None, result.RequestError(result.ResultCode.DEADLINE, one.ran()))
 
 
 def final_line(one: call.Call, end: call.Ended) -> bytes:
-    """The explicit end of a stream: an end with its count of pieces, or an error."""
+    """Return the last line of a stream: an end with the number of pieces, or an error."""
     if end.refusal is not None:
-        shown = {"error": end.refusal.document(), "request": one.request.identity}
+        content = {"error": end.refusal.document(), "request": one.request.identity}
     else:
-        shown = {
+        content = {
             "end": True,
             "request": one.request.identity,
             "turn": end.turn,
             "pieces": end.pieces,
             "used": end.used,
         }
-    return json.dumps(shown).encode() + b"\n"
+    return json.dumps(content).encode() + b"\n"
 
 
 async def lines(one: call.Call, first) -> collections.abc.AsyncIterator[bytes]:
-    """A streamed turn: numbered pieces, then the end."""
+    """Yield the lines of a streamed turn: numbered pieces, then the end."""
     event = first
     try:
         while not isinstance(event, call.Ended):
@@ -103,11 +103,11 @@
             event = await next_event(one)
         yield final_line(one, event)
     finally:
-        one.deaf = True
+        one.caller_gone = True
 
 
 def handlers(edge: path.Path) -> list:
-    """The handlers that data-plane nodes serve besides the operators'."""
+    """Return the handlers that edges serve in addition to those for operators."""
 
     @litestar.post("/requests", status_code=200)
     async def take(request: litestar.Request) -> litestar.Response:
--- a/aspencroft/gateway/callers_test.py
+++ b/aspencroft/gateway/callers_test.py
@@ -7,8 +7,8 @@
 
 def test_requests_are_checked_and_bounded_by_the_lane():
     lanes = {"chat": lane.of("chat", {"kind": "turns", "services": ["a"], "budget": 100, "turn_output": 10})}
-    asked = callers.request_of({"lane": "chat", "input": "x", "program": "p", "most": 50, "budget": 70}, lanes, "id")
-    assert asked.most == 10 and asked.budget == 70
+    request = callers.request_of({"lane": "chat", "input": "x", "program": "p", "most": 50, "budget": 70}, lanes, "id")
+    assert request.most == 10 and request.budget == 70
     for body in (
         {},
         [],
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -1,4 +1,4 @@
-"""The way of a request: accept, draw, send on, stream; stages joined by bounded queues."""
+"""The stages of a request on an edge: accept, select a worker, send, stream; joined by bounded queues."""
 
 import collections
 import datetime
@@ -21,61 +21,69 @@
 from aspencroft.workers import adapter
 
 LOG = logbook.Logger("gateway.path")
-BOUND = 64
-ACCEPTORS, LEAST_ACCEPTORS = 192, 4
+QUEUE_BOUND = 64
+TOTAL_ACCEPTORS, MIN_ACCEPTORS = 192, 4
 SENDERS = {True: 160, False: 64}
-LIST = clock.seconds(0.5)
-LOOK = clock.seconds(0.1)
-CLOSE = clock.seconds(5)
-SOON = clock.seconds(1)
+LIST_INTERVAL = clock.seconds(0.5)
+DISPATCH_INTERVAL = clock.seconds(0.1)
+CLOSE_TIMEOUT = clock.seconds(5)
+RETRY_SOON = clock.seconds(1)
 SHED = clock.seconds(5)
-GRACE, UNSENT = clock.seconds(7.5), clock.seconds(4)
-MOST_GOES = 16
-TOKEN_LETTERS = 4
-SMOOTH = 16
-REPEATED = (result.ResultCode.WORKER_LOST, result.ResultCode.WORKER_BROKE, result.ResultCode.WORKER_REFUSED)
+DRAIN_GRACE, UNSENT_GRACE = clock.seconds(7.5), clock.seconds(4)
+MAX_ATTEMPTS = 16
+CHARACTERS_PER_TOKEN = 4
+SMOOTHING = 16
+REPEATABLE_RESULTS = (result.ResultCode.WORKER_LOST, result.ResultCode.WORKER_BROKE, result.ResultCode.WORKER_REFUSED)
 
 
 class Path:
-    """All stages of one data-plane node.
+    """All stages of requests on one edge.
 
-    Accepting waits for session groups, so each pair has its own queues and tasks; there and among the senders
-    signals have places of their own. Thus a group without a primary, or a flood of long streams, holds up
-    nothing but itself.
+    Accepting waits for session groups, so each group has its own queues and tasks. There and among the senders,
+    signals have separate capacity. Thus a group without a primary delays only its own requests, and many long streams
+    do not delay signals.
     """
 
-    def __init__(self, own: node.Node, back: adapter.Adapter):
+    def __init__(self, own: node.Node, worker_adapter: adapter.Adapter):
         self.node = own
-        self.adapter = back
+        self.adapter = worker_adapter
         self.traces = trace.Traces(own.address)
         group_ids = range(1, own.settings.group_count)
-        self.accepting = {
-            (group_id, turns): priority_queue.Lineup(BOUND) for group_id in group_ids for turns in (True, False)
+        self.accept_queues = {
+            (group_id, turns): priority_queue.PriorityQueue(QUEUE_BOUND)
+            for group_id in group_ids
+            for turns in (True, False)
         }
-        self.accept_mean = {key: clock.seconds(0.02) for key in self.accepting}
-        self.acceptors = max(LEAST_ACCEPTORS, ACCEPTORS // len(self.accepting))
-        self.drawing = priority_queue.Lineup(BOUND * 8)
-        self.sending = {turns: priority_queue.Lineup(count) for turns, count in SENDERS.items()}
+        self.mean_accept_time = {key: clock.seconds(0.02) for key in self.accept_queues}
+        self.acceptors = max(MIN_ACCEPTORS, TOTAL_ACCEPTORS // len(self.accept_queues))
+        self.awaiting_worker = priority_queue.PriorityQueue(QUEUE_BOUND * 8)
+        self.send_queues = {turns: priority_queue.PriorityQueue(count) for turns, count in SENDERS.items()}
         self.parked = wait_queue.Parked()
         self.closings = closing.Closings(own)
         self.sight = worker_view.Sight(own)
         self.active: dict[str, call.Call] = {}
-        self.mean = {True: clock.seconds(0.2), False: clock.seconds(0.05)}
-        self.woken: dict[str, datetime.timedelta] = {}
+        self.mean_duration = {True: clock.seconds(0.2), False: clock.seconds(0.05)}
+        self.next_wake: dict[str, datetime.timedelta] = {}
         self.counts: collections.Counter = collections.Counter()
         own.sample_sources.append(self.samples)
 
-    # -- taking in -------------------------------------------------------------------------------
+    # -- admission -------------------------------------------------------------------------------
 
     def check_open(self) -> None:
-        """Refuse, not run, while this node stops or holds no current plan."""
+        """Refuse requests while this node is stopping or has no current configuration.
+
+        :raises result.RequestError: LEAVING or NO_PLAN; the request did not run
+        """
         if self.node.stopping.is_set():
-            raise result.RequestError(result.ResultCode.LEAVING, retry=SOON)
+            raise result.RequestError(result.ResultCode.LEAVING, retry=RETRY_SOON)
         if not self.node.relay.current():
-            raise result.RequestError(result.ResultCode.NO_PLAN, retry=SOON)
+            raise result.RequestError(result.ResultCode.NO_PLAN, retry=RETRY_SOON)
 
     def take_in(self, request: call.Request) -> call.Call:
-        """Check a request and queue it, or refuse it at once, not run."""
+        """Check a request and queue it.
+
+        :raises result.RequestError: the request is refused; it did not run
+        """
         self.counts["asked"] += 1
         self.check_open()
         known = self.node.relay.configuration.lanes.get(request.lane)
@@ -87,281 +95,290 @@
             raise result.RequestError(result.ResultCode.SHED, detail=request.lane, retry=SHED)
         now = clock.now()
         one = call.Call(request, known, now, now + known.deadline)
-        refusal = self.pass_on(one)
+        refusal = self.enqueue(one)
         if refusal is not None:
             raise refusal
         self.active[request.identity] = one
-        self.tell(one, "taken in", f"plan {self.node.relay.revision.text()}")
+        self.record_event(one, "taken in", f"plan {self.node.relay.revision.text()}")
         return one
 
-    def pass_on(self, one: call.Call) -> result.RequestError | None:
-        """Queue a call for its next stage: its key's pair, its program's pair, or the drawing."""
+    def enqueue(self, one: call.Call) -> result.RequestError | None:
+        """Queue a call for its next stage: the group of its key or of its program, or the selection of a worker.
+
+        Returns the refusal if there is no room or the deadline cannot be met.
+        """
         if one.request.operation and not one.claimed:
             group_id = session_groups.group_of(one.request.operation, self.node.settings.talk_pairs)
         elif one.turns() and one.granted is None:
             group_id = session_groups.group_of(one.request.program, self.node.settings.talk_pairs)
         else:
-            if self.drawing.offer(one.lane.urgency, one):
+            if self.awaiting_worker.offer(one.lane.urgency, one):
                 return None
-            return result.RequestError(result.ResultCode.OVERLOADED, retry=SOON)
+            return result.RequestError(result.ResultCode.OVERLOADED, retry=RETRY_SOON)
         key = (group_id, one.turns())
-        expected = self.accept_mean[key] * self.accepting[key].ahead(one.lane.urgency) / self.acceptors
+        expected = self.mean_accept_time[key] * self.accept_queues[key].ahead(one.lane.urgency) / self.acceptors
         if clock.now() + expected > one.end:
             return result.RequestError(
                 result.ResultCode.OVERLOADED, detail="the deadline cannot be met", retry=expected
             )
-        if self.accepting[key].offer(one.lane.urgency, one):
+        if self.accept_queues[key].offer(one.lane.urgency, one):
             return None
-        return result.RequestError(result.ResultCode.OVERLOADED, retry=max(SOON, expected))
+        return result.RequestError(result.ResultCode.OVERLOADED, retry=max(RETRY_SOON, expected))
 
-    def tell(self, one: call.Call, what: str, detail: str = "") -> None:
-        """Add a line to the request's trace."""
-        self.traces.add(one.request.identity, one.lane.name, clock.now() - one.began, what, detail)
+    def record_event(self, one: call.Call, what: str, detail: str = "") -> None:
+        """Add an event to the request's trace."""
+        self.traces.add(one.request.identity, one.lane.name, clock.now() - one.started_at, what, detail)
 
     # -- stages ----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """All stages and the reading of the workers' list."""
+        """Run all stages, and read the list of workers periodically."""
         works = [
             ("list", self.read_list),
-            ("draw", self.draw_stage),
-            ("look", self.look_stage),
+            ("draw", self.selection_stage),
+            ("look", self.dispatch_stage),
             *self.closings.works(),
         ]
-        works.extend((f"accept {key[0]}", self.acceptor(key)) for key in self.accepting for _ in range(self.acceptors))
+        works.extend(
+            (f"accept {key[0]}", self.acceptor(key)) for key in self.accept_queues for _ in range(self.acceptors)
+        )
         works.extend(("send on", self.sender(turns)) for turns, count in SENDERS.items() for _ in range(count))
         async with supervision.Group() as group:
             for name, work in works:
                 group.create_task(supervision.stand(name, work, self.node.standing))
 
     async def read_list(self) -> None:
-        """Read the platform's list of workers again and again; the last one read stays in use."""
+        """Read the platform's list of workers periodically; after a failure the last list stays in use."""
         while self.node.settings.workers:
             try:
                 self.sight.take_list(await self.adapter.workers(self.node.settings.workers))
-                self.look()
+                self.dispatch_parked()
             except result.RequestError as refusal:
                 self.counts["lists missed"] += 1
-                LOG.info("{}", refusal)
-            await clock.sleep(LIST)
+                LOG.info("list of workers not read: {}", refusal)
+            await clock.sleep(LIST_INTERVAL)
 
     def acceptor(self, key: tuple[int, bool]):
-        """The work of one acceptor of a pair."""
+        """Return the work of one acceptor of a group."""
 
         async def work() -> None:
             while True:
-                one = await self.accepting[key].take()
-                began = clock.now()
+                one = await self.accept_queues[key].take()
+                started_at = clock.now()
                 try:
-                    if self.over(one):
+                    if self.is_over(one):
                         raise result.RequestError(result.ResultCode.DEADLINE)
                     if await self.accept(one):
-                        refusal = self.pass_on(one)
+                        refusal = self.enqueue(one)
                         if refusal is not None:
                             raise refusal
                 except result.RequestError as refusal:
-                    self.finish(one, refusal)
+                    self.give_up(one, refusal)
                 except Exception:
-                    LOG.exception("accepting {}", one.request.identity)
-                    self.finish(one, result.RequestError(result.ResultCode.INTERNAL, result.Ran.UNKNOWN))
-                self.accept_mean[key] += (clock.now() - began - self.accept_mean[key]) / SMOOTH
+                    LOG.exception("unexpected error while accepting request {}", one.request.identity)
+                    self.give_up(one, result.RequestError(result.ResultCode.INTERNAL, result.Ran.UNKNOWN))
+                self.mean_accept_time[key] += (clock.now() - started_at - self.mean_accept_time[key]) / SMOOTHING
 
         return work
 
-    def over(self, one: call.Call) -> bool:
-        """Whether nobody waits for the call any more, or its deadline passed."""
+    def is_over(self, one: call.Call) -> bool:
+        """Whether the caller no longer waits for the call, or its deadline has passed."""
         return one.abandoned or clock.now() >= one.end
 
-    def within(self, one: call.Call) -> datetime.timedelta:
-        """The time that a write may take for this call."""
-        return min(CLOSE, max(one.end - clock.now(), clock.seconds(0.05)))
+    def write_timeout(self, one: call.Call) -> datetime.timedelta:
+        """Return the time limit for a write to a session group for this call."""
+        return min(CLOSE_TIMEOUT, max(one.end - clock.now(), clock.seconds(0.05)))
 
     async def accept(self, one: call.Call) -> bool:
-        """Claim the key, or else open the turn; False when the key's record was handed out instead."""
-        asked = one.request
-        if asked.operation and not one.claimed:
-            group_id = session_groups.group_of(asked.operation, self.node.settings.talk_pairs)
+        """Claim the operation key, or else open the turn; False if the call was answered from the key's record."""
+        request = one.request
+        if request.operation and not one.claimed:
+            group_id = session_groups.group_of(request.operation, self.node.settings.talk_pairs)
             state = await self.node.submit(
                 group_id,
                 sessions_messages.ClaimOperation(
-                    asked.operation,
-                    asked.lane,
-                    asked.identity,
-                    asked.digest(),
+                    request.operation,
+                    request.lane,
+                    request.identity,
+                    request.digest(),
                     one.lane.deadline,
                     one.lane.keep,
                 ),
-                self.within(one),
+                self.write_timeout(one),
             )
             if not state.mine:
-                self.answer_known(one, state)
+                self.answer_from_record(one, state)
                 return False
             one.claimed = True
-            self.tell(one, "key claimed", f"pair {group_id}")
+            self.record_event(one, "key claimed", f"pair {group_id}")
             return True
-        group_id = session_groups.group_of(asked.program, self.node.settings.talk_pairs)
+        group_id = session_groups.group_of(request.program, self.node.settings.talk_pairs)
         one.granted = await self.node.submit(
             group_id,
             sessions_messages.OpenTurn(
-                asked.program,
-                asked.helper,
-                asked.after,
-                asked.lane,
+                request.program,
+                request.helper,
+                request.after,
+                request.lane,
                 one.go(),
-                asked.most,
-                asked.budget,
+                request.most,
+                request.budget,
                 one.lane.keep,
                 one.lane.deadline,
                 self.node.incarnation_id(),
             ),
-            self.within(one),
+            self.write_timeout(one),
         )
-        self.tell(one, "turn opened", f"turn {one.granted.number}, pair {group_id}")
+        self.record_event(one, "turn opened", f"turn {one.granted.number}, pair {group_id}")
         return True
 
-    def answer_known(self, one: call.Call, state: sessions_messages.Operation) -> None:
-        """A second request with a key gets what is known of the first and never runs.
+    def answer_from_record(self, one: call.Call, state: sessions_messages.Operation) -> None:
+        """Answer a repeated request from the record of its operation key; it never runs again.
 
-        The count of pieces is that of this response, which hands out the whole text as one.
+        The number of pieces is that of this response, which contains the whole text as one piece.
         """
         if state.outcome == sessions_messages.DONE and state.answer:
             kept = json.loads(state.answer)
-            self.tell(one, "answered from the key's record", state.go)
+            self.record_event(one, "answered from the key's record", state.go)
             pieces = 1 if one.turns() and kept["text"] else 0
             if pieces:
-                one.out.put_nowait(adapter.Piece(0, kept["text"], kept["used"]))
-            self.last(one, call.Ended(kept["turn"], pieces, kept["used"], kept["answer"], None))
+                one.events.put_nowait(adapter.Piece(0, kept["text"], kept["used"]))
+            self.deliver_end(one, call.Ended(kept["turn"], pieces, kept["used"], kept["answer"], None))
             return
         refusals = {
             sessions_messages.DONE: (result.ResultCode.ANSWER_NOT_KEPT, result.Ran.RAN),
             sessions_messages.UNKNOWN: (result.ResultCode.OPERATION_UNKNOWN, result.Ran.UNKNOWN),
         }
         code, ran = refusals.get(state.outcome, (result.ResultCode.OPERATION_IN_PROGRESS, result.Ran.UNKNOWN))
-        self.last(one, call.Ended(0, 0, 0, None, result.RequestError(code, ran, state.go)))
+        self.deliver_end(one, call.Ended(0, 0, 0, None, result.RequestError(code, ran, state.go)))
 
-    async def draw_stage(self) -> None:
-        """Draw a worker for each call; those that find all full are parked."""
+    async def selection_stage(self) -> None:
+        """Select a worker for each call; park the calls for which all workers are full."""
         while True:
-            one = await self.drawing.take()
+            one = await self.awaiting_worker.take()
             key = (one.lane.name, one.request.tool)
-            if self.parked.waits(key) and not one.goes:
+            if self.parked.waits(key) and not one.attempts:
                 self.park(one, front=False)
             elif not self.draw_one(one):
-                self.park(one, front=one.goes > 0)
+                self.park(one, front=one.attempts > 0)
 
     def draw_one(self, one: call.Call) -> bool:
-        """Draw a worker, or give the call up; False when it must wait for a place."""
+        """Select a worker or give the call up; False if the call must wait for free capacity."""
         self.counts["draws"] += 1
-        if self.over(one):
-            self.finish(one, result.RequestError(result.ResultCode.DEADLINE))
+        if self.is_over(one):
+            self.give_up(one, result.RequestError(result.ResultCode.DEADLINE))
             return True
         current = self.node.relay.configuration
         if one.lane.name not in current.lanes:
-            self.finish(one, result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=one.lane.name))
+            self.give_up(one, result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=one.lane.name))
             return True
         allowed = current.allowed(one.lane.name, one.request.tool)
-        drawn = selection.draw(
-            allowed, one.request.program, self.sight.view(), one.tried, self.node.environment.randomness
+        selected = selection.draw(
+            allowed, one.request.program, self.sight.view(), one.tried_workers, self.node.environment.randomness
         )
-        self.wake(drawn.wake)
-        if drawn.worker is None:
-            unlisted = not self.sight.listed and clock.now() - one.began < SOON
-            if not drawn.full and not one.tried and not unlisted:
-                self.tell(one, "no worker", str(drawn.reasons))
-                self.finish(one, result.RequestError(result.ResultCode.NO_WORKER, detail=", ".join(allowed)))
+        self.wake(selected.wake)
+        if selected.worker is None:
+            unlisted = not self.sight.listed and clock.now() - one.started_at < RETRY_SOON
+            if not selected.full and not one.tried_workers and not unlisted:
+                self.record_event(one, "no worker", str(selected.reasons))
+                self.give_up(one, result.RequestError(result.ResultCode.NO_WORKER, detail=", ".join(allowed)))
                 return True
-            one.tried = frozenset()
+            one.tried_workers = frozenset()
             return False
-        one.worker, one.service = drawn.worker, drawn.service
-        self.sight.demand[drawn.worker.name] += 1
-        self.tell(one, "drawn", f"{drawn.worker.name} for {drawn.service}; left out: {dict(drawn.reasons)}")
-        if self.sending[one.turns()].offer(one.lane.urgency, one):
+        one.worker, one.service = selected.worker, selected.service
+        self.sight.demand[selected.worker.name] += 1
+        self.record_event(
+            one, "drawn", f"{selected.worker.name} for {selected.service}; left out: {dict(selected.reasons)}"
+        )
+        if self.send_queues[one.turns()].offer(one.lane.urgency, one):
             return True
-        self.undraw(one)
+        self.free_worker(one)
         return False
 
     def park(self, one: call.Call, front: bool) -> None:
-        """Let a call wait for a place, or give it up at once when its turn cannot come in time."""
+        """Park a call until capacity is free, or give it up at once if that cannot happen before its deadline."""
         current = self.node.relay.configuration
         services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
-        guess = self.mean[one.turns()] / max(1, self.sight.places(services))
-        retry = self.parked.offer((one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), guess, front)
+        default_interval = self.mean_duration[one.turns()] / max(1, self.sight.capacity(services))
+        retry = self.parked.offer(
+            (one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), default_interval, front
+        )
         if retry is not None:
-            self.finish(
+            self.give_up(
                 one,
                 result.RequestError(result.ResultCode.OVERLOADED, detail="the deadline cannot be met", retry=retry),
             )
 
-    def look(self) -> None:
-        """Draw for those that wait, the most urgent rows first, each until its first call finds no place."""
+    def dispatch_parked(self) -> None:
+        """Select workers for parked calls, most urgent rows first, each row until its first call finds no capacity."""
         if not self.node.relay.current():
             return
-        for key in self.parked.order():
+        for key in self.parked.rows_by_urgency():
             while self.parked.waits(key):
                 one = self.parked.head(key)
                 if not self.draw_one(one):
                     break
                 self.parked.pop(key, clock.now(), served=one.worker is not None)
 
-    async def look_stage(self) -> None:
-        """Look at the rows again and again, for places that others freed; refuse what comes too late now."""
+    async def dispatch_stage(self) -> None:
+        """Dispatch parked calls periodically, as other edges free capacity too; refuse calls that are now too late."""
         while True:
-            await clock.sleep(LOOK)
-            self.look()
+            await clock.sleep(DISPATCH_INTERVAL)
+            self.dispatch_parked()
             for one, retry in self.parked.too_late(clock.now()):
-                self.finish(
+                self.give_up(
                     one,
                     result.RequestError(
-                        result.ResultCode.DEADLINE if self.over(one) else result.ResultCode.OVERLOADED,
+                        result.ResultCode.DEADLINE if self.is_over(one) else result.ResultCode.OVERLOADED,
                         detail="the deadline cannot be met",
                         retry=retry,
                     ),
                 )
 
     def wake(self, names: tuple[str, ...]) -> None:
-        """Have resting workers woken; said again once a second while they are needed."""
+        """Ask the holder of the sleep role to wake workers; repeated once a second while they are needed."""
         now = clock.now()
         for name in names:
-            if self.woken.get(name, clock.ZERO) <= now:
-                self.woken[name] = now + SOON
-                self.tell_duty("quiet", residency_messages.Wanted(name))
+            if self.next_wake.get(name, clock.ZERO) <= now:
+                self.next_wake[name] = now + RETRY_SOON
+                self.notify_role_holder("quiet", residency_messages.Wanted(name))
 
-    def undraw(self, one: call.Call) -> None:
-        """Give a drawn worker's place back without looking who else could use it.
+    def free_worker(self, one: call.Call) -> None:
+        """Free the capacity of a call's worker without dispatching parked calls to it.
 
-        What stood in the way of this call may stand in the way of the next one: to look at once would go
-        round for ever. The next look comes by the clock.
+        What prevented this call may prevent the next one too, so dispatching at once could loop without end. Parked
+        calls are dispatched at the next interval.
         """
         if one.worker is not None:
             self.sight.demand[one.worker.name] -= 1
             one.worker = None
 
     def release(self, one: call.Call) -> None:
-        """Give a drawn worker's place back; whoever waits for it is drawn at once."""
+        """Free the capacity of a call's worker and dispatch parked calls at once."""
         if one.worker is not None:
-            self.undraw(one)
-            self.look()
+            self.free_worker(one)
+            self.dispatch_parked()
 
     def sender(self, turns: bool):
-        """The work of one sender."""
+        """Return the work of one sender."""
 
         async def work() -> None:
             while True:
-                one = await self.sending[turns].take()
+                one = await self.send_queues[turns].take()
                 try:
-                    await self.send_on(one)
+                    await self.send_to_worker(one)
                 except result.RequestError as refusal:
-                    self.finish(one, refusal)
+                    self.give_up(one, refusal)
                 except Exception:
-                    LOG.exception("sending on {}", one.request.identity)
-                    self.finish(one, result.RequestError(result.ResultCode.INTERNAL, one.ran()))
+                    LOG.exception("unexpected error while sending request {}", one.request.identity)
+                    self.give_up(one, result.RequestError(result.ResultCode.INTERNAL, one.ran()))
                 finally:
                     self.release(one)
 
         return work
 
-    def sendable(self, one: call.Call) -> str:
-        """Why a drawn call must not be sent at this very moment, or nothing."""
+    def send_obstacle(self, one: call.Call) -> str:
+        """Return why a call must not be sent to its worker now, or an empty text."""
         current = self.node.relay
         if not current.current():
             return "no current plan"
@@ -369,48 +386,48 @@
             return "the lane is gone"
         if one.service not in current.configuration.allowed(one.lane.name, one.request.tool):
             return "the service is not allowed any more"
-        return "the worker is leaving" if self.sight.barred(one.worker.name) else ""
+        return "the worker is leaving" if self.sight.is_excluded(one.worker.name) else ""
 
-    async def send_on(self, one: call.Call) -> None:
-        """One go: checked again, sent once, streamed; a go that surely did not run is drawn anew."""
-        if self.over(one):
+    async def send_to_worker(self, one: call.Call) -> None:
+        """Make one attempt: check again, send once, stream. An attempt that certainly did not run is queued again."""
+        if self.is_over(one):
             raise result.RequestError(result.ResultCode.DEADLINE)
-        why = self.sendable(one)
-        if why:
-            self.tell(one, "not sent", why)
-            self.undraw(one)
+        reason = self.send_obstacle(one)
+        if reason:
+            self.record_event(one, "not sent", reason)
+            self.free_worker(one)
             self.park(one, front=True)
             return
-        asked = one.request
+        request = one.request
         past = tuple((turn.input, turn.output) for turn in one.granted.past) if one.granted else ()
         work = adapter.Work(
             one.go(),
             one.service,
-            asked.program,
-            asked.helper,
+            request.program,
+            request.helper,
             one.granted.number if one.granted else 0,
             past,
-            asked.input,
-            asked.most,
+            request.input,
+            request.most,
             one.end - clock.now(),
         )
-        drawn = one.worker.name
-        one.sent, one.goes, one.sent_at = True, one.goes + 1, clock.now()
+        worker_name = one.worker.name
+        one.sent, one.attempts, one.sent_at = True, one.attempts + 1, clock.now()
         if one.worker.name in self.sight.quiet():
             self.wake((one.worker.name,))
-        self.tell(one, "sent on", f"go {one.goes} to {one.worker.name}")
-        self.share_story(one)
+        self.record_event(one, "sent on", f"go {one.attempts} to {one.worker.name}")
+        self.replicate_trace(one)
         self.counts["goes"] += 1
         try:
             async with clock.limit(one.end - clock.now()):
                 await self.stream(one, work)
         except TimeoutError:
-            raise result.RequestError(result.ResultCode.DEADLINE, result.Ran.UNKNOWN, drawn) from None
+            raise result.RequestError(result.ResultCode.DEADLINE, result.Ran.UNKNOWN, worker_name) from None
         except result.RequestError as refusal:
-            await self.after_refusal(one, refusal)
+            await self.handle_refusal(one, refusal)
 
-    async def after_refusal(self, one: call.Call, refusal: result.RequestError) -> None:
-        """Draw anew after a go that did not run, or whose work may be repeated; else the refusal stands."""
+    async def handle_refusal(self, one: call.Call, refusal: result.RequestError) -> None:
+        """Queue the call again if its attempt did not run or may be repeated; else raise the refusal."""
         if one.worker is not None and refusal.result in (
             result.ResultCode.UNREACHABLE,
             result.ResultCode.WORKER_LOST,
@@ -421,74 +438,76 @@
         if refusal.ran is result.Ran.NOT_RUN:
             one.sent = False
             self.counts["goes not run"] += 1
-            self.tell(one, "not run", str(refusal))
+            self.record_event(one, "not run", str(refusal))
         elif not self.repeatable(one, refusal):
             raise refusal
         if one.worker is not None:
-            one.tried |= {one.worker.name}
+            one.tried_workers |= {one.worker.name}
         self.release(one)
-        if self.over(one) or one.goes >= MOST_GOES:
+        if self.is_over(one) or one.attempts >= MAX_ATTEMPTS:
             raise result.RequestError(refusal.result, one.ran(), refusal.detail)
         if refusal.ran is not result.Ran.NOT_RUN:
             await self.repeat(one, refusal)
-        if not self.drawing.offer(one.lane.urgency, one, back=True):
+        if not self.awaiting_worker.offer(one.lane.urgency, one, back=True):
             raise refusal
 
     def repeatable(self, one: call.Call, refusal: result.RequestError) -> bool:
-        """Whether work whose outcome is unknown may be done again: the lane says so, the caller got nothing
-        of it yet, and no operation key asks for one run.
+        """Whether work with an unknown outcome may be repeated.
+
+        The lane must allow it, the caller must not have received any of the output, and there must be no operation
+        key, which asks for a single run.
         """
         return (
             one.lane.repeatable
             and not one.request.operation
-            and not one.handed
-            and refusal.result in REPEATED
-            and not self.over(one)
-            and one.goes < MOST_GOES
+            and not one.pieces_delivered
+            and refusal.result in REPEATABLE_RESULTS
+            and not self.is_over(one)
+            and one.attempts < MAX_ATTEMPTS
         )
 
     async def repeat(self, one: call.Call, refusal: result.RequestError) -> None:
-        """Before another go: the one before is charged in full to the program, and the turn opened anew."""
-        one.unsure = True
+        """Prepare another attempt: charge the previous one in full to the program, and open the turn again."""
+        one.may_have_run = True
         self.counts["goes repeated"] += 1
-        self.tell(one, "repeated", str(refusal))
+        self.record_event(one, "repeated", str(refusal))
         if one.granted is not None:
             await self.close_turn(one, sessions_messages.UNKNOWN, "", 0)
-        one.sent, one.granted, one.repeats = False, None, one.repeats + 1
+        one.sent, one.granted, one.repetitions = False, None, one.repetitions + 1
         if one.turns():
             await self.accept(one)
 
     async def stream(self, one: call.Call, work: adapter.Work) -> None:
-        """Hand pieces on as they come; the turn is kept before the caller hears of its end."""
-        listening, parts = tap.Tap(), []
+        """Pass pieces on as they arrive; the turn is stored before the caller is told of its end."""
+        tap_state, parts = tap.Tap(), []
         async for event in self.adapter.run(one.worker, work):
             if isinstance(event, adapter.Piece):
                 if not parts:
                     self.sight.first_token(one.worker.name, one.service, one.request.program)
                 parts.append(event.text)
-                listening, intents = listening.feed(event.text)
+                tap_state, intents = tap_state.feed(event.text)
                 for intent in intents:
-                    self.tell(one, "intent", ", ".join(intent.models))
-                    self.tell_duty("keeps", residency_messages.Intended(self.session(one), intent.models))
+                    self.record_event(one, "intent", ", ".join(intent.models))
+                    self.notify_role_holder("keeps", residency_messages.Intended(self.session_name(one), intent.models))
                 await one.put(event)
             else:
                 await self.complete(one, event, "".join(parts))
 
-    def session(self, one: call.Call) -> str:
-        """The name under which a call's program is known to the residency duty."""
+    def session_name(self, one: call.Call) -> str:
+        """Return the name under which the residency role knows a call's program."""
         return one.request.program or one.request.lane
 
-    def tell_duty(self, topic: str, message) -> None:
-        """Tell the holder of a duty, as far as its news say who that is."""
+    def notify_role_holder(self, topic: str, message) -> None:
+        """Notify the holder of a singleton role, if its published topic names one."""
         holder = self.sight.topic(topic).get("holder")
         if holder:
             self.node.link.notify(holder, message)
 
     async def complete(self, one: call.Call, end: adapter.End, text: str) -> None:
-        """Keep the turn and the key's answer, then tell the caller the end; the worker's place is free before."""
-        asked, turn, used_by = one.request, 0, one.worker.name
-        took = clock.now() - one.sent_at
-        self.mean[one.turns()] += (took - self.mean[one.turns()]) / SMOOTH
+        """Free the worker, store the turn and the key's answer, then tell the caller the end."""
+        request, turn, worker_name = one.request, 0, one.worker.name
+        duration = clock.now() - one.sent_at
+        self.mean_duration[one.turns()] += (duration - self.mean_duration[one.turns()]) / SMOOTHING
         self.release(one)
         if one.granted is not None:
             turn = one.granted.number
@@ -501,47 +520,49 @@
             try:
                 await self.close_operation(one, json.dumps(kept).encode())
             except result.RequestError as refusal:
-                self.tell(one, "key not closed", str(refusal))
+                self.record_event(one, "key not closed", str(refusal))
         past = sum(len(before.input) + len(before.output) for before in one.granted.past) if one.granted else 0
-        letters = past + len(json.dumps(asked.input)) + len(text)
-        called = residency_messages.Called(self.session(one), one.service, used_by, letters // TOKEN_LETTERS, took)
-        self.tell_duty("keeps", called)
-        self.tell_duty("quiet", called)
-        self.last(one, call.Ended(turn, end.pieces, end.used, end.answer, None))
-
-    def closed_turn(self, one: call.Call, outcome: str, text: str, used: int) -> sessions_messages.CloseTurn:
-        """The command that tells how the turn ended."""
-        asked = one.request
-        given = asked.input if isinstance(asked.input, str) else json.dumps(asked.input)
-        return sessions_messages.CloseTurn(asked.program, asked.helper, one.go(), outcome, given, text, used)
+        characters = past + len(json.dumps(request.input)) + len(text)
+        called = residency_messages.Called(
+            self.session_name(one), one.service, worker_name, characters // CHARACTERS_PER_TOKEN, duration
+        )
+        self.notify_role_holder("keeps", called)
+        self.notify_role_holder("quiet", called)
+        self.deliver_end(one, call.Ended(turn, end.pieces, end.used, end.answer, None))
+
+    def close_turn_command(self, one: call.Call, outcome: str, text: str, used: int) -> sessions_messages.CloseTurn:
+        """Return the command that records how the turn ended."""
+        request = one.request
+        given = request.input if isinstance(request.input, str) else json.dumps(request.input)
+        return sessions_messages.CloseTurn(request.program, request.helper, one.go(), outcome, given, text, used)
 
     async def close_turn(self, one: call.Call, outcome: str, text: str, used: int) -> None:
-        """Write how the turn ended."""
+        """Record how the turn ended."""
         group_id = session_groups.group_of(one.request.program, self.node.settings.talk_pairs)
-        await self.node.submit(group_id, self.closed_turn(one, outcome, text, used), CLOSE)
+        await self.node.submit(group_id, self.close_turn_command(one, outcome, text, used), CLOSE_TIMEOUT)
 
     async def close_operation(self, one: call.Call, answer: bytes) -> None:
-        """Write that the work under the key was done, and its answer."""
-        asked = one.request
-        group_id = session_groups.group_of(asked.operation, self.node.settings.talk_pairs)
+        """Record that the work of the operation key was done, with its answer."""
+        request = one.request
+        group_id = session_groups.group_of(request.operation, self.node.settings.talk_pairs)
         await self.node.submit(
             group_id,
-            sessions_messages.CloseOperation(asked.operation, asked.identity, sessions_messages.DONE, answer),
-            CLOSE,
+            sessions_messages.CloseOperation(request.operation, request.identity, sessions_messages.DONE, answer),
+            CLOSE_TIMEOUT,
         )
 
-    def last(self, one: call.Call, end: call.Ended) -> None:
-        """Hand out the final event and forget the call."""
+    def deliver_end(self, one: call.Call, end: call.Ended) -> None:
+        """Deliver the final event to the caller and remove the call."""
         one.done = True
-        word_of_end = str(end.refusal) if end.refusal else "done"
-        self.tell(one, "answered", word_of_end)
+        outcome_text = str(end.refusal) if end.refusal else "done"
+        self.record_event(one, "answered", outcome_text)
         self.counts["answered" if end.refusal is None else f"refused {end.refusal.result.number}"] += 1
         one.close(end)
-        self.share_story(one)
+        self.replicate_trace(one)
         self.active.pop(one.request.identity, None)
 
-    def share_story(self, one: call.Call) -> None:
-        """Give the request's trace to another edge to keep, as this one may die."""
+    def replicate_trace(self, one: call.Call) -> None:
+        """Copy the request's trace to another edge, as this one may fail."""
         edges = sorted(
             (
                 each.address
@@ -551,48 +572,50 @@
             key=cluster_member.position,
         )
         if self.node.address in edges and len(edges) > 1:
-            mate = edges[(edges.index(self.node.address) + 1) % len(edges)]
-            self.node.link.notify(mate, self.traces.held[one.request.identity])
+            next_edge = edges[(edges.index(self.node.address) + 1) % len(edges)]
+            self.node.link.notify(next_edge, self.traces.held[one.request.identity])
 
-    def finish(self, one: call.Call, refusal: result.RequestError) -> None:
-        """Give a call up: the caller hears it at once; key and turn are released or charged behind it."""
+    def give_up(self, one: call.Call, refusal: result.RequestError) -> None:
+        """Refuse a call: tell the caller at once; the key and the turn are released or charged afterwards."""
         if one.done:
             return
         ran = one.ran()
-        unclear = refusal.ran is result.Ran.UNKNOWN
-        self.last(
+        is_outcome_unknown = refusal.ran is result.Ran.UNKNOWN
+        self.deliver_end(
             one,
             call.Ended(0, 0, 0, None, result.RequestError(refusal.result, ran, refusal.detail, refusal.retry)),
         )
-        outcome, asked = (sessions_messages.UNKNOWN if one.sent else sessions_messages.NOT_RUN), one.request
-        if one.granted is not None or (one.turns() and unclear):
+        outcome, request = (sessions_messages.UNKNOWN if one.sent else sessions_messages.NOT_RUN), one.request
+        if one.granted is not None or (one.turns() and is_outcome_unknown):
             self.closings.offer(
-                session_groups.group_of(asked.program, self.node.settings.talk_pairs),
-                closing.Closing(asked.identity, self.closed_turn(one, outcome, "", 0)),
+                session_groups.group_of(request.program, self.node.settings.talk_pairs),
+                closing.Closing(request.identity, self.close_turn_command(one, outcome, "", 0)),
             )
-        if one.claimed or (asked.operation and unclear):
+        if one.claimed or (request.operation and is_outcome_unknown):
             self.closings.offer(
-                session_groups.group_of(asked.operation, self.node.settings.talk_pairs),
+                session_groups.group_of(request.operation, self.node.settings.talk_pairs),
                 closing.Closing(
-                    asked.identity,
-                    sessions_messages.CloseOperation(asked.operation, asked.identity, outcome, b""),
+                    request.identity,
+                    sessions_messages.CloseOperation(request.operation, request.identity, outcome, b""),
                 ),
             )
 
     async def drain(self) -> None:
-        """Let what is under way end, within the grace; what was not sent by then is refused as not run, and
-        what still streams at the end is told so in its last line.
+        """Wait for calls in flight within the drain grace.
+
+        Calls not sent by ``UNSENT_GRACE`` are refused as not run; streams still running at the end of the grace get an
+        error as their last line.
         """
-        began = clock.now()
-        while (self.active or self.closings.open) and clock.now() < began + GRACE:
-            await clock.sleep(LOOK / 2)
+        started_at = clock.now()
+        while (self.active or self.closings.open) and clock.now() < started_at + DRAIN_GRACE:
+            await clock.sleep(DISPATCH_INTERVAL / 2)
             for one in list(self.active.values()):
-                if clock.now() > began + (GRACE - SOON if one.sent else UNSENT):
+                if clock.now() > started_at + (DRAIN_GRACE - RETRY_SOON if one.sent else UNSENT_GRACE):
                     one.abandoned = True
-                    self.finish(one, result.RequestError(result.ResultCode.LEAVING))
+                    self.give_up(one, result.RequestError(result.ResultCode.LEAVING))
 
     def samples(self) -> list[sample.Sample]:
-        """What an edge says of itself in numbers."""
+        """Return the metrics of the edge."""
         found = [
             sample.sample("aspencroft_parked", self.parked.total()),
             sample.sample("aspencroft_active", len(self.active)),
@@ -613,23 +636,23 @@
         return found
 
     def shown(self) -> dict:
-        """What an operator should see of the path."""
+        """Return the state of all stages for the operator."""
         return {
             "counts": dict(self.counts),
             "active": len(self.active),
             "parked": self.parked.total(),
             "accepting": {
                 f"pair {group_id} {'turns' if turns else 'signals'}": row.ahead(9)
-                for (group_id, turns), row in self.accepting.items()
+                for (group_id, turns), row in self.accept_queues.items()
             },
             "closings": dict(self.closings.counts),
             "workers": [one.name for one in self.sight.workers],
             "demand": {name: count for name, count in self.sight.demand.items() if count},
-            "seconds a turn": self.mean[True].total_seconds(),
-            "seconds a signal": self.mean[False].total_seconds(),
+            "seconds a turn": self.mean_duration[True].total_seconds(),
+            "seconds a signal": self.mean_duration[False].total_seconds(),
         }
 
 
 def new_identity(randomness: random.Random) -> str:
-    """A request's identity."""
+    """Return a new request identity."""
     return format(randomness.getrandbits(128), "032x")
--- a/aspencroft/gateway/priority_queue_test.py
+++ b/aspencroft/gateway/priority_queue_test.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-import aspencroft.gateway.priority_queue as lineup_module
+import aspencroft.gateway.priority_queue as queue_module
 
 
 def test_urgent_items_pass_a_full_queue():
     async def scenario():
-        lineup = lineup_module.Lineup(2)
-        assert lineup.offer(5, "a") and lineup.offer(5, "b") and not lineup.offer(5, "c")
-        assert lineup.offer(0, "signal") and lineup.ahead(5) == 3 and lineup.ahead(0) == 1
-        return [await lineup.take() for _ in range(3)]
+        queue = queue_module.PriorityQueue(2)
+        assert queue.offer(5, "a") and queue.offer(5, "b") and not queue.offer(5, "c")
+        assert queue.offer(0, "signal") and queue.ahead(5) == 3 and queue.ahead(0) == 1
+        return [await queue.take() for _ in range(3)]
 
     assert asyncio.run(scenario()) == ["signal", "a", "b"]
--- a/aspencroft/gateway/selection.py
+++ b/aspencroft/gateway/selection.py
@@ -1,4 +1,4 @@
-"""Drawing a worker for a call: only allowed services, workers that hold the model first."""
+"""Selection of a worker for a call: only allowed services, workers that have the model loaded first."""
 
 import dataclasses
 import itertools
@@ -6,14 +6,16 @@
 
 from aspencroft.workers import worker
 
-FAILED, RESTS = "failed lately", "at rest"
-RELUCTANCE = {"": 0, FAILED: 1, RESTS: 2}
+FAILED_LATELY, ASLEEP = "failed lately", "at rest"
+STATE_RANKS = {"": 0, FAILED_LATELY: 1, ASLEEP: 2}
 
 
 @dataclasses.dataclass(frozen=True)
-class Drawn:
-    """The worker and service for a call, why the others were left out, whether places may become free,
-    and which resting workers should be woken.
+class Selection:
+    """The result of a selection.
+
+    It has the worker and service, why the other workers were left out, whether capacity may become free, and which
+    sleeping workers should be woken.
     """
 
     worker: worker.Worker | None
@@ -25,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class View:
-    """What an edge knows at the moment of drawing."""
+    """What an edge knows about workers at the moment of a selection."""
 
     workers: tuple[worker.Worker, ...]
     leaving: frozenset[str]
@@ -37,11 +39,11 @@
     quiet: frozenset[str]
 
 
-def bars(one: worker.Worker, view: View, tried: frozenset[str]) -> str:
-    """Why a worker must not be drawn now, or nothing."""
+def exclusion_reason(one: worker.Worker, view: View, tried_workers: frozenset[str]) -> str:
+    """Return why a worker must not be selected now, or an empty text."""
     if one.leaving or one.name in view.leaving:
         return "leaving"
-    if one.name in tried:
+    if one.name in tried_workers:
         return "handed it back"
     if one.name in view.crowded:
         return "handed others back just now"
@@ -50,13 +52,15 @@
     return ""
 
 
-def draw(allowed: tuple[str, ...], program: str, view: View, tried: frozenset[str], chance: random.Random) -> Drawn:
-    """The best worker: a program's home, then holders of the model, then the lesser demand of two by lot.
+def draw(
+    allowed: tuple[str, ...], program: str, view: View, tried_workers: frozenset[str], randomness: random.Random
+) -> Selection:
+    """Select the best worker: a program's home, then workers with the model, then the lesser demand of two at random.
 
-    All edges know the same list, so equal ranks are broken by lot: a tie by name would send the calls of
-    all edges to one worker. Workers that failed lately are drawn only when no sound one is left, resting
-    ones only when no awake one offers the service at all; while awake ones are merely full, the resting
-    ones are named to be woken and the call waits. Leaving workers are never drawn.
+    All edges know the same list, so ties are broken at random: a tie broken by name would send the calls of all edges
+    to one worker. Workers that failed lately are selected only if no healthy one is left, sleeping ones only if no
+    awake one offers the service at all. While awake ones are merely full, the sleeping ones are returned to be woken
+    and the call waits. Draining workers are never selected.
     """
     reasons: list[tuple[str, str]] = []
     ranked, awake, full, wake = [], 0, False, []
@@ -65,29 +69,29 @@
         if not offered:
             reasons.append((one.name, "offers no allowed service"))
             continue
-        bar = bars(one, view, tried)
-        rests = one.name in view.quiet
-        if bar != "leaving" and not rests and one.name not in view.troubled:
+        exclusion = exclusion_reason(one, view, tried_workers)
+        is_asleep = one.name in view.quiet
+        if exclusion != "leaving" and not is_asleep and one.name not in view.troubled:
             awake += 1
-        if bar:
-            reasons.append((one.name, bar))
-            full = full or bar != "leaving"
+        if exclusion:
+            reasons.append((one.name, exclusion))
+            full = full or exclusion != "leaving"
             continue
-        state = RESTS if rests else FAILED if one.name in view.troubled else ""
+        state = ASLEEP if is_asleep else FAILED_LATELY if one.name in view.troubled else ""
         holds = [service for service in offered if service in view.held.get(one.name, frozenset())]
         home = view.homes.get(program) == one.name
-        rank = (RELUCTANCE[state], not (home and holds), not holds)
+        rank = (STATE_RANKS[state], not (home and holds), not holds)
         ranked.append((rank, one, (holds or offered)[0], state))
-    if awake and ranked and all(state == RESTS for _, _, _, state in ranked):
+    if awake and ranked and all(state == ASLEEP for _, _, _, state in ranked):
         wake = [one.name for _, one, _, _ in ranked]
-        reasons.extend((name, RESTS) for name in wake)
+        reasons.extend((name, ASLEEP) for name in wake)
         ranked, full = [], True
     if not ranked:
-        return Drawn(None, "", tuple(reasons), full, tuple(wake))
+        return Selection(None, "", tuple(reasons), full, tuple(wake))
     ranked.sort(key=lambda entry: entry[0])
-    first = list(next(group for _, group in itertools.groupby(ranked, key=lambda entry: entry[0])))
-    two = chance.sample(first, 2) if len(first) > 1 else first
-    best = min(two, key=lambda entry: view.demand.get(entry[1].name, 0) / entry[1].places)
+    best_ranked = list(next(group for _, group in itertools.groupby(ranked, key=lambda entry: entry[0])))
+    pair = randomness.sample(best_ranked, 2) if len(best_ranked) > 1 else best_ranked
+    best = min(pair, key=lambda entry: view.demand.get(entry[1].name, 0) / entry[1].places)
     for rank, one, _, state in ranked:
         if one is not best[1]:
             reasons.append(
@@ -103,10 +107,10 @@
                     ),
                 )
             )
-    return Drawn(best[1], best[2], tuple(reasons), full, ())
+    return Selection(best[1], best[2], tuple(reasons), full, ())
 
 
 def sample_view(count: int, **changes) -> View:
-    """Workers w0 to w(count-1) of service a, nothing known of them, with some things changed."""
+    """Return a view of workers w0 to w(count-1) of service a without further knowledge, with some fields changed."""
     workers = tuple(worker.Worker(f"w{number}", "http://h", "model", ("a",), False, 1, 2) for number in range(count))
     return dataclasses.replace(View(workers, frozenset(), {}, frozenset(), frozenset(), {}, {}, frozenset()), **changes)
--- a/aspencroft/gateway/selection_test.py
+++ b/aspencroft/gateway/selection_test.py
@@ -3,7 +3,7 @@
 import itertools
 import random
 
-import aspencroft.gateway.selection as draw_module
+import aspencroft.gateway.selection as selection_module
 from aspencroft.workers import worker
 
 
@@ -13,7 +13,7 @@
         for number, services in enumerate([("a",), ("a", "b"), ("b",), ("c",)])
     )
     for leaving, tried, troubled in itertools.product([frozenset(), frozenset({"w1"})], repeat=3):
-        view = draw_module.sample_view(
+        view = selection_module.sample_view(
             0,
             workers=workers,
             leaving=leaving,
@@ -21,55 +21,55 @@
             troubled=troubled,
             held={"w1": frozenset({"b"})},
         )
-        drawn = draw_module.draw(("a", "b"), "p", view, tried, random.Random(1))
-        if drawn.worker is None:
+        selected = selection_module.draw(("a", "b"), "p", view, tried, random.Random(1))
+        if selected.worker is None:
             assert "w1" in leaving | tried
         else:
-            assert drawn.worker.name == "w1" and drawn.service == "b"
+            assert selected.worker.name == "w1" and selected.service == "b"
             assert "w1" not in leaving | tried
 
 
 def test_reluctance_sound_then_failed_then_resting_and_full_ones_wake_the_resting():
-    chance = random.Random(1)
-    failed, rests = frozenset({"w1"}), frozenset({"w2"})
-    view = draw_module.sample_view(3, troubled=failed, quiet=rests)
-    assert {draw_module.draw(("a",), "", view, frozenset(), chance).worker.name for _ in range(50)} == {"w0"}
-    assert draw_module.draw(("a",), "", view, frozenset({"w0"}), chance).worker.name == "w1"
+    randomness = random.Random(1)
+    failed, asleep = frozenset({"w1"}), frozenset({"w2"})
+    view = selection_module.sample_view(3, troubled=failed, quiet=asleep)
+    assert {selection_module.draw(("a",), "", view, frozenset(), randomness).worker.name for _ in range(50)} == {"w0"}
+    assert selection_module.draw(("a",), "", view, frozenset({"w0"}), randomness).worker.name == "w1"
     assert (
-        draw_module.draw(
+        selection_module.draw(
             ("a",),
             "",
-            draw_module.sample_view(3, troubled=frozenset({"w0", "w1"}), quiet=rests),
+            selection_module.sample_view(3, troubled=frozenset({"w0", "w1"}), quiet=asleep),
             frozenset({"w0", "w1"}),
-            chance,
+            randomness,
         ).worker.name
         == "w2"
     )
-    crowd = draw_module.draw(
-        ("a",), "", draw_module.sample_view(3, quiet=rests, demand={"w0": 2, "w1": 2}), frozenset(), chance
+    all_full = selection_module.draw(
+        ("a",), "", selection_module.sample_view(3, quiet=asleep, demand={"w0": 2, "w1": 2}), frozenset(), randomness
     )
-    assert crowd.worker is None and crowd.full and crowd.wake == ("w2",)
+    assert all_full.worker is None and all_full.full and all_full.wake == ("w2",)
 
 
 def test_edges_that_know_nothing_of_each_other_spread_over_equal_workers():
-    drawn = [
-        draw_module.draw(("a",), "", draw_module.sample_view(8), frozenset(), random.Random(seed)).worker.name
+    selected = [
+        selection_module.draw(("a",), "", selection_module.sample_view(8), frozenset(), random.Random(seed)).worker.name
         for seed in range(400)
     ]
-    counts = [drawn.count(f"w{number}") for number in range(8)]
+    counts = [selected.count(f"w{number}") for number in range(8)]
     assert min(counts) > 25 and max(counts) < 85, counts
     held = {"w3": frozenset({"a"}), "w5": frozenset({"a"})}
     assert {
-        draw_module.draw(
-            ("a",), "", draw_module.sample_view(8, held=held), frozenset(), random.Random(seed)
+        selection_module.draw(
+            ("a",), "", selection_module.sample_view(8, held=held), frozenset(), random.Random(seed)
         ).worker.name
         for seed in range(50)
     } == {"w3", "w5"}
     assert (
-        draw_module.draw(
+        selection_module.draw(
             ("a",),
             "p",
-            draw_module.sample_view(8, held=held, homes={"p": "w5"}),
+            selection_module.sample_view(8, held=held, homes={"p": "w5"}),
             frozenset(),
             random.Random(1),
         ).worker.name
--- a/aspencroft/gateway/wait_queue.py
+++ b/aspencroft/gateway/wait_queue.py
@@ -1,4 +1,4 @@
-"""Calls for which no worker has a place now: bounded, in order, refused once their turn comes too late."""
+"""Calls that wait for a free worker: bounded, in order, refused once they cannot be served before their deadline."""
 
 import collections
 import dataclasses
@@ -6,41 +6,42 @@
 
 from aspencroft.runtime import clock
 
-BOUND = 256
-SMOOTH = 8
+MAX_CALLS_PER_ROW = 256
+SMOOTHING = 8
 
 
 @dataclasses.dataclass
 class Row:
-    """Calls that the same workers can serve, first come first, and how often a place came free for them."""
+    """Waiting calls that the same workers can serve, first in, first out, and how often capacity came free."""
 
     urgency: int
-    guess: datetime.timedelta
+    default_interval: datetime.timedelta
     calls: collections.deque = dataclasses.field(default_factory=collections.deque)
     interval: datetime.timedelta | None = None
-    last: datetime.timedelta = clock.ZERO
+    last_free_at: datetime.timedelta = clock.ZERO
 
-    def expected(self, place: int, now: datetime.timedelta) -> datetime.timedelta:
-        """How long the call at a place in the row will wait: the pace so far, once a stall that lasts now is
-        over; it is taken to last as long again as it lasted.
+    def expected(self, position: int, now: datetime.timedelta) -> datetime.timedelta:
+        """Return the expected wait of the call at a position in the row.
+
+        It is the mean interval so far, plus the current stall, if any, which is assumed to last as long again.
         """
-        interval = self.guess if self.interval is None else self.interval
-        return interval * (place + 1) + max(clock.ZERO, now - self.last - interval)
+        interval = self.default_interval if self.interval is None else self.interval
+        return interval * (position + 1) + max(clock.ZERO, now - self.last_free_at - interval)
 
 
 class Parked:
-    """Rows of waiting calls; each place that comes free costs one look at each row, not at each call."""
+    """Rows of waiting calls. Freed capacity costs one check of each row, not of each call."""
 
     def __init__(self):
         self.rows: dict[tuple[str, str], Row] = {}
         self.counts = collections.Counter()
 
     def waits(self, key: tuple[str, str]) -> int:
-        """How many calls wait in a row."""
+        """Return how many calls wait in a row."""
         return len(self.rows[key].calls) if key in self.rows else 0
 
     def total(self) -> int:
-        """How many calls wait in all."""
+        """Return how many calls wait in all rows."""
         return sum(len(row.calls) for row in self.rows.values())
 
     def offer(
@@ -49,45 +50,50 @@
         urgency: int,
         one,
         now: datetime.timedelta,
-        guess: datetime.timedelta,
+        default_interval: datetime.timedelta,
         front: bool = False,
     ) -> datetime.timedelta | None:
-        """Let a call wait; else the time after which it may come back: the row is full, or its turn too late."""
-        row = self.rows.setdefault(key, Row(urgency, guess))
-        row.urgency, row.guess = urgency, guess
+        """Queue a call.
+
+        Returns None, or the time after which the call may be retried if the row is full or the wait would be too long.
+        """
+        row = self.rows.setdefault(key, Row(urgency, default_interval))
+        row.urgency, row.default_interval = urgency, default_interval
         if not row.calls:
-            row.last = now
+            row.last_free_at = now
         expected = row.expected(0 if front else len(row.calls), now)
-        if len(row.calls) >= BOUND or now + expected > one.end:
+        if len(row.calls) >= MAX_CALLS_PER_ROW or now + expected > one.end:
             return max(expected, clock.seconds(1))
         row.calls.appendleft(one) if front else row.calls.append(one)
         self.counts["parked"] += 1
         return None
 
-    def order(self) -> list[tuple[str, str]]:
-        """The rows that hold calls, the most urgent first."""
+    def rows_by_urgency(self) -> list[tuple[str, str]]:
+        """Return the keys of the rows that contain calls, the most urgent first."""
         return sorted(
             (key for key, row in self.rows.items() if row.calls),
             key=lambda key: (self.rows[key].urgency, key),
         )
 
     def head(self, key: tuple[str, str]):
-        """The first call of a row."""
+        """Return the first call of a row."""
         return self.rows[key].calls[0]
 
     def pop(self, key: tuple[str, str], now: datetime.timedelta, served: bool) -> None:
-        """The first call leaves its row; when it was served the row's pace is noted."""
+        """Remove the first call of a row; if it was served, update the mean interval of the row."""
         row = self.rows[key]
         row.calls.popleft()
         if served:
-            gap = now - row.last
-            row.interval = gap if row.interval is None else row.interval + (gap - row.interval) / SMOOTH
-            row.last = now
+            since_last = now - row.last_free_at
+            row.interval = (
+                since_last if row.interval is None else row.interval + (since_last - row.interval) / SMOOTHING
+            )
+            row.last_free_at = now
         if not row.calls and not served:
             self.rows.pop(key)
 
     def too_late(self, now: datetime.timedelta) -> list:
-        """Calls at the rows' ends whose turn cannot come before their deadline, as the pace is now; they leave."""
+        """Remove and return calls at the ends of rows that, at the current rate, would miss their deadline."""
         found = []
         for row in self.rows.values():
             while row.calls:
@@ -99,8 +105,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Waiting:
-    """A call as the test needs it."""
+class SampleCall:
+    """A call with the attributes that the test needs."""
 
     number: int
     end: datetime.timedelta
--- a/aspencroft/gateway/worker_view.py
+++ b/aspencroft/gateway/worker_view.py
@@ -1,4 +1,4 @@
-"""What an edge knows of workers: the list, the keep plan, the quiet list, and what its own calls met."""
+"""What an edge knows about workers: the list, the keep plan, the list of sleeping workers, and its own calls."""
 
 import collections
 import datetime
@@ -9,14 +9,14 @@
 from aspencroft.runtime import clock
 from aspencroft.workers import worker
 
-TROUBLE = clock.seconds(2)
-CROWDED, MOST_CROWDED = clock.seconds(0.05), clock.seconds(0.8)
-HELD_LIFE = clock.seconds(3)
-MOST_HOMES = 20_000
+FAILURE_MEMORY = clock.seconds(2)
+MIN_CROWDED_TIME, MAX_CROWDED_TIME = clock.seconds(0.05), clock.seconds(0.8)
+LOADED_MEMORY = clock.seconds(3)
+MAX_HOMES = 20_000
 
 
 class Sight:
-    """An edge's knowledge of workers; nothing here is asked of a worker, all of it is met or heard."""
+    """An edge's knowledge of workers, from published topics and the results of its own calls; no worker is probed."""
 
     def __init__(self, own: node.Node):
         self.node = own
@@ -26,11 +26,11 @@
         self.troubled: dict[str, datetime.timedelta] = {}
         self.crowded: dict[str, tuple[datetime.timedelta, datetime.timedelta]] = {}
         self.homes: collections.OrderedDict[str, str] = collections.OrderedDict()
-        self.tokened: dict[tuple[str, str], datetime.timedelta] = {}
+        self.seen_loaded: dict[tuple[str, str], datetime.timedelta] = {}
         self.topics: dict[str, tuple[object, dict]] = {}
 
     def take_list(self, found: tuple[worker.Worker, ...]) -> None:
-        """Take the platform's list; what is known of workers that are gone is dropped."""
+        """Apply the platform's list, and forget what is known of workers that are gone."""
         self.workers, self.listed = found, True
         names = {one.name for one in found}
         for known in (self.troubled, self.crowded):
@@ -40,7 +40,7 @@
             del self.demand[name]
 
     def topic(self, name: str) -> dict:
-        """The newest state of a topic that the relay tree brought."""
+        """Return the newest state of a topic from the relay tree."""
         held = self.node.relay.topics.get(name)
         if held is None:
             return {}
@@ -51,20 +51,20 @@
         return shown
 
     def quiet(self) -> frozenset[str]:
-        """Workers on the quiet list."""
+        """Return the workers on the published list of sleeping workers."""
         return frozenset(self.topic("quiet").get("workers", ()))
 
     def view(self) -> selection.View:
-        """All of it at this moment."""
+        """Return all knowledge at this moment."""
         now = clock.now()
         held: dict[str, set[str]] = collections.defaultdict(set)
         for name, kept in self.topic("keeps").get("workers", {}).items():
             held[name].update(one.partition(":")[2] for one in kept["ready"])
-        for (name, service), end in list(self.tokened.items()):
+        for (name, service), end in list(self.seen_loaded.items()):
             if end > now:
                 held[name].add(service)
             else:
-                del self.tokened[name, service]
+                del self.seen_loaded[name, service]
         return selection.View(
             self.workers,
             self.node.relay.configuration.leaving,
@@ -76,31 +76,31 @@
             self.quiet(),
         )
 
-    def barred(self, name: str) -> bool:
-        """Whether a worker must get nothing new at this very moment: not listed any more, or leaving."""
+    def is_excluded(self, name: str) -> bool:
+        """Whether a worker must get no new calls now because it is no longer listed or is leaving."""
         listed = [one for one in self.workers if one.name == name]
         return not listed or listed[0].leaving or name in self.node.relay.configuration.leaving
 
-    def places(self, services: tuple[str, ...]) -> int:
-        """The places of workers that offer one of some services."""
+    def capacity(self, services: tuple[str, ...]) -> int:
+        """Return the number of concurrent calls that workers with one of these services can take."""
         return sum(one.places for one in self.workers if not one.leaving and set(services) & set(one.services))
 
     def failed(self, name: str) -> None:
-        """A worker could not be reached, or was lost."""
-        self.troubled[name] = clock.now() + TROUBLE
+        """Note that a worker could not be reached, or was lost."""
+        self.troubled[name] = clock.now() + FAILURE_MEMORY
 
     def put_back(self, name: str) -> None:
-        """A worker handed a call back: others fill it; it is left alone for a while, longer each time in a row."""
-        _, before = self.crowded.get(name, (clock.ZERO, CROWDED / 2))
-        span = min(2 * before, MOST_CROWDED)
+        """Note that a worker returned a call because others fill it; back off, longer each consecutive time."""
+        _, before = self.crowded.get(name, (clock.ZERO, MIN_CROWDED_TIME / 2))
+        span = min(2 * before, MAX_CROWDED_TIME)
         self.crowded[name] = (clock.now() + span, span)
 
     def first_token(self, name: str, service: str, program: str) -> None:
-        """A first token shows that the worker has a place and the model, and makes it the program's home."""
+        """Note a first token: the worker has free capacity and the model, and becomes the program's home."""
         self.crowded.pop(name, None)
-        self.tokened[name, service] = clock.now() + HELD_LIFE
+        self.seen_loaded[name, service] = clock.now() + LOADED_MEMORY
         if program:
             self.homes.pop(program, None)
             self.homes[program] = name
-            while len(self.homes) > MOST_HOMES:
+            while len(self.homes) > MAX_HOMES:
                 self.homes.popitem(last=False)
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -66,8 +66,8 @@
     Mutation(
         "the record tells the first run's count of pieces",
         "gateway/path.py",
-        '            self.last(one, call.Ended(kept["turn"], pieces, kept["used"], kept["answer"], None))\n',
-        '            self.last(one, call.Ended(kept["turn"], 7, kept["used"], kept["answer"], None))\n',
+        '            self.deliver_end(one, call.Ended(kept["turn"], pieces, kept["used"], kept["answer"], None))\n',
+        '            self.deliver_end(one, call.Ended(kept["turn"], 7, kept["used"], kept["answer"], None))\n',
         ("simulation/calls_test.py::test_an_answer_from_a_keys_record_adds_up_and_is_nobody_elses",),
     ),
     Mutation(
@@ -80,8 +80,8 @@
     Mutation(
         "nothing is checked at the moment of sending",
         "gateway/path.py",
-        "        if self.over(one):\n            raise result.RequestError(result.ResultCode.DEADLINE)\n        why = self.sendable(one)\n",
-        '        why = ""\n',
+        "        if self.is_over(one):\n            raise result.RequestError(result.ResultCode.DEADLINE)\n        reason = self.send_obstacle(one)\n",
+        '        reason = ""\n',
         ("simulation/guarantees_test.py::test_an_edge_frozen_between_claim_and_send_sends_nothing_late",),
     ),
     Mutation(
@@ -108,7 +108,7 @@
     Mutation(
         "work is repeated behind pieces",
         "gateway/path.py",
-        "            and not one.handed\n",
+        "            and not one.pieces_delivered\n",
         "",
         ("simulation/calls_test.py::test_work_is_repeated_only_where_the_lane_says_so_and_is_charged_each_time",),
     ),
@@ -213,8 +213,8 @@
     Mutation(
         "signals share the senders of streams",
         "gateway/path.py",
-        "        if self.sending[one.turns()].offer(one.lane.urgency, one):\n",
-        "        if self.sending[True].offer(one.lane.urgency, one):\n",
+        "        if self.send_queues[one.turns()].offer(one.lane.urgency, one):\n",
+        "        if self.send_queues[True].offer(one.lane.urgency, one):\n",
         (
             "simulation/calls_test.py::test_signals_have_places_of_their_own_beside_long_streams",
             "simulation/guarantees_test.py::test_signals_are_served_under_a_flood_and_refusals_come_at_once",
@@ -223,8 +223,8 @@
     Mutation(
         "a call that must not be sent is drawn again at once",
         "gateway/path.py",
-        '            self.tell(one, "not sent", why)\n            self.undraw(one)\n',
-        '            self.tell(one, "not sent", why)\n            self.release(one)\n',
+        '            self.record_event(one, "not sent", reason)\n            self.free_worker(one)\n',
+        '            self.record_event(one, "not sent", reason)\n            self.release(one)\n',
         ("simulation/calls_test.py::test_an_edge_cut_off_with_calls_waiting_does_not_go_round_and_round",),
         (("        if not self.node.relay.current():\n            return\n", ""),),
     ),
