--- a/aspencroft/platform_check/configuration_test.py
+++ b/aspencroft/platform_check/configuration_test.py
@@ -334,7 +334,7 @@
     for body in (*changed, sound + b"}", sound.replace(b"7,", b"NaN,", 1)):
         try:
             configuration.whole(0, body)
-        except configuration.Unreadable:
+        except configuration.InvalidConfigurationError:
             continue
         raise AssertionError(body[:80])
     for one in (
@@ -349,7 +349,7 @@
     ):
         try:
             configuration.patch(0, raw(one))
-        except configuration.Unreadable:
+        except configuration.InvalidConfigurationError:
             continue
         raise AssertionError(one)
 
