--- a/aspencroft/platform_check/operator_api_test.py
+++ b/aspencroft/platform_check/operator_api_test.py
@@ -45,7 +45,7 @@
 def test_each_answer_has_its_status():
     async def scenario(cluster: simulated_cluster.SimulatedCluster, asking: operators.Operators) -> None:
         async def status(
-            method: str, body: bytes = b"", condition: str | None = None, way: str = operator_api.WAY
+            method: str, body: bytes = b"", condition: str | None = None, way: str = operator_api.CONFIGURATION_PATH
         ) -> int:
             seen = set()
             for name in cluster.cores:
@@ -81,7 +81,7 @@
         assert await status("PATCH", change, "5") == 200
         assert await status("PUT", first, "0") == 200, "an order that was taken is known again when newer ones followed"
         assert await status("PATCH", change, "6") == 412
-        shown = (await asking.call("GET", operator_api.WAY)).json()
+        shown = (await asking.call("GET", operator_api.CONFIGURATION_PATH)).json()
         assert documents.canonical(shown) == documents.canonical(
             documents.sample(9, **{"route-list": [documents.TURNS]})
         )
@@ -103,12 +103,12 @@
         routes = [{**documents.TURNS, "name": f"r-{number}", "path-prefix": f"/{number}/"} for number in range(2500)]
         document = documents.sample(5, **{"route-list": routes})
         body = documents.raw(document)
-        response = await asking.call("PUT", operator_api.WAY, body, {"If-Match": "0"})
+        response = await asking.call("PUT", operator_api.CONFIGURATION_PATH, body, {"If-Match": "0"})
         assert response.status_code == 200, response.text
-        assert (await asking.call("GET", operator_api.WAY)).json() == document
+        assert (await asking.call("GET", operator_api.CONFIGURATION_PATH)).json() == document
         before = {name: own.relay.counts["whole plans"] for name, own in cluster.nodes.items()}
         change = {"config-revision": 6, "upsert-items": {"route-list": [{**routes[7], "timeout-ms": 5}]}}
-        response = await asking.call("PATCH", operator_api.WAY, documents.raw(change), {"If-Match": "5"})
+        response = await asking.call("PATCH", operator_api.CONFIGURATION_PATH, documents.raw(change), {"If-Match": "5"})
         assert response.status_code == 200, response.text
         for name, own in cluster.nodes.items():
             assert (
@@ -148,7 +148,7 @@
             ("PATCH", documents.raw({"config-revision": 5})),
         ):
             began = cluster.loop.time()
-            response = await asking.call(method, operator_api.WAY, body, {"If-Match": "3"}, "core-2")
+            response = await asking.call(method, operator_api.CONFIGURATION_PATH, body, {"If-Match": "3"}, "core-2")
             assert response is not None and response.status_code == 503, response
             assert cluster.loop.time() - began < 0.95 and 0 < float(response.headers["Retry-After"]) <= 5
         cluster.wire.heal()
@@ -339,7 +339,7 @@
         for number in (b"1e300", b"1e19", b"9223372036854775808"):
             for name in cluster.cores:
                 body = b'{"config-revision": ' + number + b', "route-list": []}'
-                response = await asking.call("PUT", operator_api.WAY, body, {"If-Match": "0"}, name)
+                response = await asking.call("PUT", operator_api.CONFIGURATION_PATH, body, {"If-Match": "0"}, name)
                 assert response is not None and response.status_code == 400, (name, number, response)
         assert (await asking.send(operators.Order(True, 0, 3, documents.sample(3), cluster.loop.time()))).status == 200
 
@@ -351,14 +351,16 @@
         wide = {"config-revision": 5, "note": "x" * (5 << 20), "limits": {"max-body-bytes": 6 << 20}}
         narrow = {"config-revision": 7, "limits": {"max-body-bytes": 1 << 10}}
         for body, condition in ((wide, "0"), (narrow, "5")):
-            response = await asking.call("PUT", operator_api.WAY, documents.raw(body), {"If-Match": condition})
+            response = await asking.call(
+                "PUT", operator_api.CONFIGURATION_PATH, documents.raw(body), {"If-Match": condition}
+            )
             assert response.status_code == 200, response.text
         for name in cluster.cores:
             for sort_keys, indent in ((False, None), (True, 1)):
                 body = json.dumps(wide, sort_keys=sort_keys, indent=indent).encode()
-                response = await asking.call("PUT", operator_api.WAY, body, {"If-Match": "0"}, name)
+                response = await asking.call("PUT", operator_api.CONFIGURATION_PATH, body, {"If-Match": "0"}, name)
                 assert response.status_code == 200, (name, response.text)
-                response = await asking.call("PATCH", operator_api.WAY, body, {"If-Match": "0"}, name)
+                response = await asking.call("PATCH", operator_api.CONFIGURATION_PATH, body, {"If-Match": "0"}, name)
                 assert response.status_code == 412, "another method makes another order"
 
     play(341, scenario)
--- a/aspencroft/platform_check/operator_fuzz_test.py
+++ b/aspencroft/platform_check/operator_fuzz_test.py
@@ -91,7 +91,11 @@
 
 
 orders = strategies.builds(
-    Call, strategies.sampled_from(("PUT", "PATCH")), strategies.just(operator_api.WAY), bodies(), conditions
+    Call,
+    strategies.sampled_from(("PUT", "PATCH")),
+    strategies.just(operator_api.CONFIGURATION_PATH),
+    bodies(),
+    conditions,
 )
 drain_deadlines = strategies.one_of(
     strategies.binary(max_size=20),
@@ -114,7 +118,11 @@
 
 
 def test_an_extreme_body_is_refused():
-    ways = (("PUT", operator_api.WAY), ("PATCH", operator_api.WAY), ("POST", RETIRE + "storage-1"))
+    ways = (
+        ("PUT", operator_api.CONFIGURATION_PATH),
+        ("PATCH", operator_api.CONFIGURATION_PATH),
+        ("POST", RETIRE + "storage-1"),
+    )
     played_calls([Call(method, path, body, "5") for method, path in ways for body in EXTREME_BODIES])
 
 
@@ -128,7 +136,7 @@
         await asyncio.sleep(5)
         asking = operators.Operators(cluster, random.Random(0), points)
         first = documents.raw(documents.sample(FIRST_VERSION))
-        response = await asking.call("PUT", operator_api.WAY, first, {"If-Match": "0"})
+        response = await asking.call("PUT", operator_api.CONFIGURATION_PATH, first, {"If-Match": "0"})
         assert response.status_code == 200, response.text
         for call in calls:
             await judged(asking, call)
@@ -145,12 +153,12 @@
 
 async def judged(asking: operators.Operators, call: Call) -> None:
     """One call: it is answered in JSON, refused clearly or taken, and what was refused left no trace."""
-    before = (await asking.call("GET", operator_api.WAY)).json()
+    before = (await asking.call("GET", operator_api.CONFIGURATION_PATH)).json()
     response = await asking.call(call.method, call.path, call.body, {"If-Match": call.condition})
     assert response is not None, ("silence", call)
     assert "json" in response.headers["content-type"], call
     response.json()
     assert response.status_code == 200 or response.status_code in CLEAR_REFUSALS, (response.text, call)
-    after = (await asking.call("GET", operator_api.WAY)).json()
-    if response.status_code != 200 or call.path != operator_api.WAY:
+    after = (await asking.call("GET", operator_api.CONFIGURATION_PATH)).json()
+    if response.status_code != 200 or call.path != operator_api.CONFIGURATION_PATH:
         assert documents.canonical(after) == documents.canonical(before), call
--- a/aspencroft/platform_check/operators.py
+++ b/aspencroft/platform_check/operators.py
@@ -128,7 +128,10 @@
         pause, end = 0.1, self.cluster.loop.time() + PATIENCE
         while self.cluster.loop.time() < end:
             response = await self.call(
-                "PUT" if order.whole else "PATCH", operator_api.WAY, body, {"If-Match": str(order.condition)}
+                "PUT" if order.whole else "PATCH",
+                operator_api.CONFIGURATION_PATH,
+                body,
+                {"If-Match": str(order.condition)},
             )
             if response is not None:
                 order.answers.append(response.status_code)
@@ -148,7 +151,7 @@
         end = self.cluster.loop.time() + PATIENCE
         while self.cluster.loop.time() < end:
             asked = self.cluster.loop.time()
-            response = await self.call("GET", operator_api.WAY)
+            response = await self.call("GET", operator_api.CONFIGURATION_PATH)
             if response is not None and response.status_code == 404:
                 return None
             if response is not None and response.status_code == 200:
