--- a/aspencroft/platform_check/operator_api_test.py
+++ b/aspencroft/platform_check/operator_api_test.py
@@ -85,7 +85,7 @@
         assert documents.canonical(shown) == documents.canonical(
             documents.sample(9, **{"route-list": [documents.TURNS]})
         )
-        large = documents.raw(documents.sample(11, note="x" * operator_api.MOST_BODY_BYTES))
+        large = documents.raw(documents.sample(11, note="x" * operator_api.MAX_BODY_BYTES))
         assert await status("PUT", large, "9") == 413
         assert await status("GET", way="/api/nothing") == 404 and await status("DELETE") == 405
         assert await status("GET", way="/api/readiness") == 200
