--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -399,7 +399,7 @@
             self.park(one, front=True)
             return
         request = one.request
-        past = tuple((turn.input, turn.output) for turn in one.granted.past) if one.granted else ()
+        past = tuple((turn.input, turn.output) for turn in one.granted.turns) if one.granted else ()
         work = adapter.Work(
             one.go(),
             one.service,
@@ -521,7 +521,7 @@
                 await self.close_operation(one, json.dumps(kept).encode())
             except result.RequestError as refusal:
                 self.record_event(one, "key not closed", str(refusal))
-        past = sum(len(before.input) + len(before.output) for before in one.granted.past) if one.granted else 0
+        past = sum(len(before.input) + len(before.output) for before in one.granted.turns) if one.granted else 0
         characters = past + len(json.dumps(request.input)) + len(text)
         called = residency_messages.Called(
             self.session_name(one), one.service, worker_name, characters // CHARACTERS_PER_TOKEN, duration
