--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -137,7 +137,7 @@
             await asyncio.wait([task])
         idle = sum(len(connections) for connections in edge.pool.resting.values())
         await clock.sleep(clock.seconds(0.2))
-        running = edge.instances.known["i-0"].running
+        running = edge.instances.states["i-0"].running
         return edge.pool.total - idle, workers[0].open - idle, edge.active, running
 
     assert run_scenario(scenario, {"pieces": 1.0}) == (0, 0, 0, 0)
