--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -557,7 +557,7 @@
     async def attempt(self, state: CallState, worker: instance.Instance) -> call.Answer:
         """Make one attempt at one worker; its outcome is recorded for the selection of workers for later calls."""
         request, began = state.call, clock.now()
-        self.instances.begin(worker.name)
+        self.instances.begin_request(worker.name)
         state.attempts.in_flight += 1
         is_streaming = False
         try:
@@ -637,7 +637,7 @@
 
     def release(self, worker: instance.Instance) -> None:
         """Release a worker's slot and wake the calls that wait for one."""
-        self.instances.end(worker.name)
+        self.instances.end_request(worker.name)
         self.slot_freed.set()
 
     async def discard_answer(self, response: pool.Response, reuse: bool) -> None:
@@ -823,7 +823,7 @@
             RequestError: the worker rejected the request, failed, or did not answer with a stream.
 
         """
-        self.instances.begin(worker.name)
+        self.instances.begin_request(worker.name)
         response: pool.Response | None = None
         try:
             if self.instances.is_excluded(worker.name):
--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -142,11 +142,11 @@
                 found.append(candidate)
         return tuple(found or ejected)
 
-    def begin(self, name: str) -> None:
+    def begin_request(self, name: str) -> None:
         """Record that a request is being sent to a worker."""
         self.states[name].running += 1
 
-    def end(self, name: str) -> None:
+    def end_request(self, name: str) -> None:
         """Record the end of a request to a worker."""
         state = self.states[name]
         state.running = max(0, state.running - 1)
--- a/aspencroft/proxy/instances_test.py
+++ b/aspencroft/proxy/instances_test.py
@@ -101,10 +101,10 @@
     async def scenario(view):
         view.update([worker("a")], clock.now())
         for _ in range(3):
-            view.begin("a")
+            view.begin_request("a")
         view.record_load("a", 7, 2, 16)
         assert view.load("a") == 9.0 and view.candidates("chat")[0].slots == 16
-        view.end("a")
+        view.end_request("a")
         assert view.load("a") == 8.0
         await asyncio.sleep(1)
         assert 2 < view.load("a") < 5
@@ -113,7 +113,7 @@
         view.record_load("a", 0, 0, 0)
         assert view.load("a") == 2.0, "never less than the edge's own requests"
         for _ in range(5):
-            view.end("a")
+            view.end_request("a")
         assert view.load("a") == 0.0
 
     run_scenario(scenario)
@@ -209,11 +209,11 @@
 def test_the_state_of_a_removed_worker_is_dropped_once_no_request_runs_there():
     async def scenario(view):
         view.update([worker("a"), worker("b", draining=True)], clock.now())
-        view.begin("a")
+        view.begin_request("a")
         view.record_load("b", 1, 0, 8)
         view.update([], clock.now())
         assert set(view.states) == {"a"}
-        view.end("a")
+        view.end_request("a")
         assert not view.states
         for number in range(200):
             await asyncio.sleep(1)
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -41,7 +41,7 @@
             chosen = worker_selection.choose(
                 self.view.candidates("chat", idempotent=idempotent), (), "", "a", self.random_source
             ).name
-            self.view.begin(chosen)
+            self.view.begin_request(chosen)
             probability, kind = self.fails(chosen, now.total_seconds())
             success = self.random_source.random() >= probability
             self.sent.append((now.total_seconds(), chosen, success))
@@ -52,7 +52,7 @@
                 self.view.record_answer(chosen, kind)
             else:
                 self.view.record_failure(chosen, kind)
-            self.view.end(chosen)
+            self.view.end_request(chosen)
             records = self.view.outliers.records.values()
             self.max_ejected = max(self.max_ejected, sum(one.ejected_until > clock.now() for one in records))
 
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -385,7 +385,7 @@
         """The call that meets the trouble."""
         if self.trouble.in_place:
             await self.ask(edge, self.call_of("before"))
-            edge.instances.end("i-1")
+            edge.instances.end_request("i-1")
             edge.instances.states["i-1"].running = 3
         if self.trouble.edge_ends is not None:
             return await self.killed_edge(edge)
