--- a/aspencroft/emulator/worker_server_test.py
+++ b/aspencroft/emulator/worker_server_test.py
@@ -55,7 +55,7 @@
         one.target,
         DIALECT.request_headers(one, meant, one.within),
         body,
-        one.end() + clock.seconds(0.1),
+        one.deadline() + clock.seconds(0.1),
         100,
     )
     head = DIALECT.head(response.status, response.headers, attempt)
@@ -210,7 +210,7 @@
             "/chat/",
             DIALECT.request_headers(one, "i-1", one.within),
             b"in",
-            one.end(),
+            one.deadline(),
             10,
         )
         body = await response.read()
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -39,7 +39,7 @@
     parts: tuple[tuple[str, int], ...] = ()
     resume_after: str = ""
 
-    def end(self) -> datetime.timedelta:
+    def deadline(self) -> datetime.timedelta:
         """The time at which the caller stops waiting, on the clock of the event loop."""
         return self.arrived + self.within
 
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -218,7 +218,7 @@
                 )
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=request.path()[:200])
         request = self.access.identify(request, route)
-        deadline = min(request.end(), request.arrived + route.timeout)
+        deadline = min(request.deadline(), request.arrived + route.timeout)
         if deadline <= clock.now():
             raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
         program = request.qualify_name(request.program or request.session or request.attempt)
