--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -218,7 +218,7 @@
                 )
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=request.path()[:200])
         request = self.access.identify(request, route)
-        deadline = min(request.end(), request.arrived + route.timeout)
+        deadline = min(request.deadline(), request.arrived + route.timeout)
         if deadline <= clock.now():
             raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
         program = request.qualify_name(request.program or request.session or request.attempt)
@@ -559,7 +559,7 @@
     async def attempt(self, state: CallState, worker: instance.Instance) -> call.Answer:
         """Make one attempt at one worker; its outcome is recorded for the selection of workers for later calls."""
         request, began = state.call, clock.now()
-        self.instances.begin(worker.name)
+        self.instances.begin_request(worker.name)
         state.attempts.in_flight += 1
         is_streaming = False
         try:
@@ -639,7 +639,7 @@
 
     def release(self, worker: instance.Instance) -> None:
         """Release a worker's slot and wake the calls that wait for one."""
-        self.instances.end(worker.name)
+        self.instances.end_request(worker.name)
         self.slot_freed.set()
 
     async def discard_answer(self, response: pool.Response, reuse: bool) -> None:
@@ -825,7 +825,7 @@
             RequestError: the worker rejected the request, failed, or did not answer with a stream.
 
         """
-        self.instances.begin(worker.name)
+        self.instances.begin_request(worker.name)
         response: pool.Response | None = None
         try:
             if self.instances.is_excluded(worker.name):
