--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -98,7 +98,7 @@
         return await replica_for(message).install_snapshot(message)
 
     async def learn_replica_set(message: replica_set.ReplicaSetNotice) -> object:
-        return await replica_for(message).appoint(message)
+        return await replica_for(message).receive_notice(message)
 
     return {
         replica_set.ReplicaReportRequest: answered_at_once(lambda _: node.replica_reports()),
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -251,7 +251,7 @@
             self.incoming.clear()
             return messages.Appended(self.replica.last())
 
-    async def appoint(self, message: replica_set.ReplicaSetNotice) -> replica_set.Acknowledged:
+    async def receive_notice(self, message: replica_set.ReplicaSetNotice) -> replica_set.Acknowledged:
         """Learn of a replica set that names this node, without waiting for gossip."""
         self.learn(message.record)
         return replica_set.Acknowledged()
--- a/aspencroft/simulation/members.py
+++ b/aspencroft/simulation/members.py
@@ -224,7 +224,7 @@
                 return await one.fetch(message)
             case messages.ReplicaSetQuery():
                 return one.report_replica_set(message)
-        return await one.appoint(message)
+        return await one.receive_notice(message)
 
     async def until(self, condition: collections.abc.Callable[[], bool], within: float = 10.0) -> float:
         """Wait until something holds; how long it took."""
