--- a/aspencroft/distribution/configuration_state.py
+++ b/aspencroft/distribution/configuration_state.py
@@ -41,7 +41,13 @@
         A patch is not applied if its base is not the revision held here.
         """
         held = self.topics.get(update.topic)
-        known = self.revision if update.topic == updates.PLAN else held.revision if held else control_state.NEVER
+        known = (
+            self.revision
+            if update.topic == updates.CONFIGURATION_TOPIC
+            else held.revision
+            if held
+            else control_state.NEVER
+        )
         if not known < update.revision:
             return False
         if update.base is not None and update.base != known:
@@ -54,9 +60,9 @@
                 known.text(),
             )
             return False
-        if update.topic == updates.PLAN and not update.body:
+        if update.topic == updates.CONFIGURATION_TOPIC and not update.body:
             return False
-        if update.topic == updates.PLAN:
+        if update.topic == updates.CONFIGURATION_TOPIC:
             self.apply_configuration(update)
         else:
             self.topics[update.topic] = update
@@ -95,14 +101,14 @@
         if not read.document:
             return None
         if self.revision == control_state.NEVER:
-            return updates.Update(updates.PLAN, read.revision, None, read.document)
+            return updates.Update(updates.CONFIGURATION_TOPIC, read.revision, None, read.document)
         content = json.loads(read.document)
         patch = {
             "plan": resources.patch_between(self.document, content["plan"]),
             "revisions": resources.patch_between(self.revisions, content["revisions"]),
             "version": content["version"],
         }
-        return updates.Update(updates.PLAN, read.revision, self.revision, json.dumps(patch))
+        return updates.Update(updates.CONFIGURATION_TOPIC, read.revision, self.revision, json.dumps(patch))
 
     async def wait_for_change(self, topic: str) -> None:
         """Wait until a topic changes."""
@@ -127,7 +133,7 @@
         if reached != self.revision:
             complete = self.complete.newest(self.revision, self.content())
             body = complete.body.decode() if len(complete.body) <= configuration_transfer.CHUNK_BYTES else ""
-            return (updates.Update(updates.PLAN, self.revision, None, body),)
+            return (updates.Update(updates.CONFIGURATION_TOPIC, self.revision, None, body),)
         for count, patch in enumerate(patches):
             size += len(patch.body)
             if count and size > PATCH_BYTES_PER_MESSAGE:
--- a/aspencroft/distribution/configuration_transfer.py
+++ b/aspencroft/distribution/configuration_transfer.py
@@ -94,4 +94,4 @@
         if body_digest(body) != digest:
             LOG.info("rejected configuration: revision {}, its digest does not match", chunk.revision.text())
             return None
-        return updates.Update(updates.PLAN, chunk.revision, None, body.decode())
+        return updates.Update(updates.CONFIGURATION_TOPIC, chunk.revision, None, body.decode())
--- a/aspencroft/distribution/configuration_transfer_test.py
+++ b/aspencroft/distribution/configuration_transfer_test.py
@@ -55,14 +55,16 @@
 
 def complete_update(number: int, configuration: dict) -> updates.Update:
     body = json.dumps({"plan": configuration, "revisions": {}, "version": number})
-    return updates.Update(updates.PLAN, control_state.Revision(1, number), None, body)
+    return updates.Update(updates.CONFIGURATION_TOPIC, control_state.Revision(1, number), None, body)
 
 
 def apply_next_patch(node: relay.Relay, service_count: int = 1) -> None:
     """Apply the next patch at a relay; it adds a number of services."""
     number = node.revision.number + 1
     patch = json.dumps({"plan": configuration_with(service_count, f"-{number}"), "revisions": {}, "version": number})
-    node.apply_update(updates.Update(updates.PLAN, control_state.Revision(1, number), node.revision, patch))
+    node.apply_update(
+        updates.Update(updates.CONFIGURATION_TOPIC, control_state.Revision(1, number), node.revision, patch)
+    )
 
 
 def run(scenario) -> None:
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -161,7 +161,7 @@
             for update in self.state.topics.values()
             if known.get(update.topic, control_state.NEVER) < update.revision
         ]
-        missing.extend(self.state.pending_updates(known.get(updates.PLAN, control_state.NEVER)))
+        missing.extend(self.state.pending_updates(known.get(updates.CONFIGURATION_TOPIC, control_state.NEVER)))
         if is_root:
             self.root_heard = now
             lease = self.currency
@@ -207,7 +207,7 @@
         self.acknowledged = ("", subtree)
         try:
             reply = await self.link.request(parent, message, timing.PULL_TIMEOUT)
-            if any(update.topic == updates.PLAN and not update.body for update in reply.updates):
+            if any(update.topic == updates.CONFIGURATION_TOPIC and not update.body for update in reply.updates):
                 await self.fetch_configuration(parent)
         except result.RequestError as error:
             if error.result is result.ResultCode.UNREACHABLE:
@@ -230,7 +230,7 @@
     def make_pull(self, parent: str, subtree: subtree_state.Subtree) -> updates.Pull:
         """Return a pull that lists the differences from the subtree that this parent stored last, or else all of it."""
         held = tuple(updates.HeldRevision(update.topic, update.revision) for update in self.state.topics.values())
-        held += (updates.HeldRevision(updates.PLAN, self.state.revision),)
+        held += (updates.HeldRevision(updates.CONFIGURATION_TOPIC, self.state.revision),)
         acknowledged_by, acknowledged = self.acknowledged
         nodes, base = subtree.nodes, b""
         gone: tuple[str, ...] = ()
@@ -320,7 +320,7 @@
     def apply_committed(self, read: control_state.ResourcesRead) -> None:
         """As root: apply what the control group holds, and keep its steps as patches for nodes that are behind."""
         for step in read.steps:
-            self.apply_update(updates.Update(updates.PLAN, step.revision, step.base, step.patch))
+            self.apply_update(updates.Update(updates.CONFIGURATION_TOPIC, step.revision, step.base, step.patch))
         update = self.state.update_to(read)
         if update is not None:
             self.apply_update(update)
@@ -328,5 +328,5 @@
     async def wait_until_applied(self, revision: control_state.Revision) -> None:
         """As root: wait until each node with a lease has applied a revision or its lease has expired."""
         while self.state.revision < revision:
-            await self.state.wait_for_change(updates.PLAN)
+            await self.state.wait_for_change(updates.CONFIGURATION_TOPIC)
         await self.grants.wait_until_applied(revision)
--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -6,7 +6,7 @@
 from aspencroft.configuration import control_state, operator_configuration
 from aspencroft.transport import codec
 
-PLAN = "plan"
+CONFIGURATION_TOPIC = "plan"
 
 
 @codec.kind(130)
--- a/aspencroft/node/drain_order.py
+++ b/aspencroft/node/drain_order.py
@@ -103,7 +103,7 @@
         try:
             async with clock.limit(end - clock.now()):
                 while relay.revision < newest.revision:
-                    await relay.wait_for_change(updates.PLAN)
+                    await relay.wait_for_change(updates.CONFIGURATION_TOPIC)
         except TimeoutError:
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "the newest plan did not come in time"
--- a/aspencroft/node/operator_api.py
+++ b/aspencroft/node/operator_api.py
@@ -147,7 +147,7 @@
                 ]
                 sent, known = relay.document, relay.revision
                 yield json.dumps({"revision": known.text(), "changes": changes}).encode() + b"\n"
-            await self.wait_for_change(updates.PLAN)
+            await self.wait_for_change(updates.CONFIGURATION_TOPIC)
 
     async def topic(self, topic: str) -> collections.abc.AsyncIterator[bytes]:
         """The newest state of an observed topic, and each one after it."""
--- a/aspencroft/simulation/relay_model.py
+++ b/aspencroft/simulation/relay_model.py
@@ -226,7 +226,9 @@
     def apply_committed(self, world: World) -> None:
         """Have the root hold the newest committed revision."""
         held, newest = world.relays[world.root], world.committed[-1]
-        held.apply_update(updates.Update(updates.PLAN, newest, None, '{"plan": {}, "revisions": {}, "version": 1}'))
+        held.apply_update(
+            updates.Update(updates.CONFIGURATION_TOPIC, newest, None, '{"plan": {}, "revisions": {}, "version": 1}')
+        )
         held.extend_as_root(world.control_lease_end)
 
     def successors(self, state: typing.Hashable) -> list[tuple[str, typing.Hashable]]:
