--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -57,7 +57,7 @@
         self.root_heard: datetime.timedelta | None = None
         self.is_missing_root_logged = False
         self.root = False
-        self.pull_soon = asyncio.Event()
+        self.pull_requested = asyncio.Event()
 
     # -- state for readers -------------------------------------------------------------------------
 
@@ -126,7 +126,7 @@
 
     def push(self) -> None:
         """Notify the children so that they pull at once."""
-        self.pull_soon.set()
+        self.pull_requested.set()
         for address in self.subtree.live_children():
             self.counts["pushes"] += 1
             self.link.notify(address, updates.Push())
@@ -154,7 +154,7 @@
             self.counts["subtrees lost"] += 1
             return updates.Pulled((), control_state.NEVER, clock.ZERO, (), False, True, self.root_age())
         if self.subtree.store(message.address, subtree) and not is_root:
-            self.pull_soon.set()
+            self.pull_requested.set()
         known = {held.topic: held.revision for held in message.have}
         missing = [
             update
@@ -188,10 +188,10 @@
         while True:
             try:
                 async with clock.limit(timing.PULL_INTERVAL):
-                    await self.pull_soon.wait()
+                    await self.pull_requested.wait()
             except TimeoutError:
                 pass
-            self.pull_soon.clear()
+            self.pull_requested.clear()
             parent = self.parent()
             if parent is not None:
                 await self.pull(parent)
@@ -214,8 +214,8 @@
                 self.avoid_parent(parent, str(error))
             return
         if reply.subtree_unknown:
-            self.pull_soon.set()
-            await clock.sleep(timing.PULL_SOON)
+            self.pull_requested.set()
+            await clock.sleep(timing.IMMEDIATE_PULL_PAUSE)
             return
         self.acknowledged = (parent, subtree)
         self.apply_reply(reply, requested_at)
@@ -224,8 +224,8 @@
             self.counts["stale parents"] += 1
             self.avoid_stale_parent(parent, reply.root_age)
         if before != self.state.revision or (self.address not in self.lease.counted and not stale):
-            self.pull_soon.set()
-            await clock.sleep(timing.PULL_SOON)
+            self.pull_requested.set()
+            await clock.sleep(timing.IMMEDIATE_PULL_PAUSE)
 
     def make_pull(self, parent: str, subtree: subtree_state.Subtree) -> updates.Pull:
         """Return a pull that lists the differences from the subtree that this parent stored last, or else all of it."""
@@ -276,14 +276,14 @@
     def avoid_parent(self, parent: str, reason: str) -> None:
         """Pull from other parents for a while; pull again at once, unless all parents are avoided already."""
         if self.parents.avoid(parent):
-            self.pull_soon.set()
+            self.pull_requested.set()
             LOG.info("{} avoids parent {}: {}", self.address, parent, reason)
 
     def avoid_stale_parent(self, parent: str, root_age: datetime.timedelta) -> None:
         """Like ``avoid_parent``, for a parent that answers but heard of the root too long ago or never."""
         if not self.parents.avoid(parent, is_reachable=True):
             return
-        self.pull_soon.set()
+        self.pull_requested.set()
         if root_age < timing.NEVER_HEARD:
             age = root_age.total_seconds()
             LOG.info("{} avoids parent {}: it last heard of the root {:.1f} s ago", self.address, parent, age)
--- a/aspencroft/distribution/relay_test.py
+++ b/aspencroft/distribution/relay_test.py
@@ -121,7 +121,7 @@
             parent.grants.grants == {}
             and parent.subtree.expiry == {}
             and child.lease.end == end
-            and child.pull_soon.is_set()
+            and child.pull_requested.is_set()
         )
         await child.pull("a:1")
         assert link.asked[-1].base == b"" and set(parent.grants.grants) == {"b:1", "n:1"}
--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -136,7 +136,7 @@
     return {
         updates.Pull: answered_at_once(lambda message: node.relay.answer_pull(message, node.is_root())),
         updates.FetchConfiguration: answered_at_once(node.relay.answer_fetch),
-        updates.Push: acknowledged(lambda _: node.relay.pull_soon.set()),
+        updates.Push: acknowledged(lambda _: node.relay.pull_requested.set()),
         updates.Publish: acknowledged(publish),
         updates.WriteEverywhere: service.write_at_root,
         updates.ApplyEverywhere: service.apply_at_root,
