--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -115,7 +115,7 @@
 class Publish:
     """Sends a topic's new state from the holder of a singleton role to the root."""
 
-    news: Update
+    update: Update
 
 
 @codec.kind(137)
--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -131,7 +131,7 @@
     def publish(message: updates.Publish) -> None:
         if not node.is_root():
             raise result.RequestError(result.ResultCode.NOT_PRIMARY)
-        node.relay.apply_update(message.news)
+        node.relay.apply_update(message.update)
 
     return {
         updates.Pull: answered_at_once(lambda message: node.relay.answer_pull(message, node.is_root())),
