--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -57,7 +57,7 @@
         self.root_heard: datetime.timedelta | None = None
         self.is_missing_root_logged = False
         self.root = False
-        self.pull_soon = asyncio.Event()
+        self.pull_requested = asyncio.Event()
 
     # -- state for readers -------------------------------------------------------------------------
 
@@ -126,7 +126,7 @@
 
     def push(self) -> None:
         """Notify the children so that they pull at once."""
-        self.pull_soon.set()
+        self.pull_requested.set()
         for address in self.subtree.live_children():
             self.counts["pushes"] += 1
             self.link.notify(address, updates.Push())
@@ -154,14 +154,14 @@
             self.counts["subtrees lost"] += 1
             return updates.Pulled((), control_state.NEVER, clock.ZERO, (), False, True, self.root_age())
         if self.subtree.store(message.address, subtree) and not is_root:
-            self.pull_soon.set()
+            self.pull_requested.set()
         known = {held.topic: held.revision for held in message.have}
         missing = [
             update
             for update in self.state.topics.values()
             if known.get(update.topic, control_state.NEVER) < update.revision
         ]
-        missing.extend(self.state.pending_updates(known.get(updates.PLAN, control_state.NEVER)))
+        missing.extend(self.state.pending_updates(known.get(updates.CONFIGURATION_TOPIC, control_state.NEVER)))
         if is_root:
             self.root_heard = now
             lease = self.currency
@@ -188,10 +188,10 @@
         while True:
             try:
                 async with clock.limit(timing.PULL_INTERVAL):
-                    await self.pull_soon.wait()
+                    await self.pull_requested.wait()
             except TimeoutError:
                 pass
-            self.pull_soon.clear()
+            self.pull_requested.clear()
             parent = self.parent()
             if parent is not None:
                 await self.pull(parent)
@@ -207,15 +207,15 @@
         self.acknowledged = ("", subtree)
         try:
             reply = await self.link.request(parent, message, timing.PULL_TIMEOUT)
-            if any(update.topic == updates.PLAN and not update.body for update in reply.updates):
+            if any(update.topic == updates.CONFIGURATION_TOPIC and not update.body for update in reply.updates):
                 await self.fetch_configuration(parent)
         except result.RequestError as error:
             if error.result is result.ResultCode.UNREACHABLE:
                 self.avoid_parent(parent, str(error))
             return
         if reply.subtree_unknown:
-            self.pull_soon.set()
-            await clock.sleep(timing.PULL_SOON)
+            self.pull_requested.set()
+            await clock.sleep(timing.IMMEDIATE_PULL_PAUSE)
             return
         self.acknowledged = (parent, subtree)
         self.apply_reply(reply, requested_at)
@@ -224,13 +224,13 @@
             self.counts["stale parents"] += 1
             self.avoid_stale_parent(parent, reply.root_age)
         if before != self.state.revision or (self.address not in self.lease.counted and not stale):
-            self.pull_soon.set()
-            await clock.sleep(timing.PULL_SOON)
+            self.pull_requested.set()
+            await clock.sleep(timing.IMMEDIATE_PULL_PAUSE)
 
     def make_pull(self, parent: str, subtree: subtree_state.Subtree) -> updates.Pull:
         """Return a pull that lists the differences from the subtree that this parent stored last, or else all of it."""
         held = tuple(updates.HeldRevision(update.topic, update.revision) for update in self.state.topics.values())
-        held += (updates.HeldRevision(updates.PLAN, self.state.revision),)
+        held += (updates.HeldRevision(updates.CONFIGURATION_TOPIC, self.state.revision),)
         acknowledged_by, acknowledged = self.acknowledged
         nodes, base = subtree.nodes, b""
         gone: tuple[str, ...] = ()
@@ -276,14 +276,14 @@
     def avoid_parent(self, parent: str, reason: str) -> None:
         """Pull from other parents for a while; pull again at once, unless all parents are avoided already."""
         if self.parents.avoid(parent):
-            self.pull_soon.set()
+            self.pull_requested.set()
             LOG.info("{} avoids parent {}: {}", self.address, parent, reason)
 
     def avoid_stale_parent(self, parent: str, root_age: datetime.timedelta) -> None:
         """Like ``avoid_parent``, for a parent that answers but heard of the root too long ago or never."""
         if not self.parents.avoid(parent, is_reachable=True):
             return
-        self.pull_soon.set()
+        self.pull_requested.set()
         if root_age < timing.NEVER_HEARD:
             age = root_age.total_seconds()
             LOG.info("{} avoids parent {}: it last heard of the root {:.1f} s ago", self.address, parent, age)
@@ -320,7 +320,7 @@
     def apply_committed(self, read: control_state.ResourcesRead) -> None:
         """As root: apply what the control group holds, and keep its steps as patches for nodes that are behind."""
         for step in read.steps:
-            self.apply_update(updates.Update(updates.PLAN, step.revision, step.base, step.patch))
+            self.apply_update(updates.Update(updates.CONFIGURATION_TOPIC, step.revision, step.base, step.patch))
         update = self.state.update_to(read)
         if update is not None:
             self.apply_update(update)
@@ -328,5 +328,5 @@
     async def wait_until_applied(self, revision: control_state.Revision) -> None:
         """As root: wait until each node with a lease has applied a revision or its lease has expired."""
         while self.state.revision < revision:
-            await self.state.wait_for_change(updates.PLAN)
+            await self.state.wait_for_change(updates.CONFIGURATION_TOPIC)
         await self.grants.wait_until_applied(revision)
--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -6,7 +6,7 @@
 from aspencroft.configuration import control_state, operator_configuration
 from aspencroft.transport import codec
 
-PLAN = "plan"
+CONFIGURATION_TOPIC = "plan"
 
 
 @codec.kind(130)
@@ -115,7 +115,7 @@
 class Publish:
     """Sends a topic's new state from the holder of a singleton role to the root."""
 
-    news: Update
+    update: Update
 
 
 @codec.kind(137)
