--- a/aspencroft/platform_check/operator_api_test.py
+++ b/aspencroft/platform_check/operator_api_test.py
@@ -369,8 +369,8 @@
 def test_only_what_surely_was_not_taken_is_called_refused():
     for code in result.ResultCode:
         detail = "[]" if code is result.ResultCode.PLAN_INVALID else ""
-        unclear = operator_api.refused(None, result.RequestError(code, result.Ran.UNKNOWN, detail))
+        unclear = operator_api.refusal_response(None, result.RequestError(code, result.Ran.UNKNOWN, detail))
         assert unclear.status_code == 503 and float(unclear.headers["Retry-After"]) > 0
-        clear = operator_api.refused(None, result.RequestError(code, result.Ran.NOT_RUN, detail))
+        clear = operator_api.refusal_response(None, result.RequestError(code, result.Ran.NOT_RUN, detail))
         assert clear.status_code in (400, 404, 409, 412, 413, 503)
-        assert (clear.status_code == 503) == (code not in operator_api.REFUSALS)
+        assert (clear.status_code == 503) == (code not in operator_api.REFUSAL_STATUSES)
