--- a/aspencroft/platform_check/operator_api_test.py
+++ b/aspencroft/platform_check/operator_api_test.py
@@ -17,7 +17,10 @@
 import settings_file
 
 SIZE = simulated_cluster.Size(edges=4, storages=3, cores=5, apart=True)
-MORE = {"confirm": clock.seconds(settings_file.CONFIRM), "currency": clock.seconds(settings_file.CURRENCY)}
+MORE = {
+    "confirm": clock.seconds(settings_file.CONFIRM_TIMEOUT_S),
+    "currency": clock.seconds(settings_file.CONFIGURATION_LEASE_S),
+}
 SURE = {"confirm": clock.seconds(3), "currency": clock.seconds(4)}
 
 
--- a/aspencroft/platform_check/order_races.py
+++ b/aspencroft/platform_check/order_races.py
@@ -14,7 +14,10 @@
 import settings_file
 
 SIZE = simulated_cluster.Size(edges=2, storages=3, cores=5, apart=True)
-AS_DEPLOYED = {"confirm": clock.seconds(settings_file.CONFIRM), "currency": clock.seconds(settings_file.CURRENCY)}
+AS_DEPLOYED = {
+    "confirm": clock.seconds(settings_file.CONFIRM_TIMEOUT_S),
+    "currency": clock.seconds(settings_file.CONFIGURATION_LEASE_S),
+}
 OPERATORS = 8
 LOSS = 0.7
 TROUBLES = ("kill", "power_off", "freeze", "cut")
