--- a/aspencroft/proxy/outlier_detection.py
+++ b/aspencroft/proxy/outlier_detection.py
@@ -36,7 +36,7 @@
 
 def outcome_of_error(refusal: result.RequestError) -> str:
     """How a request ended at a worker, by the pool's refusal; nothing when that tells nothing of the worker."""
-    if isinstance(refusal, pools.Lost) and refusal.reused:
+    if isinstance(refusal, pools.ConnectionLostError) and refusal.reused:
         return STALE
     return {
         result.ResultCode.UNREACHABLE: UNREACHED,
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -217,8 +217,8 @@
     def refusal(kind, ran=result.Ran.UNKNOWN):
         return outlier_detection.outcome_of_error(result.RequestError(kind, ran))
 
-    assert outlier_detection.outcome_of_error(pools.Lost(True, "")) == outlier_detection.STALE
-    assert outlier_detection.outcome_of_error(pools.Lost(False, "")) == outlier_detection.LOST
+    assert outlier_detection.outcome_of_error(pools.ConnectionLostError(True, "")) == outlier_detection.STALE
+    assert outlier_detection.outcome_of_error(pools.ConnectionLostError(False, "")) == outlier_detection.LOST
     assert refusal(result.ResultCode.UNREACHABLE, result.Ran.NOT_RUN) == outlier_detection.UNREACHED
     assert (
         refusal(result.ResultCode.WORKER_BROKE) == outlier_detection.BROKE
--- a/aspencroft/workers/pool.py
+++ b/aspencroft/workers/pool.py
@@ -39,7 +39,7 @@
 Accepts = collections.abc.Callable[[int, call.Headers], bool]
 
 
-class Lost(result.RequestError):
+class ConnectionLostError(result.RequestError):
     """A connection ended before any byte of a response.
 
     ``reused`` says that the connection had carried another request before.
@@ -438,7 +438,7 @@
         if connection.requests_sent:
             self.counts["worker connections dead when used again"] += 1
             self.shorten_idle_time(connection.address, connection.idle_for / 2)
-        return Lost(
+        return ConnectionLostError(
             connection.requests_sent > 0,
             f"{connection.address}, request {connection.requests_sent + 1} on the connection: {reason}"[:300],
         )
--- a/aspencroft/workers/pool_test.py
+++ b/aspencroft/workers/pool_test.py
@@ -485,7 +485,7 @@
         await asyncio.sleep(2)
         try:
             raise AssertionError(await harness.fetch())
-        except pools.Lost as lost:
+        except pools.ConnectionLostError as lost:
             assert lost.reused
         assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(0.8)
