--- a/aspencroft/platform_check/configuration_test.py
+++ b/aspencroft/platform_check/configuration_test.py
@@ -128,11 +128,11 @@
 
     def put(self, condition: int, document: dict):
         """PUT."""
-        return self.take(configuration.whole(condition, raw(document)))
+        return self.take(configuration.parse_replacement(condition, raw(document)))
 
     def patch(self, condition: int, document: dict):
         """PATCH."""
-        return self.take(configuration.patch(condition, raw(document)))
+        return self.take(configuration.parse_patch(condition, raw(document)))
 
     def get(self) -> dict:
         """GET."""
@@ -189,7 +189,7 @@
         ("keyed", http_route.KEYED),
         ("streaming", http_route.STREAM),
     ):
-        assert configuration.route({"route-type": told})["kind"] == meant
+        assert configuration.route_resource({"route-type": told})["kind"] == meant
 
 
 def test_what_is_not_told_is_taken_carefully():
@@ -333,7 +333,7 @@
     changed += [raw(one) for one in odd]
     for body in (*changed, sound + b"}", sound.replace(b"7,", b"NaN,", 1)):
         try:
-            configuration.whole(0, body)
+            configuration.parse_replacement(0, body)
         except configuration.InvalidConfigurationError:
             continue
         raise AssertionError(body[:80])
@@ -348,7 +348,7 @@
         {"config-revision": 1, "route-list": []},
     ):
         try:
-            configuration.patch(0, raw(one))
+            configuration.parse_patch(0, raw(one))
         except configuration.InvalidConfigurationError:
             continue
         raise AssertionError(one)
@@ -486,7 +486,9 @@
                 number = change["config-revision"]
                 after = change if whole else patched(current, change) if current else change
             said.append(order)
-            reply = operator.take((configuration.whole if whole else configuration.patch)(condition, order[2]))
+            reply = operator.take(
+                (configuration.parse_replacement if whole else configuration.parse_patch)(condition, order[2])
+            )
             if taken.get(number) == order:
                 assert reply.again, (seed, order)
                 seen["again"] += 1
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1025,11 +1025,11 @@
     Mutation(
         "the bound on a body follows the plan",
         "../platform/operator_api.py",
-        "        condition = condition_of(request)\n        return await apply_configuration(configuration.whole(condition, await body_of(request)))",
+        "        condition = condition_of(request)\n        return await apply_configuration(configuration.parse_replacement(condition, await body_of(request)))",
         "        condition, body = condition_of(request), await body_of(request)\n"
         "        if len(body) > own.relay.configuration.limits.body_bytes:\n"
         "            raise result.RequestError(result.ResultCode.TOO_LARGE)\n"
-        "        return await apply_configuration(configuration.whole(condition, body))",
+        "        return await apply_configuration(configuration.parse_replacement(condition, body))",
         ("platform_check/operator_api_test.py",),
     ),
     Mutation(
