--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -133,10 +133,10 @@
             await clock.sleep(clock.seconds(pause))
             task.cancel()
             await asyncio.wait([task])
-        resting = sum(len(row) for row in forwarding.pool.resting.values())
+        resting = sum(len(row) for row in forwarding.pool.idle_connections.values())
         await clock.sleep(clock.seconds(0.2))
         running = forwarding.instances.known["i-0"].running
-        return forwarding.pool.total - resting, lives[0].open - resting, forwarding.active, running
+        return forwarding.pool.open_count - resting, lives[0].open - resting, forwarding.active, running
 
     assert played(scenario, {"pieces": 1.0}) == (0, 0, 0, 0)
 
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -391,12 +391,12 @@
         found = []
         for name, forwarding in self.forwarders.items():
             connections = forwarding.pool
-            resting = sum(len(row) for row in connections.resting.values())
+            resting = sum(len(row) for row in connections.idle_connections.values())
             running = {one: known.running for one, known in forwarding.instances.known.items() if known.running}
             if forwarding.active:
                 found.append(f"LEFT {name}: {forwarding.active} calls count as under way")
-            if connections.total != resting or sum(connections.open.values()) != resting:
-                found.append(f"LEFT {name}: {connections.total} connections count as open, {resting} rest")
+            if connections.open_count != resting or sum(connections.open_by_address.values()) != resting:
+                found.append(f"LEFT {name}: {connections.open_count} connections count as open, {resting} rest")
             if running:
                 found.append(f"LEFT {name}: requests count as running at {running}")
         return found
--- a/aspencroft/workers/pool.py
+++ b/aspencroft/workers/pool.py
@@ -287,10 +287,10 @@
         self.environment = host_environment
         self.counts = counts
         self.max_open = max_open
-        self.resting: dict[str, list[Connection]] = {}
+        self.idle_connections: dict[str, list[Connection]] = {}
         self.shortened_idle: dict[str, tuple[datetime.timedelta, datetime.timedelta]] = {}
-        self.open: collections.Counter = collections.Counter()
-        self.total = 0
+        self.open_by_address: collections.Counter = collections.Counter()
+        self.open_count = 0
 
     async def run(self) -> None:
         """Close idle connections before the workers do."""
@@ -302,24 +302,24 @@
         """Close idle connections whose time has passed, or on which bytes or an end arrived."""
         now = clock.now()
         self.shortened_idle = {address: known for address, known in self.shortened_idle.items() if known[1] > now}
-        for address, resting in list(self.resting.items()):
+        for address, idle in list(self.idle_connections.items()):
             keep_alive_options = []
-            for one in resting:
+            for one in idle:
                 if one.is_reusable(now):
                     keep_alive_options.append(one)
                 else:
                     self.close_idle(one, now)
             if keep_alive_options:
-                self.resting[address] = keep_alive_options
+                self.idle_connections[address] = keep_alive_options
             else:
-                del self.resting[address]
+                del self.idle_connections[address]
 
     async def close(self) -> None:
         """Close all idle connections."""
-        for resting in self.resting.values():
-            for one in resting:
+        for idle in self.idle_connections.values():
+            for one in idle:
                 self.close_connection(one, "worker connections retired")
-        self.resting.clear()
+        self.idle_connections.clear()
 
     async def request(
         self,
@@ -358,9 +358,9 @@
     async def acquire(self, address: str, end: datetime.timedelta, max_connections: int) -> Connection:
         """Return the most recently used idle connection, or open a new one."""
         now = clock.now()
-        resting = self.resting.get(address)
-        while resting:
-            one = resting.pop()
+        idle = self.idle_connections.get(address)
+        while idle:
+            one = idle.pop()
             if one.is_reusable(now):
                 self.counts["worker connections reused"] += 1
                 one.idle_for = now - one.idle_since
@@ -368,10 +368,12 @@
             self.close_idle(one, now)
         if now >= end:
             raise result.RequestError(result.ResultCode.DEADLINE)
-        if self.open[address] >= max_connections or (self.total >= self.max_open and not self.evict_idle()):
+        if self.open_by_address[address] >= max_connections or (
+            self.open_count >= self.max_open and not self.evict_idle()
+        ):
             raise result.RequestError(result.ResultCode.OVERLOADED, detail="no connection to the worker is free")
-        self.open[address] += 1
-        self.total += 1
+        self.open_by_address[address] += 1
+        self.open_count += 1
         self.counts["worker connections"] += 1
         channel = None
         try:
@@ -456,7 +458,7 @@
         before, _ = self.shortened_idle.get(address, (DEFAULT_IDLE_TIME, now))
         span = max(MIN_IDLE_TIME, min(before, span))
         self.shortened_idle[address] = (span, now + SHORT_IDLE_PERIOD)
-        for one in self.resting.get(address, ()):
+        for one in self.idle_connections.get(address, ()):
             one.idle_until = min(one.idle_until, one.idle_since + span)
 
     def broken(self, connection: Connection, reason: str) -> result.RequestError:
@@ -489,7 +491,7 @@
                 del self.shortened_idle[connection.address]
         connection.idle_since, connection.idle_until = now, now + idle
         if reuse and not connection.deadline_passed and not connection.buffer and now < connection.idle_until:
-            self.resting.setdefault(connection.address, []).append(connection)
+            self.idle_connections.setdefault(connection.address, []).append(connection)
             return
         if reuse and connection.buffer:
             self.counts["worker bytes in excess"] += 1
@@ -503,20 +505,20 @@
 
     def release_slot(self, address: str) -> None:
         """Count one connection to an address less."""
-        self.total -= 1
-        self.open[address] -= 1
-        if not self.open[address]:
-            del self.open[address]
+        self.open_count -= 1
+        self.open_by_address[address] -= 1
+        if not self.open_by_address[address]:
+            del self.open_by_address[address]
 
     def evict_idle(self) -> bool:
         """Close the idle connection that would expire first; return whether there was one."""
         found = min(
-            (resting[0] for resting in self.resting.values() if resting),
+            (idle[0] for idle in self.idle_connections.values() if idle),
             key=lambda one: one.idle_until,
             default=None,
         )
         if found is None:
             return False
-        self.resting[found.address].remove(found)
+        self.idle_connections[found.address].remove(found)
         self.close_connection(found, "worker connections retired")
         return True
--- a/aspencroft/workers/pool_test.py
+++ b/aspencroft/workers/pool_test.py
@@ -252,7 +252,7 @@
 
         async def scenario(harness):
             assert await harness.refused() == BROKEN, parts
-            assert harness.pool.total == 0 and not harness.pool.resting
+            assert harness.pool.open_count == 0 and not harness.pool.idle_connections
             assert await harness.fetch() == (200, b"ok")
 
         harness = run_scenario(lambda connection, number: parts if connection == 0 else [OK % b"1"], scenario)
@@ -269,9 +269,9 @@
             raise AssertionError("looked complete")
         except result.RequestError as refusal:
             assert (refusal.result, refusal.ran) == BROKEN
-        assert came == [b"ab"] and harness.pool.total == 0, "closed at once, even if the caller does not close it"
+        assert came == [b"ab"] and harness.pool.open_count == 0, "closed at once, even if the caller does not close it"
         await response.close(True)
-        assert harness.pool.total == 0
+        assert harness.pool.open_count == 0
 
     run_scenario(
         lambda connection, number: [
@@ -373,7 +373,7 @@
         assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(0.5)
         harness.pool.close_expired()
-        assert harness.pool.total == 0
+        assert harness.pool.open_count == 0
         assert await harness.fetch() == (200, b"ok")
         await asyncio.sleep(0.5)
         assert await harness.fetch() == (200, b"ok")
@@ -406,7 +406,7 @@
         assert await harness.refused(within=0.2) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
         assert harness.loop.time() - began < 0.25
         assert await harness.refused(within=-1) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
-        assert harness.pool.total == 0 and not harness.pool.open
+        assert harness.pool.open_count == 0 and not harness.pool.open_by_address
 
     run_scenario(lambda connection, number: [OK % b"1"], scenario)
 
@@ -428,7 +428,7 @@
         harness.pool.environment.network.connect = breaking
         assert await harness.refused() == NOT_CONNECTED
         await asyncio.sleep(0.1)
-        assert harness.pool.total == 0 and harness.received == [[]] and not made[0].quiet()
+        assert harness.pool.open_count == 0 and harness.received == [[]] and not made[0].quiet()
 
     run_scenario(lambda connection, number: [OK % b"1"], scenario)
 
@@ -439,7 +439,7 @@
             began = harness.loop.time()
             assert await harness.refused(within=1.5) == DEADLINE_PASSED
             assert abs(harness.loop.time() - began - 1.5) < 0.01
-            assert harness.pool.total == 0
+            assert harness.pool.open_count == 0
 
     harness = run_scenario(
         lambda connection, number: [] if connection == 0 else [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"],
@@ -455,7 +455,7 @@
             await asyncio.sleep(pause)
             request_task.cancel()
             await asyncio.wait([request_task])
-            assert request_task.cancelled() and harness.pool.total == 0 and not harness.pool.open
+            assert request_task.cancelled() and harness.pool.open_count == 0 and not harness.pool.open_by_address
 
     run_scenario(lambda connection, number: [1.0, OK % b"1"], scenario)
 
@@ -465,12 +465,12 @@
         response = await harness.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         await response.close(True)
         await response.close(True)
-        assert harness.pool.total == 0
+        assert harness.pool.open_count == 0
         assert await harness.fetch() == (200, b"ok")
         response = await harness.pool.request(WORKER, "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         await response.read()
         await response.close(False)
-        assert harness.pool.total == 0
+        assert harness.pool.open_count == 0
 
     assert len(run_scenario(lambda connection, number: [OK % b"1"], scenario).received) == 2
     slow = [(OK % b"1")[:-2], 0.2, b"ok"]
@@ -520,7 +520,9 @@
             harness.pool.request("third:80", "GET", "/", HEADERS, b"", clock.now() + clock.seconds(9), 8)
         )
         await accepted.get()
-        assert harness.pool.total == 3 and harness.pool.open[WORKER] == 1, "an idle connection was closed to make room"
+        assert harness.pool.open_count == 3 and harness.pool.open_by_address[WORKER] == 1, (
+            "an idle connection was closed to make room"
+        )
         response.cancel()
         more.cancel()
 
@@ -597,7 +599,9 @@
                         task.cancel()
                     await asyncio.sleep(randomness.expovariate(30))
             await asyncio.sleep(8)
-            assert harness.pool.total == 0 and not harness.pool.open and not harness.pool.resting
+            assert (
+                harness.pool.open_count == 0 and not harness.pool.open_by_address and not harness.pool.idle_connections
+            )
             running.cancel()
 
         outcomes = collections.Counter()
@@ -631,7 +635,7 @@
         harness.pool.environment.network.connect = connect
         assert await harness.refused(within=0.4) == (result.ResultCode.DEADLINE, result.Ran.NOT_RUN)
         await asyncio.sleep(1)
-        assert harness.pool.total == 0
+        assert harness.pool.open_count == 0
 
     assert not any(run_scenario(lambda connection, number: [OK % b"1"], scenario).received)
 
@@ -732,7 +736,7 @@
 
     async def scenario(pool, address):
         assert await fetch(pool, address, b"x" * (30 << 20)) == b"no"
-        assert pool.total == 0, "a request that was not written whole leaves no connection"
+        assert pool.open_count == 0, "a request that was not written whole leaves no connection"
 
     on_loopback(handler, scenario)
 
