--- a/aspencroft/proxy/outlier_detection.py
+++ b/aspencroft/proxy/outlier_detection.py
@@ -36,7 +36,7 @@
 
 def outcome_of_error(refusal: result.RequestError) -> str:
     """Map an error of the connection pool to the outcome of a request; "" if it says nothing about the worker."""
-    if isinstance(refusal, pools.Lost) and refusal.reused:
+    if isinstance(refusal, pools.ConnectionLostError) and refusal.reused:
         return STALE
     return {
         result.ResultCode.UNREACHABLE: UNREACHED,
--- a/aspencroft/proxy/outlier_detection_test.py
+++ b/aspencroft/proxy/outlier_detection_test.py
@@ -224,8 +224,8 @@
     def outcome_of(kind, ran=result.Ran.UNKNOWN):
         return outlier_detection.outcome_of_error(result.RequestError(kind, ran))
 
-    assert outlier_detection.outcome_of_error(pools.Lost(True, "")) == outlier_detection.STALE
-    assert outlier_detection.outcome_of_error(pools.Lost(False, "")) == outlier_detection.LOST
+    assert outlier_detection.outcome_of_error(pools.ConnectionLostError(True, "")) == outlier_detection.STALE
+    assert outlier_detection.outcome_of_error(pools.ConnectionLostError(False, "")) == outlier_detection.LOST
     assert outcome_of(result.ResultCode.UNREACHABLE, result.Ran.NOT_RUN) == outlier_detection.UNREACHED
     assert (
         outcome_of(result.ResultCode.WORKER_BROKE) == outlier_detection.BROKE
