--- a/aspencroft/emulator/worker_server_test.py
+++ b/aspencroft/emulator/worker_server_test.py
@@ -75,7 +75,7 @@
         return head, body, plain, text, life.runs, connections.counts["worker connections"]
 
     head, body, plain, text, runs, opened = played(scenario)
-    assert head.status == 200 and head.stamped and head.load == (1, 0, 2) and head.attempt == "a1" and not head.leaving
+    assert head.status == 200 and head.has_seal and head.load == (1, 0, 2) and head.attempt == "a1" and not head.leaving
     assert body.count(b"data:") == 4 and runs[0].output == body and runs[0].whole and runs[0].body == b"in"
     assert plain.status == 200 and text == runs[1].output and opened == 1
 
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -59,7 +59,7 @@
     ``not_run`` means that the worker reports that it did not run the request, ``misdirected`` that another worker has
     the address now, ``leaving`` that the worker closes the connection.
     ``load`` is (running, waiting, slots), or none if the response has no load.
-    ``stamped`` is whether the response carries the worker's seal.
+    ``has_seal`` is whether the response carries the worker's seal.
     """
 
     status: int
@@ -70,7 +70,7 @@
     load: tuple[int, int, int] | None
     leaving: bool
     instance: str
-    stamped: bool = True
+    has_seal: bool = True
 
 
 @dataclasses.dataclass(frozen=True)
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -627,7 +627,7 @@
         unclear = ""
         if declined:
             unclear = "a response without an attempt id on a reused connection"
-        elif not head.stamped and 200 <= head.status < 300:
+        elif not head.has_seal and 200 <= head.status < 300:
             unclear = "a response without the seal of the worker"
         elif head.status in NOT_RUN_STATUSES and not state.is_idempotent():
             unclear = f"status {head.status} without a statement that the request did not run"
