--- a/aspencroft/emulator/worker_server_test.py
+++ b/aspencroft/emulator/worker_server_test.py
@@ -75,7 +75,13 @@
         return head, body, plain, text, life.runs, connections.counts["worker connections"]
 
     head, body, plain, text, runs, opened = played(scenario)
-    assert head.status == 200 and head.has_seal and head.load == (1, 0, 2) and head.attempt == "a1" and not head.leaving
+    assert (
+        head.status == 200
+        and head.has_seal
+        and head.load == (1, 0, 2)
+        and head.attempt == "a1"
+        and not head.closes_connection
+    )
     assert body.count(b"data:") == 4 and runs[0].output == body and runs[0].whole and runs[0].body == b"in"
     assert plain.status == 200 and text == runs[1].output and opened == 1
 
@@ -103,7 +109,7 @@
     other, nameless, large, full, leaving, runs = played(scenario)
     assert other.status == 421 and other.misdirected and other.not_run
     assert nameless.status == 400 and nameless.not_run and large.status == 503 and large.not_run
-    assert [one.status for one in full].count(503) == 2 and leaving.leaving and runs == 5
+    assert [one.status for one in full].count(503) == 2 and leaving.closes_connection and runs == 5
 
 
 def test_the_end_of_the_time_is_not_run_in_the_queue_and_run_afterwards():
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -57,7 +57,7 @@
     """The status and headers of a worker's response, parsed.
 
     ``not_run`` means that the worker reports that it did not run the request, ``misdirected`` that another worker has
-    the address now, ``leaving`` that the worker closes the connection.
+    the address now, ``closes_connection`` that the worker closes the connection.
     ``load`` is (running, waiting, slots), or none if the response has no load.
     ``has_seal`` is whether the response carries the worker's seal.
     """
@@ -68,7 +68,7 @@
     not_run: bool
     misdirected: bool
     load: tuple[int, int, int] | None
-    leaving: bool
+    closes_connection: bool
     instance: str
     has_seal: bool = True
 
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -661,7 +661,7 @@
             self.instances.record_answer(
                 worker.name, outlier_detection.FAILED if head.status >= 500 else outlier_detection.GOOD
             )
-        if head.leaving:
+        if head.closes_connection:
             self.instances.record_connection_close(worker.name)
 
     async def read_answer(
