--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -297,7 +297,7 @@
     def return_quota(self, state: CallState) -> None:
         """Return the quota of a call that did not run to its tenant."""
         if state.quota_grant is not None and not state.attempts.possibly_run:
-            self.quotas.give_back(state.quota_grant)
+            self.quotas.return_grant(state.quota_grant)
         state.quota_grant = None
 
     def group_wait_limit(self, state: CallState) -> datetime.timedelta:
--- a/aspencroft/proxy/quota_client.py
+++ b/aspencroft/proxy/quota_client.py
@@ -117,7 +117,7 @@
             ) from None
         except asyncio.CancelledError:
             if is_granted(waiter):
-                self.give_back(waiter.result())
+                self.return_grant(waiter.result())
             raise
 
     async def serve(self, queue: TenantQueue) -> None:
@@ -160,7 +160,7 @@
                 waiters = await self.grant_from_reserve(queue, error // RESERVE_DIVISOR, waiters)
                 if not waiters:
                     self.late_answers.add(pending_reply)
-                    pending_reply.add_done_callback(self.give_back_late)
+                    pending_reply.add_done_callback(self.return_late_grant)
                     return []
             grant, reply = await pending_reply
         except result.RequestError:
@@ -171,14 +171,14 @@
         self.resolve(queue, waiters, grant, reply)
         return []
 
-    def give_back_late(self, pending_reply: asyncio.Future[tuple[Grant, entry.RequestsReserved]]) -> None:
+    def return_late_grant(self, pending_reply: asyncio.Future[tuple[Grant, entry.RequestsReserved]]) -> None:
         """Return the grants of a primary that replied when no request waited any more."""
         self.late_answers.discard(pending_reply)
         if pending_reply.cancelled() or pending_reply.exception() is not None:
             return
         grant, reply = pending_reply.result()
         if reply.granted:
-            self.give_back(grant, reply.granted)
+            self.return_grant(grant, reply.granted)
 
     async def grant_from_reserve(
         self, queue: TenantQueue, limit: int, waiters: list[asyncio.Future]
@@ -203,7 +203,7 @@
                 self.counts["granted from the reserve"] += 1
                 waiter.set_result(grant)
         if left:
-            self.give_back(grant, left)
+            self.return_grant(grant, left)
         return [waiter for waiter in waiting if not waiter.done()]
 
     def reservation_command(self, counted_as: str, batch: Batch, limit: int, run_ahead: int) -> entry.ReserveRequests:
@@ -245,7 +245,7 @@
         if reply.retry:
             queue.refused_until = clock.now() + min(reply.retry, REFUSAL_CACHE_TIME)
         if left:
-            self.give_back(grant, left)
+            self.return_grant(grant, left)
 
     def fail_waiters(self, waiters: list[asyncio.Future], error: BaseException) -> None:
         """Fail all waiting requests when the queue's task ends with an error, even with an internal one."""
@@ -255,7 +255,7 @@
             if not waiter.done():
                 waiter.set_exception(error) if isinstance(error, Exception) else waiter.cancel()
 
-    def give_back(self, grant: Grant, count: int = 1) -> None:
+    def return_grant(self, grant: Grant, count: int = 1) -> None:
         """Return granted requests that did not run to the tenant's quota.
 
         The message is sent once and may be lost. After half of the window nothing is returned, as the grant may have
--- a/aspencroft/proxy/quota_client_test.py
+++ b/aspencroft/proxy/quota_client_test.py
@@ -191,12 +191,12 @@
 def test_a_grant_is_returned_early_but_not_late():
     async def scenario(client, groups):
         grant = await client.reserve(TENANT, WITHIN)
-        client.give_back(grant)
+        client.return_grant(grant)
         await clock.sleep(clock.seconds(0.1))
         early = client.counts["given back"]
         grant = await client.reserve(TENANT, WITHIN)
         await clock.sleep(clock.seconds(2))
-        client.give_back(grant)
+        client.return_grant(grant)
         return early, client.counts["given back"]
 
     assert run_scenario(scenario) == (1, 1)
--- a/aspencroft/simulation/tenant_quota_test.py
+++ b/aspencroft/simulation/tenant_quota_test.py
@@ -59,7 +59,7 @@
             self.refused.append((asked, refusal.result))
             return
         if gives_back:
-            client.give_back(grant)
+            client.return_grant(grant)
         else:
             self.spans.append((asked, self.cluster.loop.time()))
 
