--- a/aspencroft/emulator/agent.py
+++ b/aspencroft/emulator/agent.py
@@ -207,7 +207,7 @@
         if more.get("resume_after"):
             headers += ((worker_server.RESUME, more["resume_after"].encode()),)
         return dataclasses.replace(
-            one, attempt=attempt, headers=headers, within=clock.seconds(within), arrived=clock.now(), **more
+            one, attempt=attempt, headers=headers, within=clock.seconds(within), arrived_at=clock.now(), **more
         )
 
     # -- one request -----------------------------------------------------------------------------
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -218,7 +218,7 @@
                 )
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=request.path()[:200])
         request = self.access.identify(request, route)
-        deadline = min(request.deadline(), request.arrived + route.timeout)
+        deadline = min(request.deadline(), request.arrived_at + route.timeout)
         if deadline <= clock.now():
             raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
         program = request.qualify_name(request.program or request.session or request.attempt)
@@ -284,7 +284,7 @@
     def add_trace(self, state: CallState, event: str, detail: str = "") -> None:
         """Add an event to the call's trace."""
         request = state.call
-        self.traces.add(request.attempt, state.route.name, clock.now() - request.arrived, event, detail)
+        self.traces.add(request.attempt, state.route.name, clock.now() - request.arrived_at, event, detail)
 
     # -- reservations ----------------------------------------------------------------------------
 
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -179,7 +179,7 @@
     async def serve(self, forwarding: forwarder.Forwarder, one: call.Call, visit: Visit) -> None:
         """What the edge's process does with a call."""
         try:
-            answer = await forwarding.handle(dataclasses.replace(one, arrived=clock.now()))
+            answer = await forwarding.handle(dataclasses.replace(one, arrived_at=clock.now()))
         except result.RequestError as refusal:
             self.tell(visit, "refused", refusal)
             return
