--- a/aspencroft/emulator/agent.py
+++ b/aspencroft/emulator/agent.py
@@ -207,7 +207,7 @@
         if more.get("resume_after"):
             headers += ((worker_server.RESUME, more["resume_after"].encode()),)
         return dataclasses.replace(
-            one, attempt=attempt, headers=headers, within=clock.seconds(within), arrived_at=clock.now(), **more
+            one, attempt=attempt, headers=headers, time_limit=clock.seconds(within), arrived_at=clock.now(), **more
         )
 
     # -- one request -----------------------------------------------------------------------------
@@ -224,7 +224,7 @@
             found.outcome, found.read = BROKEN, False
         else:
             try:
-                async with asyncio.timeout(one.within.total_seconds() if leaves is None else leaves):
+                async with asyncio.timeout(one.time_limit.total_seconds() if leaves is None else leaves):
                     await self.hear(found, door)
             except Gone as gone:
                 found.outcome, found.read = BROKEN, gone.read
@@ -268,7 +268,7 @@
 
     async def ask(self, use: Use, one: call.Call, leaves: float | None = None) -> Try:
         """A request with its further tries, within its time; the last try."""
-        end = self.now() + one.within.total_seconds()
+        end = self.now() + one.time_limit.total_seconds()
         found = await self.once(use, one, leaves=leaves)
         for _ in range(use.more):
             left = end - self.now()
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -11,8 +11,8 @@
 class Call:
     """One attempt of a caller, read completely; ``headers`` are the end-to-end headers that are passed to the worker.
 
-    ``within`` is how long the caller waits, counted from ``arrived_at``. ``budget``, ``prompt_tokens``, ``reserve`` and
-    the sizes in ``parts`` are in tokens. An empty text or zero means that the caller did not specify a value.
+    ``time_limit`` is how long the caller waits, counted from ``arrived_at``. ``budget``, ``prompt_tokens``, ``reserve``
+    and the sizes in ``parts`` are in tokens. An empty text or zero means that the caller did not specify a value.
     ``key_digest`` is the digest of the caller's API key, which itself is in none of the fields; ``tenant`` is looked up
     by it at admission, whatever the caller claims.
     """
@@ -23,7 +23,7 @@
     headers: Headers
     body: bytes
     attempt: str
-    within: datetime.timedelta
+    time_limit: datetime.timedelta
     arrived_at: datetime.timedelta
     key: str = ""
     key_digest: str = ""
@@ -41,7 +41,7 @@
 
     def deadline(self) -> datetime.timedelta:
         """The time at which the caller stops waiting, on the clock of the event loop."""
-        return self.arrived_at + self.within
+        return self.arrived_at + self.time_limit
 
     def qualify_name(self, name: str) -> str:
         """Qualify a name given by the caller with its tenant, so that tenants share no names; "" stays empty."""
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -232,7 +232,8 @@
         route = self.node.relay.configuration.route_table.match(request.host, request.path())
         limit = (
             clock.now()
-            + (request.within if route is None else min(request.within, route.timeout)) * WAIT_SHARE_OF_TIME_LIMIT
+            + (request.time_limit if route is None else min(request.time_limit, route.timeout))
+            * WAIT_SHARE_OF_TIME_LIMIT
         )
         while not (self.node.relay.current() and self.instances.listed) and clock.now() < limit and not self.closed:
             if self.waiting >= MAX_ACTIVE_CALLS:
@@ -866,9 +867,9 @@
             worker.name,
         )
         began = clock.now()
-        within = max(state.deadline - began, TURN_END_GRACE)
+        time_limit = max(state.deadline - began, TURN_END_GRACE)
         try:
-            await self.node.submit(self.group_of(state.program), command, within)
+            await self.node.submit(self.group_of(state.program), command, time_limit)
         except result.RequestError as error:
             raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, str(error)) from None
         finally:
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -538,8 +538,8 @@
     Mutation(
         "a turn that cannot be kept is held beyond its route's time",
         "proxy/forwarder.py",
-        "        within = max(state.deadline - began, TURN_END_GRACE)\n",
-        "        within = max(state.deadline - clock.now(), RETRY_LATER)\n",
+        "        time_limit = max(state.deadline - began, TURN_END_GRACE)\n",
+        "        time_limit = max(state.deadline - clock.now(), RETRY_LATER)\n",
         ("simulation/call_troubles_test.py",),
     ),
     Mutation(
--- a/aspencroft/simulation/rules.py
+++ b/aspencroft/simulation/rules.py
@@ -380,7 +380,7 @@
             if not each.planned and each.touches(one.began - history.bounds.contact, one.ended)
         ]
         runs = history.runs_of.get(one.call.attempt, [])
-        late = one.ended - one.began >= one.call.within.total_seconds() - history.bounds.loss_slack
+        late = one.ended - one.began >= one.call.time_limit.total_seconds() - history.bounds.loss_slack
         slow = (
             planned
             and runs
