--- a/aspencroft/emulator/agent.py
+++ b/aspencroft/emulator/agent.py
@@ -397,7 +397,7 @@
                 reserve=habit.tokens,
                 previous=previous if use.retained else "",
                 model="m",
-                parts=parts,
+                prompt_segments=parts,
             )
             leaves = self.chance.random() * 0.5 if self.chance.random() < habit.leaves else None
             found = await self.ask(use, made, leaves)
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -12,7 +12,7 @@
     """One attempt of a caller, read completely; ``headers`` are the end-to-end headers that are passed to the worker.
 
     ``time_limit`` is how long the caller waits, counted from ``arrived_at``. ``budget``, ``prompt_tokens``, ``reserve``
-    and the sizes in ``parts`` are in tokens. An empty text or zero means that the caller did not specify a value.
+    and the sizes in ``prompt_segments`` are in tokens. An empty text or zero means that the caller gave no value.
     ``key_digest`` is the digest of the caller's API key, which itself is in none of the fields; ``tenant`` is looked up
     by it at admission, whatever the caller claims.
     """
@@ -36,7 +36,7 @@
     reserve: int = 0
     previous: str = ""
     model: str = ""
-    parts: tuple[tuple[str, int], ...] = ()
+    prompt_segments: tuple[tuple[str, int], ...] = ()
     resume_after: str = ""
 
     def deadline(self) -> datetime.timedelta:
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -443,7 +443,7 @@
         service_set = self.working_sets.of(service)
         choice = worker_selection.choose(
             candidates,
-            service_set.routing_segments(state.call.parts, state.program),
+            service_set.routing_segments(state.call.prompt_segments, state.program),
             state.last_worker,
             self.node.settings.area,
             self.node.environment.randomness,
