--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -286,7 +286,7 @@
             ],
             clock.now(),
         )
-        known.begin("i-1")
+        known.begin_request("i-1")
         return forwarder.Forwarder(own, worker_server.StandDialect(), known, pool.Pool(around, collections.Counter()))
 
     def call_of(self, attempt: str, key: str = "") -> call.Call:
