--- a/aspencroft/emulator/agent.py
+++ b/aspencroft/emulator/agent.py
@@ -241,11 +241,11 @@
         answer = await door.ask(found.call)
         found.status = answer.status
         found.seal = next((value.decode() for name, value in answer.headers if name.lower() == worker_server.SEAL), "")
-        if answer.parts is None:
+        if answer.chunks is None:
             found.heard, found.first = answer.body, self.now()
         else:
             silence = max(SILENCE, 4 * use.aim, 8 * use.gap)
-            async with contextlib.aclosing(answer.parts) as parts:
+            async with contextlib.aclosing(answer.chunks) as parts:
                 while True:
                     async with asyncio.timeout(silence):
                         part = await anext(parts, None)
--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -83,4 +83,4 @@
     status: int
     headers: Headers
     body: bytes
-    parts: collections.abc.AsyncIterator[bytes] | None = None
+    chunks: collections.abc.AsyncIterator[bytes] | None = None
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -151,7 +151,7 @@
 
     worker: instance.Instance
     response: pool.Response
-    parts: collections.abc.AsyncIterator[bytes]
+    chunks: collections.abc.AsyncIterator[bytes]
     first: bytes
     is_open: bool = True
 
@@ -159,8 +159,8 @@
         """Yield the first chunk, which was read already, then the others as they arrive."""
         if self.first:
             yield self.first
-            async for part in self.parts:
-                yield part
+            async for chunk in self.chunks:
+                yield chunk
 
 
 class Forwarder:
@@ -265,7 +265,7 @@
                     self.return_quota(state)
                     return recorded
             answer = await self.forward(state)
-            is_streaming = answer.parts is not None
+            is_streaming = answer.chunks is not None
             return answer
         except result.RequestError as error:
             self.add_trace(state, "refused", str(error))
@@ -699,9 +699,9 @@
         self, state: CallState, worker: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
         """Wait for the first bytes of the stream, then pass on the rest as it arrives."""
-        parts = response.parts()
+        chunks = response.parts()
         try:
-            first = await anext(parts, b"")
+            first = await anext(chunks, b"")
         except result.RequestError as error:
             self.instances.record_failure(worker.name, outlier_detection.outcome_of_error(error))
             raise
@@ -713,7 +713,7 @@
             response.status,
             self.dialect.answer_headers(response.headers),
             b"",
-            self.stream(state, worker, response, parts, first),
+            self.stream(state, worker, response, chunks, first),
         )
 
     async def stream(
@@ -721,7 +721,7 @@
         state: CallState,
         worker: instance.Instance,
         response: pool.Response,
-        parts: collections.abc.AsyncIterator[bytes],
+        chunks: collections.abc.AsyncIterator[bytes],
         first: bytes,
     ) -> collections.abc.AsyncIterator[bytes]:
         """Yield the chunks of a stream; it ends only after the turn is stored, and raises if the stream is broken.
@@ -730,12 +730,12 @@
         """
         reader, pace_timer = events.Reader(), stream_pace.PaceTimer()
         buffer = event_buffer.EventBuffer() if state.may_resume() else None
-        source, is_complete = StreamSource(worker, response, parts, first), False
+        source, is_complete = StreamSource(worker, response, chunks, first), False
         try:
             while not is_complete:
                 try:
-                    async for part in source.read():
-                        complete = part if buffer is None else buffer.feed(part)
+                    async for chunk in source.read():
+                        complete = chunk if buffer is None else buffer.feed(chunk)
                         if complete:
                             reader.feed(complete)
                             pace_timer.record(reader.count)
@@ -840,8 +840,8 @@
             await self.check_head(state, response, head)
             if not 200 <= head.status < 300:
                 raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"status {head.status}")
-            parts = response.parts()
-            return StreamSource(worker, response, parts, await anext(parts, b""))
+            chunks = response.parts()
+            return StreamSource(worker, response, chunks, await anext(chunks, b""))
         except BaseException as error:
             if response is not None:
                 await response.close(False)
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -314,8 +314,8 @@
             answer = await edge.handle(one)
             seal = dict(answer.headers).get(worker_server.SEAL, b"").decode()
             body = answer.body
-            if answer.parts is not None:
-                async for part in answer.parts:
+            if answer.chunks is not None:
+                async for part in answer.chunks:
                     body += part
         except result.RequestError as refusal:
             ran = {result.Ran.NOT_RUN: "did not run", result.Ran.UNKNOWN: "may have run", result.Ran.RAN: "ran"}
--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -146,8 +146,8 @@
                 raise value
             if kind == "gone":
                 raise agent.Gone(True)
-            handed = value.parts is not None
-            return value if not handed else dataclasses.replace(value, parts=self.parts(visit))
+            handed = value.chunks is not None
+            return value if not handed else dataclasses.replace(value, chunks=self.parts(visit))
         finally:
             if not handed:
                 self.leave(visit)
@@ -188,10 +188,10 @@
             self.tell(visit, "refused", result.RequestError(result.ResultCode.INTERNAL, result.Ran.UNKNOWN))
             return
         self.tell(visit, "answer", answer)
-        if answer.parts is None:
+        if answer.chunks is None:
             return
         try:
-            async for part in answer.parts:
+            async for part in answer.chunks:
                 self.tell(visit, "part", part)
             self.tell(visit, "end")
         except result.RequestError:
@@ -200,7 +200,7 @@
             self.world.unforeseen.append(f"{self.name}: {one.attempt}: {error!r}")
             self.tell(visit, "gone")
         finally:
-            await answer.parts.aclose()
+            await answer.chunks.aclose()
 
 
 class Cloud:
