--- a/aspencroft/proxy/event_buffer.py
+++ b/aspencroft/proxy/event_buffer.py
@@ -42,9 +42,9 @@
         self.is_consecutive = True
         self.is_resumed = False
 
-    def feed(self, part: bytes) -> bytes:
+    def feed(self, chunk: bytes) -> bytes:
         """Add bytes as they arrive; return the events that are now complete."""
-        self.pending += part
+        self.pending += chunk
         complete: list[bytes] = []
         start = 0
         for end in EVENT_END.finditer(self.pending):
--- a/aspencroft/proxy/event_buffer_test.py
+++ b/aspencroft/proxy/event_buffer_test.py
@@ -28,13 +28,13 @@
 def test_a_stream_broken_anywhere_and_resumed_anywhere_has_each_event_once(before, after, end, broken_at, overlap):
     stream = b"".join(event(number, end) for number in range(1, 7))
     buffer, passed = event_buffer.EventBuffer(), b""
-    for part in split(stream[:broken_at], before):
-        passed += buffer.feed(part)
+    for chunk in split(stream[:broken_at], before):
+        passed += buffer.feed(chunk)
     assert stream.startswith(passed) and buffer.can_resume()
     last = int(buffer.last_id or 0)
     buffer.start_resumed()
-    for part in split(b"".join(event(number, end) for number in range(max(1, last + 1 - overlap), 7)), after):
-        passed += buffer.feed(part)
+    for chunk in split(b"".join(event(number, end) for number in range(max(1, last + 1 - overlap), 7)), after):
+        passed += buffer.feed(chunk)
     passed += buffer.rest()
     reader = events.Reader()
     reader.feed(passed)
@@ -45,7 +45,7 @@
 @hypothesis.given(hypothesis.strategies.binary(max_size=300), POSITIONS)
 def test_any_bytes_pass_unchanged_unless_the_stream_is_resumed(stream, positions):
     buffer = event_buffer.EventBuffer()
-    assert b"".join(buffer.feed(part) for part in split(stream, positions)) + buffer.rest() == stream
+    assert b"".join(buffer.feed(chunk) for chunk in split(stream, positions)) + buffer.rest() == stream
 
 
 def test_repeated_ids_pass_unless_the_stream_is_resumed():
--- a/aspencroft/proxy/events.py
+++ b/aspencroft/proxy/events.py
@@ -11,12 +11,12 @@
         self.count = 0
         self.after_return = False
 
-    def feed(self, part: bytes) -> None:
+    def feed(self, chunk: bytes) -> None:
         """Add bytes as they arrive, split at any position."""
-        if self.after_return and part.startswith(b"\n"):
-            part = part[1:]
-        self.after_return = part.endswith(b"\r") if part else self.after_return
-        normalized = (self.pending + part).replace(b"\r\n", b"\n").replace(b"\r", b"\n")
+        if self.after_return and chunk.startswith(b"\n"):
+            chunk = chunk[1:]
+        self.after_return = chunk.endswith(b"\r") if chunk else self.after_return
+        normalized = (self.pending + chunk).replace(b"\r\n", b"\n").replace(b"\r", b"\n")
         *complete, self.pending = normalized.split(b"\n")
         for line in complete:
             self.take_line(line)
--- a/aspencroft/proxy/instances.py
+++ b/aspencroft/proxy/instances.py
@@ -220,7 +220,7 @@
         state.rejecting_until = now + min(MAX_REJECTION_PAUSE, MIN_REJECTION_PAUSE * 2 ** min(state.rejections - 1, 16))
 
     def record_connection_close(self, name: str) -> None:
-        """Record that a response closed its connection: several in a row mean that the worker is about to stop."""
+        """Record that a response closed its connection; several in a row mean that the worker stops: it is suspect."""
         state = self.states[name]
         state.connection_closes, state.connection_closed = state.connection_closes + 1, True
         if state.connection_closes >= CLOSES_BEFORE_LEAVING:
--- a/aspencroft/proxy/outlier_detection.py
+++ b/aspencroft/proxy/outlier_detection.py
@@ -34,16 +34,16 @@
 SLOW_START_SHARE, SLOW_START_GROWTH = 0.1, 1.5
 
 
-def outcome_of_error(refusal: result.RequestError) -> str:
+def outcome_of_error(error: result.RequestError) -> str:
     """Map an error of the connection pool to the outcome of a request; "" if it says nothing about the worker."""
-    if isinstance(refusal, pools.Lost) and refusal.reused:
+    if isinstance(error, pools.Lost) and error.reused:
         return STALE
     return {
         result.ResultCode.UNREACHABLE: UNREACHED,
         result.ResultCode.WORKER_LOST: LOST,
         result.ResultCode.WORKER_BROKE: BROKE,
-        result.ResultCode.DEADLINE: LATE if refusal.ran is not result.Ran.NOT_RUN else "",
-    }.get(refusal.result, "")
+        result.ResultCode.DEADLINE: LATE if error.ran is not result.Ran.NOT_RUN else "",
+    }.get(error.result, "")
 
 
 def peer_rate(failures: float, total: float) -> float:
--- a/aspencroft/proxy/quota_client.py
+++ b/aspencroft/proxy/quota_client.py
@@ -33,7 +33,7 @@
 """The reserve grants one part in this many of the allowed error in each window."""
 MAX_BATCH = 256
 MAX_WAITING_PER_TENANT = 128
-"""Most calls of one tenant that wait at an edge: a small part of its calls, as other tenants need the rest."""
+"""Most calls of one tenant that wait at an edge: a small part of its capacity, which other tenants need too."""
 UNAVAILABLE_RETRY_AFTER = clock.seconds(0.3)
 
 
--- a/aspencroft/proxy/worker_selection_test.py
+++ b/aspencroft/proxy/worker_selection_test.py
@@ -56,18 +56,20 @@
 
 
 def test_preferred_workers_are_spread_evenly_and_change_only_with_their_worker():
-    parts = [f"{number:x}" for number in range(3000)]
+    segments = [f"{number:x}" for number in range(3000)]
     for count in (2, 5, 11, 30):
         candidates = workers(count)
-        preferred_workers = {segment: choice_for(candidates, segment).name for segment in parts}
+        preferred_workers = {segment: choice_for(candidates, segment).name for segment in segments}
         counted = collections.Counter(preferred_workers.values())
-        assert max(counted.values()) < 1.5 * len(parts) / count and min(counted.values()) > 0.6 * len(parts) / count
+        assert (
+            max(counted.values()) < 1.5 * len(segments) / count and min(counted.values()) > 0.6 * len(segments) / count
+        )
         gone = candidates[count // 2].name
         left = tuple(one for one in candidates if one.name != gone)
-        moved = {segment for segment in parts if choice_for(left, segment).name != preferred_workers[segment]}
-        assert moved == {segment for segment in parts if preferred_workers[segment] == gone}
+        moved = {segment for segment in segments if choice_for(left, segment).name != preferred_workers[segment]}
+        assert moved == {segment for segment in segments if preferred_workers[segment] == gone}
         grown = candidates + (worker_selection.Candidate("i-new", "a", 16, 0.0),)
-        assert all(choice_for(grown, segment).name in ("i-new", preferred_workers[segment]) for segment in parts)
+        assert all(choice_for(grown, segment).name in ("i-new", preferred_workers[segment]) for segment in segments)
 
 
 def test_requests_of_a_full_preferred_worker_overflow_in_the_same_order_on_every_edge():
@@ -183,8 +185,8 @@
 
 
 def test_the_reason_names_the_worker_and_its_load():
-    for parts, last in (((), ""), ((("x", 1),), ""), ((), "i-001")):
-        chosen = worker_selection.choose(workers(3, load=2.0), parts, last, "a", random.Random(1))
+    for segments, last in (((), ""), ((("x", 1),), ""), ((), "i-001")):
+        chosen = worker_selection.choose(workers(3, load=2.0), segments, last, "a", random.Random(1))
         assert chosen.name in chosen.reason and "2.0 of 16" in chosen.reason
 
 
