--- a/aspencroft/proxy/call.py
+++ b/aspencroft/proxy/call.py
@@ -11,8 +11,8 @@
 class Call:
     """One attempt of a caller, read completely; ``headers`` are the end-to-end headers that are passed to the worker.
 
-    ``within`` is how long the caller waits, counted from ``arrived``. ``budget``, ``prompt_tokens``, ``reserve`` and
-    the sizes in ``parts`` are in tokens. An empty text or zero means that the caller did not specify a value.
+    ``time_limit`` is how long the caller waits, counted from ``arrived_at``. ``budget``, ``prompt_tokens``, ``reserve``
+    and the sizes in ``prompt_segments`` are in tokens. An empty text or zero means that the caller gave no value.
     ``key_digest`` is the digest of the caller's API key, which itself is in none of the fields; ``tenant`` is looked up
     by it at admission, whatever the caller claims.
     """
@@ -23,8 +23,8 @@
     headers: Headers
     body: bytes
     attempt: str
-    within: datetime.timedelta
-    arrived: datetime.timedelta
+    time_limit: datetime.timedelta
+    arrived_at: datetime.timedelta
     key: str = ""
     key_digest: str = ""
     tenant: str = ""
@@ -36,12 +36,12 @@
     reserve: int = 0
     previous: str = ""
     model: str = ""
-    parts: tuple[tuple[str, int], ...] = ()
+    prompt_segments: tuple[tuple[str, int], ...] = ()
     resume_after: str = ""
 
     def deadline(self) -> datetime.timedelta:
         """The time at which the caller stops waiting, on the clock of the event loop."""
-        return self.arrived + self.within
+        return self.arrived_at + self.time_limit
 
     def qualify_name(self, name: str) -> str:
         """Qualify a name given by the caller with its tenant, so that tenants share no names; "" stays empty."""
@@ -57,9 +57,9 @@
     """The status and headers of a worker's response, parsed.
 
     ``not_run`` means that the worker reports that it did not run the request, ``misdirected`` that another worker has
-    the address now, ``leaving`` that the worker closes the connection.
+    the address now, ``closes_connection`` that the worker closes the connection.
     ``load`` is (running, waiting, slots), or none if the response has no load.
-    ``stamped`` is whether the response carries the worker's seal.
+    ``has_seal`` is whether the response carries the worker's seal.
     """
 
     status: int
@@ -68,9 +68,9 @@
     not_run: bool
     misdirected: bool
     load: tuple[int, int, int] | None
-    leaving: bool
+    closes_connection: bool
     instance: str
-    stamped: bool = True
+    has_seal: bool = True
 
 
 @dataclasses.dataclass(frozen=True)
@@ -83,4 +83,4 @@
     status: int
     headers: Headers
     body: bytes
-    parts: collections.abc.AsyncIterator[bytes] | None = None
+    chunks: collections.abc.AsyncIterator[bytes] | None = None
--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -151,7 +151,7 @@
 
     worker: instance.Instance
     response: pool.Response
-    parts: collections.abc.AsyncIterator[bytes]
+    chunks: collections.abc.AsyncIterator[bytes]
     first: bytes
     is_open: bool = True
 
@@ -159,8 +159,8 @@
         """Yield the first chunk, which was read already, then the others as they arrive."""
         if self.first:
             yield self.first
-            async for part in self.parts:
-                yield part
+            async for chunk in self.chunks:
+                yield chunk
 
 
 class Forwarder:
@@ -218,7 +218,7 @@
                 )
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=request.path()[:200])
         request = self.access.identify(request, route)
-        deadline = min(request.deadline(), request.arrived + route.timeout)
+        deadline = min(request.deadline(), request.arrived_at + route.timeout)
         if deadline <= clock.now():
             raise result.RequestError(result.ResultCode.DEADLINE, retry=RETRY_SOON)
         program = request.qualify_name(request.program or request.session or request.attempt)
@@ -232,7 +232,8 @@
         route = self.node.relay.configuration.route_table.match(request.host, request.path())
         limit = (
             clock.now()
-            + (request.within if route is None else min(request.within, route.timeout)) * WAIT_SHARE_OF_TIME_LIMIT
+            + (request.time_limit if route is None else min(request.time_limit, route.timeout))
+            * WAIT_SHARE_OF_TIME_LIMIT
         )
         while not (self.node.relay.current() and self.instances.listed) and clock.now() < limit and not self.closed:
             if self.waiting >= MAX_ACTIVE_CALLS:
@@ -264,7 +265,7 @@
                     self.return_quota(state)
                     return recorded
             answer = await self.forward(state)
-            is_streaming = answer.parts is not None
+            is_streaming = answer.chunks is not None
             return answer
         except result.RequestError as error:
             self.add_trace(state, "refused", str(error))
@@ -284,7 +285,7 @@
     def add_trace(self, state: CallState, event: str, detail: str = "") -> None:
         """Add an event to the call's trace."""
         request = state.call
-        self.traces.add(request.attempt, state.route.name, clock.now() - request.arrived, event, detail)
+        self.traces.add(request.attempt, state.route.name, clock.now() - request.arrived_at, event, detail)
 
     # -- reservations ----------------------------------------------------------------------------
 
@@ -297,7 +298,7 @@
     def return_quota(self, state: CallState) -> None:
         """Return the quota of a call that did not run to its tenant."""
         if state.quota_grant is not None and not state.attempts.possibly_run:
-            self.quotas.give_back(state.quota_grant)
+            self.quotas.return_grant(state.quota_grant)
         state.quota_grant = None
 
     def group_wait_limit(self, state: CallState) -> datetime.timedelta:
@@ -444,7 +445,7 @@
         service_set = self.working_sets.of(service)
         choice = worker_selection.choose(
             candidates,
-            service_set.routing_segments(state.call.parts, state.program),
+            service_set.routing_segments(state.call.prompt_segments, state.program),
             state.last_worker,
             self.node.settings.area,
             self.node.environment.randomness,
@@ -629,7 +630,7 @@
         unclear = ""
         if declined:
             unclear = "a response without an attempt id on a reused connection"
-        elif not head.stamped and 200 <= head.status < 300:
+        elif not head.has_seal and 200 <= head.status < 300:
             unclear = "a response without the seal of the worker"
         elif head.status in NOT_RUN_STATUSES and not state.is_idempotent():
             unclear = f"status {head.status} without a statement that the request did not run"
@@ -663,7 +664,7 @@
             self.instances.record_answer(
                 worker.name, outlier_detection.FAILED if head.status >= 500 else outlier_detection.GOOD
             )
-        if head.leaving:
+        if head.closes_connection:
             self.instances.record_connection_close(worker.name)
 
     async def read_answer(
@@ -700,9 +701,9 @@
         self, state: CallState, worker: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
         """Wait for the first bytes of the stream, then pass on the rest as it arrives."""
-        parts = response.parts()
+        chunks = response.parts()
         try:
-            first = await anext(parts, b"")
+            first = await anext(chunks, b"")
         except result.RequestError as error:
             self.instances.record_failure(worker.name, outlier_detection.outcome_of_error(error))
             raise
@@ -714,7 +715,7 @@
             response.status,
             self.dialect.answer_headers(response.headers),
             b"",
-            self.stream(state, worker, response, parts, first),
+            self.stream(state, worker, response, chunks, first),
         )
 
     async def stream(
@@ -722,7 +723,7 @@
         state: CallState,
         worker: instance.Instance,
         response: pool.Response,
-        parts: collections.abc.AsyncIterator[bytes],
+        chunks: collections.abc.AsyncIterator[bytes],
         first: bytes,
     ) -> collections.abc.AsyncIterator[bytes]:
         """Yield the chunks of a stream; it ends only after the turn is stored, and raises if the stream is broken.
@@ -731,12 +732,12 @@
         """
         reader, pace_timer = events.Reader(), stream_pace.PaceTimer()
         buffer = event_buffer.EventBuffer() if state.may_resume() else None
-        source, is_complete = StreamSource(worker, response, parts, first), False
+        source, is_complete = StreamSource(worker, response, chunks, first), False
         try:
             while not is_complete:
                 try:
-                    async for part in source.read():
-                        complete = part if buffer is None else buffer.feed(part)
+                    async for chunk in source.read():
+                        complete = chunk if buffer is None else buffer.feed(chunk)
                         if complete:
                             reader.feed(complete)
                             pace_timer.record(reader.count)
@@ -841,8 +842,8 @@
             await self.check_head(state, response, head)
             if not 200 <= head.status < 300:
                 raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"status {head.status}")
-            parts = response.parts()
-            return StreamSource(worker, response, parts, await anext(parts, b""))
+            chunks = response.parts()
+            return StreamSource(worker, response, chunks, await anext(chunks, b""))
         except BaseException as error:
             if response is not None:
                 await response.close(False)
@@ -868,9 +869,9 @@
             worker.name,
         )
         began = clock.now()
-        within = max(state.deadline - began, TURN_END_GRACE)
+        time_limit = max(state.deadline - began, TURN_END_GRACE)
         try:
-            await self.node.submit(self.group_of(state.program), command, within)
+            await self.node.submit(self.group_of(state.program), command, time_limit)
         except result.RequestError as error:
             raise result.RequestError(result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, str(error)) from None
         finally:
