--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -119,7 +119,7 @@
         lease_margin=witness.LEASE_MARGIN,
         renewal=primary.LEASE_RENEWAL_PERIOD,
         ballot_ask=proposer.REQUEST_TIMEOUT,
-        primary_silence=backup.PRIMARY_SILENCE,
+        primary_silence=backup.PRIMARY_TIMEOUT,
         takeover_turn=backup.TAKEOVER_STAGGER,
         takeover_retry=group_state.RETRY,
         append_timeout=log_shipping.APPEND_TIMEOUT,
--- a/aspencroft/replication/backup.py
+++ b/aspencroft/replication/backup.py
@@ -8,7 +8,7 @@
 from aspencroft.runtime import clock, events
 
 LOG = logbook.Logger("replication.backup")
-PRIMARY_SILENCE = clock.seconds(0.7)
+PRIMARY_TIMEOUT = clock.seconds(0.7)
 """Heartbeat time-out: how long the first backup waits for a message of the primary before it tries to take over."""
 TAKEOVER_STAGGER = clock.seconds(0.25)
 """Added to the time-out for each backup listed earlier, so that two backups seldom start ballots at the same time."""
@@ -44,7 +44,7 @@
         state.status_reason = "backup"
         record = state.record
         await state.replica.persist_record(record)
-        timeout = PRIMARY_SILENCE + record.backups.index(state.me()) * TAKEOVER_STAGGER
+        timeout = PRIMARY_TIMEOUT + record.backups.index(state.me()) * TAKEOVER_STAGGER
         pause = state.primary_contact.at + timeout - clock.now()
         while state.record == record:
             try:
