--- a/aspencroft/node/timing_check.py
+++ b/aspencroft/node/timing_check.py
@@ -123,7 +123,7 @@
         takeover_turn=backup.TAKEOVER_STAGGER,
         takeover_retry=group_state.RETRY,
         append_timeout=log_shipping.APPEND_TIMEOUT,
-        start_patience=group_replica.START_PATIENCE,
+        start_patience=group_replica.START_WAIT,
         reconnect=peer_connection.CONNECT_TIMEOUT + peer_connection.RECONNECT_PAUSE,
         pull=timing.PULL_INTERVAL,
         pull_timeout=timing.PULL_TIMEOUT,
--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -22,7 +22,7 @@
 from aspencroft.transport import connections
 
 LOG = logbook.Logger("replication.group_replica")
-START_PATIENCE = witness.LEASE + witness.LEASE_MARGIN
+START_WAIT = witness.LEASE + witness.LEASE_MARGIN
 """How long a member waits for another one after its start before it proceeds with its own data.
 
 Each member of the replica set has synced all acknowledged entries, so its own data suffices. The wait covers disks that
@@ -62,7 +62,7 @@
         A member whose disk fails or hangs neither leads nor renews its lease for ``DISK_FAULT_PAUSE``, which is longer
         than the lease and the heartbeat time-out after which a backup takes over.
         """
-        self.recovery.await_peers_until(clock.now() + START_PATIENCE)
+        self.recovery.await_peers_until(clock.now() + START_WAIT)
         if self.replica.record is not None:
             self.learn(self.replica.record)
         while True:
--- a/aspencroft/simulation/replica_model.py
+++ b/aspencroft/simulation/replica_model.py
@@ -200,7 +200,7 @@
             yield f"m{place} is alone", changed(state, place, node._replace(unsure=False))
         budget = state.budget.less("impatience")
         if budget is not None:
-            # ``START_PATIENCE`` is over: it goes on with what its disk holds, whatever the others would have said.
+            # ``START_WAIT`` is over: it goes on with what its disk holds, whatever the others would have said.
             yield f"m{place} waits no longer", changed(state, place, node._replace(unsure=False), budget=budget)
 
     def primary_steps(
