--- a/aspencroft/distribution/configuration_lease.py
+++ b/aspencroft/distribution/configuration_lease.py
@@ -73,10 +73,10 @@
         self.unknown_grants_end = clock.ZERO
         self.confirmed = asyncio.Event()
 
-    def reset(self, currency: datetime.timedelta) -> None:
+    def reset(self, lease_duration: datetime.timedelta) -> None:
         """Start as a new root; the previous root's grants are unknown, so every node is assumed to hold a lease."""
         self.grants = {}
-        self.unknown_grants_end = clock.now() + currency
+        self.unknown_grants_end = clock.now() + lease_duration
 
     def grant(self, nodes: dict[str, control_state.Revision], end: datetime.timedelta) -> None:
         """Grant a lease to each node of a subtree and record the revision that it confirmed."""
--- a/aspencroft/distribution/parent_selection.py
+++ b/aspencroft/distribution/parent_selection.py
@@ -74,9 +74,9 @@
         self.avoided_until[parent] = now + (timing.PULL_INTERVAL if is_answering_root else timing.AVOID_PARENT_FOR)
         return is_new
 
-    def is_stale(self, root_age: datetime.timedelta, currency: datetime.timedelta) -> bool:
+    def is_stale(self, root_age: datetime.timedelta, lease_duration: datetime.timedelta) -> bool:
         """Return whether a parent heard of the root too long ago and has to be avoided.
 
         Each relay above the parent may add a delay of one pull.
         """
-        return root_age > min(timing.STALE_PARENT_AFTER + timing.PULL_INTERVAL * self.parent_depth, currency / 2)
+        return root_age > min(timing.STALE_PARENT_AFTER + timing.PULL_INTERVAL * self.parent_depth, lease_duration / 2)
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -26,17 +26,17 @@
 
 
 class Relay:
-    """A node of the tree; ``currency`` is the length of a lease, ``root_heard`` the time the root was last heard of.
+    """A node of the tree; ``root_heard`` is the time at which the root was last heard of.
 
     ``acknowledged`` is the parent that stored this node's subtree last, with that subtree: the next pull from that
     parent lists only the differences.
     """
 
     def __init__(
-        self, link: connections.Link, members: failure_detector.FailureDetector, currency: datetime.timedelta
+        self, link: connections.Link, members: failure_detector.FailureDetector, lease_duration: datetime.timedelta
     ) -> None:
         self.link = link
-        self.currency = currency
+        self.lease_duration = lease_duration
         self.failure_detector = members
         self.address = members.me.address
         self.counts = {
@@ -164,8 +164,8 @@
         missing.extend(self.state.pending_updates(known.get(updates.CONFIGURATION_TOPIC, control_state.NEVER)))
         if is_root:
             self.root_heard = now
-            lease = self.currency
-            self.grants.grant(subtree.nodes, now + self.currency)
+            lease = self.lease_duration
+            self.grants.grant(subtree.nodes, now + self.lease_duration)
         else:
             is_counted = message.address in self.lease.counted
             lease = max(self.lease.end - now, clock.ZERO) if is_counted else clock.ZERO
@@ -219,7 +219,7 @@
             return
         self.acknowledged = (parent, subtree)
         self.apply_reply(reply, requested_at)
-        stale = self.parents.is_stale(reply.root_age, self.currency)
+        stale = self.parents.is_stale(reply.root_age, self.lease_duration)
         if stale:
             self.counts["stale parents"] += 1
             self.avoid_stale_parent(parent, reply.root_age)
@@ -251,8 +251,8 @@
             self.apply_update(update)
         if not reply.counted_unchanged:
             self.lease.set_counted(reply.counted)
-        if reply.revision == self.state.revision and reply.currency > clock.ZERO:
-            self.lease.extend(requested_at + reply.currency)
+        if reply.revision == self.state.revision and reply.lease_duration > clock.ZERO:
+            self.lease.extend(requested_at + reply.lease_duration)
         if reply.root_age < timing.NEVER_HEARD:
             heard = requested_at - reply.root_age
             self.root_heard = heard if self.root_heard is None else max(self.root_heard, heard)
@@ -296,7 +296,7 @@
     def become_root(self) -> None:
         """Start to grant leases as root; called once this node holds everything committed before."""
         self.root = True
-        self.grants.reset(self.currency)
+        self.grants.reset(self.lease_duration)
 
     def stop_being_root(self, reason: str) -> None:
         """Stop granting leases as root."""
--- a/aspencroft/distribution/relay_test.py
+++ b/aspencroft/distribution/relay_test.py
@@ -116,7 +116,7 @@
         end = child.lease.end
         set_below(child, {"n:1": control_state.Revision(1, 1)})
         await child.pull("a:1")
-        assert link.answered[-1].subtree_unknown and link.answered[-1].currency == clock.ZERO
+        assert link.answered[-1].subtree_unknown and link.answered[-1].lease_duration == clock.ZERO
         assert (
             parent.grants.grants == {}
             and parent.subtree.expiry == {}
--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -73,7 +73,7 @@
 
     updates: tuple[Update, ...]
     revision: control_state.Revision
-    currency: datetime.timedelta
+    lease_duration: datetime.timedelta
     counted: tuple[str, ...]
     counted_unchanged: bool
     subtree_unknown: bool
--- a/aspencroft/proxy/caller_access.py
+++ b/aspencroft/proxy/caller_access.py
@@ -27,7 +27,9 @@
         """
         relay = self.node.relay
         configured = bool(relay.configuration.version or relay.configuration.http_routes)
-        return configured and (relay.root or clock.now() <= relay.currency_end - relay.currency + CONFIRMATION_AGE)
+        return configured and (
+            relay.root or clock.now() <= relay.currency_end - relay.lease_duration + CONFIRMATION_AGE
+        )
 
     def identify(self, one: call.Call, route: http_route.HttpRoute) -> call.Call:
         """The call with its tenant's name, which is empty where no keys are asked for or the route is public.
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -273,7 +273,11 @@
                 group_count=2, talk_pairs=1, area="north", address=name, key_window=KEY_WINDOW
             ),
             relay=types.SimpleNamespace(
-                configuration=plan, current=lambda: True, root=False, currency=SETTLED * 10, currency_end=SETTLED * 10
+                configuration=plan,
+                current=lambda: True,
+                root=False,
+                lease_duration=SETTLED * 10,
+                currency_end=SETTLED * 10,
             ),
             submit=self.group.submit,
             incarnation_id=lambda: name,
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -1215,7 +1215,7 @@
     Mutation(
         "a stale relay parent is kept",
         "distribution/parent_selection.py",
-        "        return root_age > min(timing.STALE_PARENT_AFTER + timing.PULL_INTERVAL * self.parent_depth, currency / 2)\n",
+        "        return root_age > min(timing.STALE_PARENT_AFTER + timing.PULL_INTERVAL * self.parent_depth, lease_duration / 2)\n",
         "        return False\n",
         ("distribution/parent_test.py",),
     ),
@@ -1300,15 +1300,15 @@
     Mutation(
         "relay model: a new root does not wait for the leases of the one before",
         "distribution/configuration_lease.py",
-        "        self.unknown_grants_end = clock.now() + currency\n",
+        "        self.unknown_grants_end = clock.now() + lease_duration\n",
         "        self.unknown_grants_end = clock.now()\n",
         ("simulation/relay_model_test.py",),
     ),
     Mutation(
         "relay model: a lease counts from when its answer came",
         "distribution/relay.py",
-        "            self.lease.extend(requested_at + reply.currency)\n",
-        "            self.lease.extend(clock.now() + reply.currency)\n",
+        "            self.lease.extend(requested_at + reply.lease_duration)\n",
+        "            self.lease.extend(clock.now() + reply.lease_duration)\n",
         ("simulation/relay_model_test.py",),
     ),
     Mutation(
@@ -1321,8 +1321,8 @@
     Mutation(
         "relay model: a lease counts whatever revision it was granted for",
         "distribution/relay.py",
-        "        if reply.revision == self.state.revision and reply.currency > clock.ZERO:\n",
-        "        if reply.currency > clock.ZERO:\n",
+        "        if reply.revision == self.state.revision and reply.lease_duration > clock.ZERO:\n",
+        "        if reply.lease_duration > clock.ZERO:\n",
         ("simulation/relay_model_test.py",),
     ),
     Mutation(
