--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -92,7 +92,7 @@
         return self.subtree.expiry
 
     @property
-    def currency_end(self) -> datetime.timedelta:
+    def lease_expires_at(self) -> datetime.timedelta:
         """When the lease on the configuration expires."""
         return self.lease.end
 
--- a/aspencroft/node/root_test.py
+++ b/aspencroft/node/root_test.py
@@ -46,7 +46,7 @@
         primary = root_node.group_replicas[0] = Primary()
         running = asyncio.ensure_future(root_node.configuration_service.run_root())
         await clock.sleep(clock.seconds(2))
-        assert not root_node.is_root() and root_node.relay.currency_end == clock.ZERO
+        assert not root_node.is_root() and root_node.relay.lease_expires_at == clock.ZERO
         primary.readable = True
         await clock.sleep(clock.seconds(0.5))
         assert root_node.is_root() and root_node.relay.grants.unknown_grants_end > clock.now()
--- a/aspencroft/proxy/caller_access.py
+++ b/aspencroft/proxy/caller_access.py
@@ -28,7 +28,7 @@
         relay = self.node.relay
         configured = bool(relay.configuration.version or relay.configuration.http_routes)
         return configured and (
-            relay.root or clock.now() <= relay.currency_end - relay.lease_duration + CONFIRMATION_AGE
+            relay.root or clock.now() <= relay.lease_expires_at - relay.lease_duration + CONFIRMATION_AGE
         )
 
     def identify(self, one: call.Call, route: http_route.HttpRoute) -> call.Call:
--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -47,7 +47,7 @@
             configuration=plan,
             current=lambda: True,
             lease_duration=clock.seconds(12),
-            currency_end=clock.seconds(12),
+            lease_expires_at=clock.seconds(12),
             root=False,
         ),
     )
@@ -237,7 +237,7 @@
         first = (await refusal_of(forwarding)).result
         await clock.sleep(clock.seconds(5))
         second = await refusal_of(forwarding)
-        relay.currency_end = clock.now() + relay.lease_duration
+        relay.lease_expires_at = clock.now() + relay.lease_duration
         return first, second.result, second.ran, (await refusal_of(forwarding)).result
 
     unknown = result.ResultCode.UNKNOWN_ROUTE
--- a/aspencroft/simulation/call_troubles.py
+++ b/aspencroft/simulation/call_troubles.py
@@ -277,7 +277,7 @@
                 current=lambda: True,
                 root=False,
                 lease_duration=SETTLED * 10,
-                currency_end=SETTLED * 10,
+                lease_expires_at=SETTLED * 10,
             ),
             submit=self.group.submit,
             incarnation_id=lambda: name,
