--- a/aspencroft/consensus/replica_set.py
+++ b/aspencroft/consensus/replica_set.py
@@ -230,7 +230,7 @@
     """All replicas on a node's disk; ``first_start`` tells that an empty replica is new rather than lost."""
 
     area: str
-    copies: tuple[ReplicaReport, ...]
+    replicas: tuple[ReplicaReport, ...]
     known: RememberedCluster
     first_start: bool = True
 
--- a/aspencroft/consensus/witness_bootstrap.py
+++ b/aspencroft/consensus/witness_bootstrap.py
@@ -297,7 +297,7 @@
     """Return whether enough disks replied to form a replica set of each kind of group."""
     return all(
         sum(
-            any(replica_set.group_kind(replica.group_id) == kind for replica in report.copies)
+            any(replica_set.group_kind(replica.group_id) == kind for replica in report.replicas)
             for report in reports.values()
         )
         >= replica_count
@@ -313,7 +313,7 @@
 def newest_records(reports: DiskReports, ballots: tuple[replica_set.Ballot, ...]) -> dict[int, replica_set.ReplicaSet]:
     """Return the newest replica set of each group, from disks and from voting witnesses."""
     newest: dict[int, replica_set.ReplicaSet] = {}
-    records = [replica.record for report in reports.values() for replica in report.copies]
+    records = [replica.record for report in reports.values() for replica in report.replicas]
     records.extend(
         codec.untagged(ballot.value) for ballot in ballots if ballot.value and ballot.register != replica_set.VOTER_SET
     )
@@ -331,7 +331,7 @@
         if member.address in reports
         and any(
             replica.group_id == record.group_id and replica.identity == member.identity
-            for replica in reports[member.address].copies
+            for replica in reports[member.address].replicas
         )
     ]
 
@@ -343,7 +343,7 @@
         identities = {
             name: replica.identity
             for name, report in reports.items()
-            for replica in report.copies
+            for replica in report.replicas
             if replica.group_id == group_id
         }
         candidates = [replica_placement.Candidate(name, reports[name].area) for name in sorted(identities)]
