--- a/aspencroft/consensus/proposer.py
+++ b/aspencroft/consensus/proposer.py
@@ -43,17 +43,17 @@
         self.environment = env
         self.link = link
         self.voter_set = first_voter_set
-        self.highest = 0
+        self.highest_ballot = 0
 
     def next_ballot(self) -> int:
         """Return a ballot number above all that were seen, which no other proposer uses."""
-        self.highest = ballots.next_ballot(self.highest, self.environment.randomness)
-        return self.highest
+        self.highest_ballot = ballots.next_ballot(self.highest_ballot, self.environment.randomness)
+        return self.highest_ballot
 
     def learn_from_replies(self, replies: ballots.BallotReplies) -> None:
         """Learn higher ballots and newer voter sets from replies; send the newest set to voters that lack it."""
         for reply in replies.values():
-            self.highest = max(self.highest, reply.ballot.promised)
+            self.highest_ballot = max(self.highest_ballot, reply.ballot.promised)
             self.learn(reply.voter_set)
         for address, reply in replies.items():
             if reply.voter_set.number < self.voter_set.number:
--- a/aspencroft/consensus/witness.py
+++ b/aspencroft/consensus/witness.py
@@ -59,7 +59,7 @@
         """Return the ballot of a register."""
         return self.state.ballot(register)
 
-    def waits_out_leases(self) -> bool:
+    def may_have_earlier_leases(self) -> bool:
         """Return whether leases granted by an earlier incarnation may still be in force."""
         return clock.now() < self.state.leases_expired_at
 
--- a/aspencroft/consensus/witness_bootstrap.py
+++ b/aspencroft/consensus/witness_bootstrap.py
@@ -135,7 +135,7 @@
 
     async def try_to_vote(self) -> None:
         """Wait until leases have expired, then learn from a majority of the others, or else start from the disks."""
-        if self.witness.waits_out_leases():
+        if self.witness.may_have_earlier_leases():
             self.status_reason = "waiting for earlier leases to expire"
             return
         voter_set = self.proposer.voter_set
