--- a/aspencroft/proxy/forwarder_test.py
+++ b/aspencroft/proxy/forwarder_test.py
@@ -48,8 +48,8 @@
         relay=types.SimpleNamespace(
             configuration=configuration,
             current=lambda: True,
-            currency=clock.seconds(12),
-            currency_end=clock.seconds(12),
+            lease_duration=clock.seconds(12),
+            lease_expires_at=clock.seconds(12),
             root=False,
         ),
     )
@@ -239,7 +239,7 @@
         first = (await error_of(edge)).result
         await clock.sleep(clock.seconds(5))
         second = await error_of(edge)
-        relay.currency_end = clock.now() + relay.currency
+        relay.lease_expires_at = clock.now() + relay.lease_duration
         return first, second.result, second.ran, (await error_of(edge)).result
 
     unknown = result.ResultCode.UNKNOWN_ROUTE
