--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -407,10 +407,10 @@
                 )
                 for number in range(size)
             ]
-            timer("what of it matters, ms", lambda: list_reader.matter(found))
-            body = timer("write it for the tree, ms", lambda: list_reader.told(found))
+            timer("what of it matters, ms", lambda: list_reader.significant_fields(found))
+            body = timer("write it for the tree, ms", lambda: list_reader.encode_list(found))
             timer.note("the topic, bytes", len(body))
-            shown = timer("read it on an edge, ms", lambda: list_reader.heard(body))
+            shown = timer("read it on an edge, ms", lambda: list_reader.decode_list(body))
 
             async def taken() -> None:
                 known = instances.Instances()
--- a/aspencroft/workers/list_reader.py
+++ b/aspencroft/workers/list_reader.py
@@ -41,7 +41,7 @@
     return DEFAULT_READ_COST
 
 
-def told(found: collections.abc.Iterable[instance.Instance]) -> str:
+def encode_list(found: collections.abc.Iterable[instance.Instance]) -> str:
     """Encode the list for the relay tree."""
     return json.dumps(
         [
@@ -61,10 +61,10 @@
     )
 
 
-def heard(body: str) -> list[instance.Instance]:
+def decode_list(body: str) -> list[instance.Instance]:
     """Decode a list from the relay tree.
 
-    Example: ``heard("[]") == []``
+    Example: ``decode_list("[]") == []``
     """
     return [
         instance.Instance(name, address, service, zone, version, slots, bool(draining), clock.seconds(cold / 1000))
@@ -72,7 +72,7 @@
     ]
 
 
-def matter(found: collections.abc.Iterable[instance.Instance]) -> frozenset:
+def significant_fields(found: collections.abc.Iterable[instance.Instance]) -> frozenset:
     """Return what counts as a change of the list: everything except how long exactly a cold worker stays slow."""
     return frozenset(
         (
@@ -199,9 +199,9 @@
         if self.consecutive_failures:
             report_read_again(self.node.address, self.consecutive_failures)
         self.consecutive_failures = 0
-        significant = matter(found)
+        significant = significant_fields(found)
         if significant != self.published:
-            new_revision = await self.publish(LIST_TOPIC, told(sorted(found, key=lambda one: one.name)))
+            new_revision = await self.publish(LIST_TOPIC, encode_list(sorted(found, key=lambda one: one.name)))
             if new_revision is None:
                 return
             self.revision, self.published, self.changed_at = new_revision, significant, now
@@ -292,7 +292,7 @@
         current_list, confirmation = self.node.relay.topics.get(LIST_TOPIC), self.node.relay.topics.get(READ_TOPIC)
         if current_list is not None and current_list is not self.applied_list:
             self.applied_list = current_list
-            self.instances.update(heard(current_list.body), now)
+            self.instances.update(decode_list(current_list.body), now)
         if confirmation is not None and confirmation is not self.applied_confirmation:
             self.applied_confirmation = confirmation
             if current_list is not None and json.loads(confirmation.body) == [current_list.revision.text()]:
--- a/aspencroft/workers/list_reader_test.py
+++ b/aspencroft/workers/list_reader_test.py
@@ -84,10 +84,12 @@
 
 def test_the_wire_form_of_the_list_keeps_it():
     found = [worker("a", cold=1.5), worker("b", True)]
-    assert list_reader.heard(list_reader.told(found)) == found and list_reader.heard("[]") == []
-    assert list_reader.matter([worker("a", cold=1.5)]) == list_reader.matter([worker("a", cold=0.5)])
-    assert list_reader.matter([worker("a", cold=1.5)]) != list_reader.matter([worker("a")])
-    assert list_reader.matter([worker("a")]) != list_reader.matter([worker("a", True)])
+    assert list_reader.decode_list(list_reader.encode_list(found)) == found and list_reader.decode_list("[]") == []
+    assert list_reader.significant_fields([worker("a", cold=1.5)]) == list_reader.significant_fields(
+        [worker("a", cold=0.5)]
+    )
+    assert list_reader.significant_fields([worker("a", cold=1.5)]) != list_reader.significant_fields([worker("a")])
+    assert list_reader.significant_fields([worker("a")]) != list_reader.significant_fields([worker("a", True)])
 
 
 def test_one_core_reads_for_all_and_a_draining_worker_is_known_within_two_seconds():
