--- a/aspencroft/workers/pool.py
+++ b/aspencroft/workers/pool.py
@@ -303,14 +303,14 @@
         now = clock.now()
         self.shortened_idle = {address: known for address, known in self.shortened_idle.items() if known[1] > now}
         for address, idle in list(self.idle_connections.items()):
-            keep_alive_options = []
+            reusable = []
             for one in idle:
                 if one.is_reusable(now):
-                    keep_alive_options.append(one)
+                    reusable.append(one)
                 else:
                     self.close_idle(one, now)
-            if keep_alive_options:
-                self.idle_connections[address] = keep_alive_options
+            if reusable:
+                self.idle_connections[address] = reusable
             else:
                 del self.idle_connections[address]
 
