--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -259,10 +259,10 @@
             key = (one.lane.name, one.request.tool)
             if self.parked.waits(key) and not one.attempts:
                 self.park(one, front=False)
-            elif not self.draw_one(one):
+            elif not self.select_worker(one):
                 self.park(one, front=one.attempts > 0)
 
-    def draw_one(self, one: call.Call) -> bool:
+    def select_worker(self, one: call.Call) -> bool:
         """Select a worker or give the call up; False if the call must wait for free capacity."""
         self.counts["draws"] += 1
         if self.is_over(one):
@@ -273,7 +273,7 @@
             self.give_up(one, result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=one.lane.name))
             return True
         allowed = current.allowed(one.lane.name, one.request.tool)
-        selected = selection.draw(
+        selected = selection.select_worker(
             allowed, one.request.program, self.sight.view(), one.tried_workers, self.node.environment.randomness
         )
         self.wake(selected.wake)
@@ -316,7 +316,7 @@
         for key in self.parked.rows_by_urgency():
             while self.parked.waits(key):
                 one = self.parked.head(key)
-                if not self.draw_one(one):
+                if not self.select_worker(one):
                     break
                 self.parked.pop(key, clock.now(), served=one.worker is not None)
 
--- a/aspencroft/gateway/selection.py
+++ b/aspencroft/gateway/selection.py
@@ -52,7 +52,7 @@
     return ""
 
 
-def draw(
+def select_worker(
     allowed: tuple[str, ...], program: str, view: View, tried_workers: frozenset[str], randomness: random.Random
 ) -> Selection:
     """Select the best worker: a program's home, then workers with the model, then the lesser demand of two at random.
--- a/aspencroft/simulation/guarantees_test.py
+++ b/aspencroft/simulation/guarantees_test.py
@@ -46,7 +46,7 @@
 def test_an_edge_frozen_between_claim_and_send_sends_nothing_late():
     async def scenario(harness: guarantees.ClusterHarness) -> None:
         cluster, edge = harness.cluster, harness.cluster.edge_paths["edge-0"]
-        original = edge.draw_one
+        original = edge.select_worker
         caught = []
 
         def frozen_draw(call):
@@ -55,13 +55,13 @@
             cluster.loop.freeze("edge-0")
             return drawn
 
-        edge.draw_one = frozen_draw
+        edge.select_worker = frozen_draw
         asking = asyncio.ensure_future(harness.ask("edge-0", "till-lock", {"name": "late"}, operation="late"))
         await cluster.until(lambda: bool(caught), 5, "caught")
         await asyncio.sleep(8)
         second = await harness.ask("edge-1", "till-lock", {"name": "late"}, operation="late")
         cluster.loop.thaw("edge-0")
-        edge.draw_one = original
+        edge.select_worker = original
         noted = await asking
         await asyncio.sleep(5)
         assert noted.ran == "not run" and second.ran != "done"
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -509,12 +509,12 @@
 def crowding_run(seed: int, by_lot: bool, crowd: bool) -> dict:
     """Eight edges in a crowd or in calm: how evenly workers were called, put-backs, cold calls, first pieces."""
     shown: dict = {}
-    original = selection.draw
+    original = selection.select_worker
 
     def by_name(allowed, program, view, tried, chance):
         return original(allowed, program, view, tried, ByName())
 
-    selection.draw = original if by_lot else by_name
+    selection.select_worker = original if by_lot else by_name
 
     async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
         asking = cluster.caller(3)
@@ -543,7 +543,7 @@
     try:
         staged(seed, scenario, simulated_cluster.Size(8, 3, 5), shape.ARCHIVE)
     finally:
-        selection.draw = original
+        selection.select_worker = original
     return shown
 
 
