--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -58,7 +58,7 @@
         self.acceptors = max(MIN_ACCEPTORS, TOTAL_ACCEPTORS // len(self.accept_queues))
         self.awaiting_worker = priority_queue.PriorityQueue(QUEUE_BOUND * 8)
         self.send_queues = {turns: priority_queue.PriorityQueue(count) for turns, count in SENDERS.items()}
-        self.parked = wait_queue.Parked()
+        self.wait_queue = wait_queue.WaitQueue()
         self.closings = closing.Closings(own)
         self.sight = worker_view.Sight(own)
         self.active: dict[str, call.Call] = {}
@@ -257,7 +257,7 @@
         while True:
             one = await self.awaiting_worker.take()
             key = (one.lane.name, one.request.tool)
-            if self.parked.waits(key) and not one.attempts:
+            if self.wait_queue.waits(key) and not one.attempts:
                 self.park(one, front=False)
             elif not self.select_worker(one):
                 self.park(one, front=one.attempts > 0)
@@ -300,7 +300,7 @@
         current = self.node.relay.configuration
         services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
         default_interval = self.mean_duration[one.turns()] / max(1, self.sight.capacity(services))
-        retry = self.parked.offer(
+        retry = self.wait_queue.offer(
             (one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), default_interval, front
         )
         if retry is not None:
@@ -313,19 +313,19 @@
         """Select workers for parked calls, most urgent rows first, each row until its first call finds no capacity."""
         if not self.node.relay.current():
             return
-        for key in self.parked.rows_by_urgency():
-            while self.parked.waits(key):
-                one = self.parked.head(key)
+        for key in self.wait_queue.rows_by_urgency():
+            while self.wait_queue.waits(key):
+                one = self.wait_queue.head(key)
                 if not self.select_worker(one):
                     break
-                self.parked.pop(key, clock.now(), served=one.worker is not None)
+                self.wait_queue.pop(key, clock.now(), served=one.worker is not None)
 
     async def dispatch_stage(self) -> None:
         """Dispatch parked calls periodically, as other edges free capacity too; refuse calls that are now too late."""
         while True:
             await clock.sleep(DISPATCH_INTERVAL)
             self.dispatch_parked()
-            for one, retry in self.parked.too_late(clock.now()):
+            for one, retry in self.wait_queue.too_late(clock.now()):
                 self.give_up(
                     one,
                     result.RequestError(
@@ -617,7 +617,7 @@
     def samples(self) -> list[sample.Sample]:
         """Return the metrics of the edge."""
         found = [
-            sample.sample("aspencroft_parked", self.parked.total()),
+            sample.sample("aspencroft_parked", self.wait_queue.total()),
             sample.sample("aspencroft_active", len(self.active)),
             sample.sample("aspencroft_asked_total", self.counts["asked"]),
             sample.sample("aspencroft_answered_total", self.counts["answered"]),
@@ -640,7 +640,7 @@
         return {
             "counts": dict(self.counts),
             "active": len(self.active),
-            "parked": self.parked.total(),
+            "parked": self.wait_queue.total(),
             "accepting": {
                 f"pair {group_id} {'turns' if turns else 'signals'}": row.ahead(9)
                 for (group_id, turns), row in self.accept_queues.items()
--- a/aspencroft/gateway/wait_queue.py
+++ b/aspencroft/gateway/wait_queue.py
@@ -29,7 +29,7 @@
         return interval * (position + 1) + max(clock.ZERO, now - self.last_free_at - interval)
 
 
-class Parked:
+class WaitQueue:
     """Rows of waiting calls. Freed capacity costs one check of each row, not of each call."""
 
     def __init__(self):
--- a/aspencroft/gateway/wait_queue_test.py
+++ b/aspencroft/gateway/wait_queue_test.py
@@ -5,7 +5,7 @@
 
 
 def test_rows_are_bounded_keep_order_and_refuse_what_comes_too_late():
-    parked, now = queue_module.Parked(), clock.seconds(100)
+    parked, now = queue_module.WaitQueue(), clock.seconds(100)
     far_end, default_interval = clock.seconds(900), clock.seconds(0.1)
     accepted = [
         parked.offer(("a", ""), 5, queue_module.SampleCall(number, far_end), now, default_interval) is None
--- a/aspencroft/simulation/calls_test.py
+++ b/aspencroft/simulation/calls_test.py
@@ -106,7 +106,7 @@
                     await asyncio.sleep(0.002)
             edge = cluster.edge_paths["edge-0"]
             draws.append(edge.counts["draws"] / calls)
-            assert edge.parked.total() == 0 and not edge.active
+            assert edge.wait_queue.total() == 0 and not edge.active
             late = [span for _, span in refused if span > 15]
             assert len(late) <= 0.05 * calls, (len(late), len(refused), calls)
 
@@ -125,7 +125,7 @@
         ]
         await asyncio.sleep(1)
         edge = cluster.edge_paths["edge-0"]
-        assert edge.parked.total() > 20
+        assert edge.wait_queue.total() > 20
         cluster.wire.cut(["edge-0"], [name for name in cluster.names() if name != "edge-0"])
         await asyncio.sleep(7)
         cluster.wire.heal()
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -287,7 +287,7 @@
         "all parked calls are looked at each time",
         "gateway/path.py",
         "                if not self.select_worker(one):\n",
-        '                if not self.select_worker(one):\n                    for other in list(self.parked.rows[key].calls)[1:]:\n                        self.counts["draws"] += 1\n',
+        '                if not self.select_worker(one):\n                    for other in list(self.wait_queue.rows[key].calls)[1:]:\n                        self.counts["draws"] += 1\n',
         (
             "simulation/calls_test.py::test_a_flood_costs_linear_work_and_what_cannot_be_served_is_refused_when_that_is_known",
         ),
