--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -60,7 +60,7 @@
         self.send_queues = {turns: priority_queue.PriorityQueue(count) for turns, count in SENDERS.items()}
         self.wait_queue = wait_queue.WaitQueue()
         self.closings = closing.Closings(own)
-        self.sight = worker_view.Sight(own)
+        self.worker_view = worker_view.WorkerView(own)
         self.active: dict[str, call.Call] = {}
         self.mean_duration = {True: clock.seconds(0.2), False: clock.seconds(0.05)}
         self.next_wake: dict[str, datetime.timedelta] = {}
@@ -151,7 +151,7 @@
         """Read the platform's list of workers periodically; after a failure the last list stays in use."""
         while self.node.settings.workers:
             try:
-                self.sight.take_list(await self.adapter.workers(self.node.settings.workers))
+                self.worker_view.take_list(await self.adapter.workers(self.node.settings.workers))
                 self.dispatch_parked()
             except result.RequestError as refusal:
                 self.counts["lists missed"] += 1
@@ -274,11 +274,11 @@
             return True
         allowed = current.allowed(one.lane.name, one.request.tool)
         selected = selection.select_worker(
-            allowed, one.request.program, self.sight.view(), one.tried_workers, self.node.environment.randomness
+            allowed, one.request.program, self.worker_view.view(), one.tried_workers, self.node.environment.randomness
         )
         self.wake(selected.wake)
         if selected.worker is None:
-            unlisted = not self.sight.listed and clock.now() - one.started_at < RETRY_SOON
+            unlisted = not self.worker_view.listed and clock.now() - one.started_at < RETRY_SOON
             if not selected.full and not one.tried_workers and not unlisted:
                 self.record_event(one, "no worker", str(selected.reasons))
                 self.give_up(one, result.RequestError(result.ResultCode.NO_WORKER, detail=", ".join(allowed)))
@@ -286,7 +286,7 @@
             one.tried_workers = frozenset()
             return False
         one.worker, one.service = selected.worker, selected.service
-        self.sight.demand[selected.worker.name] += 1
+        self.worker_view.demand[selected.worker.name] += 1
         self.record_event(
             one, "drawn", f"{selected.worker.name} for {selected.service}; left out: {dict(selected.reasons)}"
         )
@@ -299,7 +299,7 @@
         """Park a call until capacity is free, or give it up at once if that cannot happen before its deadline."""
         current = self.node.relay.configuration
         services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
-        default_interval = self.mean_duration[one.turns()] / max(1, self.sight.capacity(services))
+        default_interval = self.mean_duration[one.turns()] / max(1, self.worker_view.capacity(services))
         retry = self.wait_queue.offer(
             (one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), default_interval, front
         )
@@ -350,7 +350,7 @@
         calls are dispatched at the next interval.
         """
         if one.worker is not None:
-            self.sight.demand[one.worker.name] -= 1
+            self.worker_view.demand[one.worker.name] -= 1
             one.worker = None
 
     def release(self, one: call.Call) -> None:
@@ -386,7 +386,7 @@
             return "the lane is gone"
         if one.service not in current.configuration.allowed(one.lane.name, one.request.tool):
             return "the service is not allowed any more"
-        return "the worker is leaving" if self.sight.is_excluded(one.worker.name) else ""
+        return "the worker is leaving" if self.worker_view.is_excluded(one.worker.name) else ""
 
     async def send_to_worker(self, one: call.Call) -> None:
         """Make one attempt: check again, send once, stream. An attempt that certainly did not run is queued again."""
@@ -413,7 +413,7 @@
         )
         worker_name = one.worker.name
         one.sent, one.attempts, one.sent_at = True, one.attempts + 1, clock.now()
-        if one.worker.name in self.sight.quiet():
+        if one.worker.name in self.worker_view.quiet():
             self.wake((one.worker.name,))
         self.record_event(one, "sent on", f"go {one.attempts} to {one.worker.name}")
         self.replicate_trace(one)
@@ -432,9 +432,9 @@
             result.ResultCode.UNREACHABLE,
             result.ResultCode.WORKER_LOST,
         ):
-            self.sight.failed(one.worker.name)
+            self.worker_view.failed(one.worker.name)
         if refusal.result is result.ResultCode.PUT_BACK and one.worker is not None:
-            self.sight.put_back(one.worker.name)
+            self.worker_view.put_back(one.worker.name)
         if refusal.ran is result.Ran.NOT_RUN:
             one.sent = False
             self.counts["goes not run"] += 1
@@ -483,7 +483,7 @@
         async for event in self.adapter.run(one.worker, work):
             if isinstance(event, adapter.Piece):
                 if not parts:
-                    self.sight.first_token(one.worker.name, one.service, one.request.program)
+                    self.worker_view.first_token(one.worker.name, one.service, one.request.program)
                 parts.append(event.text)
                 tap_state, intents = tap_state.feed(event.text)
                 for intent in intents:
@@ -499,7 +499,7 @@
 
     def notify_role_holder(self, topic: str, message) -> None:
         """Notify the holder of a singleton role, if its published topic names one."""
-        holder = self.sight.topic(topic).get("holder")
+        holder = self.worker_view.topic(topic).get("holder")
         if holder:
             self.node.link.notify(holder, message)
 
@@ -622,8 +622,8 @@
             sample.sample("aspencroft_asked_total", self.counts["asked"]),
             sample.sample("aspencroft_answered_total", self.counts["answered"]),
             sample.sample("aspencroft_goes_total", self.counts["goes"]),
-            sample.sample("aspencroft_workers_listed", len(self.sight.workers)),
-            sample.sample("aspencroft_workers_quiet", len(self.sight.quiet())),
+            sample.sample("aspencroft_workers_listed", len(self.worker_view.workers)),
+            sample.sample("aspencroft_workers_quiet", len(self.worker_view.quiet())),
         ]
         found.extend(
             sample.sample("aspencroft_refused_total", count, result=name.split()[1])
@@ -631,7 +631,8 @@
             if name.startswith("refused ")
         )
         found.extend(
-            sample.sample("aspencroft_demand", count, worker=name) for name, count in sorted(self.sight.demand.items())
+            sample.sample("aspencroft_demand", count, worker=name)
+            for name, count in sorted(self.worker_view.demand.items())
         )
         return found
 
@@ -646,8 +647,8 @@
                 for (group_id, turns), row in self.accept_queues.items()
             },
             "closings": dict(self.closings.counts),
-            "workers": [one.name for one in self.sight.workers],
-            "demand": {name: count for name, count in self.sight.demand.items() if count},
+            "workers": [one.name for one in self.worker_view.workers],
+            "demand": {name: count for name, count in self.worker_view.demand.items() if count},
             "seconds a turn": self.mean_duration[True].total_seconds(),
             "seconds a signal": self.mean_duration[False].total_seconds(),
         }
--- a/aspencroft/gateway/worker_view.py
+++ b/aspencroft/gateway/worker_view.py
@@ -15,7 +15,7 @@
 MAX_HOMES = 20_000
 
 
-class Sight:
+class WorkerView:
     """An edge's knowledge of workers, from published topics and the results of its own calls; no worker is probed."""
 
     def __init__(self, own: node.Node):
--- a/aspencroft/simulation/guarantees.py
+++ b/aspencroft/simulation/guarantees.py
@@ -21,7 +21,7 @@
         assert response.status_code == 200, response.text
         await self.cluster.until(self.cluster.ready, 20, "ready")
         await self.cluster.until(
-            lambda: all(edge.sight.listed for edge in self.cluster.edge_paths.values()), 5, "listed"
+            lambda: all(edge.worker_view.listed for edge in self.cluster.edge_paths.values()), 5, "listed"
         )
 
     async def ask(self, edge: str, lane: str, given, **more):
