--- a/aspencroft/cli/edge_program.py
+++ b/aspencroft/cli/edge_program.py
@@ -13,7 +13,7 @@
 def build(own: node.Node) -> tuple:
     """HTTP handlers, background tasks and the drain of an edge node."""
     worker_adapter = adapter.Adapter(own.environment, own.outside)
-    request_path = path.Path(own, worker_adapter)
+    request_path = path.RequestPath(own, worker_adapter)
     own.traces = request_path.traces
     return callers.handlers(request_path), [request_path.run], request_path.drain
 
--- a/aspencroft/gateway/callers.py
+++ b/aspencroft/gateway/callers.py
@@ -106,7 +106,7 @@
         one.caller_gone = True
 
 
-def handlers(edge: path.Path) -> list:
+def handlers(edge: path.RequestPath) -> list:
     """Return the handlers that edges serve in addition to those for operators."""
 
     @litestar.post("/requests", status_code=200)
@@ -116,7 +116,7 @@
         try:
             body = operator_api.json_body(await request.body())
             edge.check_open()
-            one = edge.take_in(request_of(body, edge.node.relay.configuration.lanes, identity))
+            one = edge.admit(request_of(body, edge.node.relay.configuration.lanes, identity))
         except result.RequestError as refusal:
             edge.traces.add(identity, "", clock.ZERO, "refused at the door", str(refusal))
             response = operator_api.refusal_response(refusal)
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -36,7 +36,7 @@
 REPEATABLE_RESULTS = (result.ResultCode.WORKER_LOST, result.ResultCode.WORKER_BROKE, result.ResultCode.WORKER_REFUSED)
 
 
-class Path:
+class RequestPath:
     """All stages of requests on one edge.
 
     Accepting waits for session groups, so each group has its own queues and tasks. There and among the senders,
@@ -79,7 +79,7 @@
         if not self.node.relay.current():
             raise result.RequestError(result.ResultCode.NO_PLAN, retry=RETRY_SOON)
 
-    def take_in(self, request: call.Request) -> call.Call:
+    def admit(self, request: call.Request) -> call.Call:
         """Check a request and queue it.
 
         :raises result.RequestError: the request is refused; it did not run
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -75,7 +75,7 @@
         self.seeds = tuple(f"{name}:1" for name in self.cores[:3])
         self.disks: dict[str, disk.SimDisk] = {}
         self.nodes: dict[str, node.Node] = {}
-        self.edge_paths: dict[str, path.Path] = {}
+        self.edge_paths: dict[str, path.RequestPath] = {}
         self.clock_jump = datetime.timedelta()
         self.ended: list[str] = []
         self.holds = size.holds()
@@ -144,7 +144,7 @@
         back = adapter.Adapter(around, own.outside)
         more, works = [], []
         if place.role == settings.EDGE:
-            edge = path.Path(own, back)
+            edge = path.RequestPath(own, back)
             own.traces = edge.traces
             self.edge_paths[name] = edge
             more, works = callers.handlers(edge), [edge.run]
