--- a/aspencroft/workers/adapter.py
+++ b/aspencroft/workers/adapter.py
@@ -51,15 +51,15 @@
 class Work:
     """One piece of work for a worker."""
 
-    go: str
+    attempt_id: str
     service: str
     program: str
     helper: str
     turn: int
-    past: tuple[tuple[str, str], ...]
+    history: tuple[tuple[str, str], ...]
     input: object
-    most: int
-    within: datetime.timedelta
+    max_output_tokens: int
+    timeout: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True)
@@ -225,23 +225,23 @@
         if target.kind == worker.MODEL:
             path = "/api/generate"
             body = {
-                "request": work.go,
+                "request": work.attempt_id,
                 "model": work.service,
                 "program": work.program,
                 "helper": work.helper,
                 "turn": work.turn,
-                "history": [list(one) for one in work.past],
+                "history": [list(one) for one in work.history],
                 "input": work.input,
-                "max_output": work.most,
-                "within": work.within.total_seconds(),
+                "max_output": work.max_output_tokens,
+                "within": work.timeout.total_seconds(),
             }
         else:
             path = "/api/run"
             body = {
-                "request": work.go,
+                "request": work.attempt_id,
                 "service": work.service,
                 "input": work.input,
-                "within": work.within.total_seconds(),
+                "within": work.timeout.total_seconds(),
             }
         try:
             request = self.client.build_request("POST", target.url + path, json=body)
@@ -283,7 +283,7 @@
             )
         if target.kind == worker.PLAIN:
             content = parsed(await read_body(response))
-            if content.get("request") != work.go or content.get("done") is not True:
+            if content.get("request") != work.attempt_id or content.get("done") is not True:
                 raise result.RequestError(result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, target.name)
             yield End(0, 0, content.get("answer"))
             return
@@ -292,7 +292,7 @@
             content = parsed(line)
             if content.get("put_back") is True and count == 0 and not ended:
                 raise result.RequestError(result.ResultCode.PUT_BACK, result.Ran.NOT_RUN, target.name)
-            if ended or content.get("request") != work.go:
+            if ended or content.get("request") != work.attempt_id:
                 raise result.RequestError(
                     result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "received the answer to another request"
                 )
@@ -317,7 +317,7 @@
                     result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"piece {count} is invalid"
                 )
             used += tokens
-            if used > work.most:
+            if used > work.max_output_tokens:
                 raise result.RequestError(
                     result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, "more output tokens than allowed"
                 )
