--- a/aspencroft/gateway/call.py
+++ b/aspencroft/gateway/call.py
@@ -74,11 +74,11 @@
     worker: object = None
     service: str = ""
 
-    def go(self) -> str:
+    def attempt_id(self) -> str:
         """Return the id of the current attempt: the request's identity, with a number once its work is repeated."""
         return f"{self.request.identity}.{self.repetitions}" if self.repetitions else self.request.identity
 
-    def turns(self) -> bool:
+    def is_turn(self) -> bool:
         """Whether the call is a turn of a program."""
         return self.lane.kind == lane.TURNS
 
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -109,13 +109,13 @@
         """
         if one.request.operation and not one.claimed:
             group_id = session_groups.group_of(one.request.operation, self.node.settings.talk_pairs)
-        elif one.turns() and one.granted is None:
+        elif one.is_turn() and one.granted is None:
             group_id = session_groups.group_of(one.request.program, self.node.settings.talk_pairs)
         else:
             if self.awaiting_worker.offer(one.lane.urgency, one):
                 return None
             return result.RequestError(result.ResultCode.OVERLOADED, retry=RETRY_SOON)
-        key = (group_id, one.turns())
+        key = (group_id, one.is_turn())
         expected = self.mean_accept_time[key] * self.accept_queues[key].ahead(one.lane.urgency) / self.acceptors
         if clock.now() + expected > one.end:
             return result.RequestError(
@@ -220,7 +220,7 @@
                 request.helper,
                 request.after,
                 request.lane,
-                one.go(),
+                one.attempt_id(),
                 request.most,
                 request.budget,
                 one.lane.keep,
@@ -240,7 +240,7 @@
         if state.outcome == sessions_messages.DONE and state.answer:
             kept = json.loads(state.answer)
             self.record_event(one, "answered from the key's record", state.go)
-            pieces = 1 if one.turns() and kept["text"] else 0
+            pieces = 1 if one.is_turn() and kept["text"] else 0
             if pieces:
                 one.events.put_nowait(adapter.Piece(0, kept["text"], kept["used"]))
             self.deliver_end(one, call.Ended(kept["turn"], pieces, kept["used"], kept["answer"], None))
@@ -290,7 +290,7 @@
         self.record_event(
             one, "drawn", f"{selected.worker.name} for {selected.service}; left out: {dict(selected.reasons)}"
         )
-        if self.send_queues[one.turns()].offer(one.lane.urgency, one):
+        if self.send_queues[one.is_turn()].offer(one.lane.urgency, one):
             return True
         self.free_worker(one)
         return False
@@ -299,7 +299,7 @@
         """Park a call until capacity is free, or give it up at once if that cannot happen before its deadline."""
         current = self.node.relay.configuration
         services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
-        default_interval = self.mean_duration[one.turns()] / max(1, self.worker_view.capacity(services))
+        default_interval = self.mean_duration[one.is_turn()] / max(1, self.worker_view.capacity(services))
         retry = self.wait_queue.offer(
             (one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), default_interval, front
         )
@@ -401,7 +401,7 @@
         request = one.request
         past = tuple((turn.input, turn.output) for turn in one.granted.past) if one.granted else ()
         work = adapter.Work(
-            one.go(),
+            one.attempt_id(),
             one.service,
             request.program,
             request.helper,
@@ -474,7 +474,7 @@
         if one.granted is not None:
             await self.close_turn(one, sessions_messages.UNKNOWN, "", 0)
         one.sent, one.granted, one.repetitions = False, None, one.repetitions + 1
-        if one.turns():
+        if one.is_turn():
             await self.accept(one)
 
     async def stream(self, one: call.Call, work: adapter.Work) -> None:
@@ -507,7 +507,7 @@
         """Free the worker, store the turn and the key's answer, then tell the caller the end."""
         request, turn, worker_name = one.request, 0, one.worker.name
         duration = clock.now() - one.sent_at
-        self.mean_duration[one.turns()] += (duration - self.mean_duration[one.turns()]) / SMOOTHING
+        self.mean_duration[one.is_turn()] += (duration - self.mean_duration[one.is_turn()]) / SMOOTHING
         self.release(one)
         if one.granted is not None:
             turn = one.granted.number
@@ -534,7 +534,9 @@
         """Return the command that records how the turn ended."""
         request = one.request
         given = request.input if isinstance(request.input, str) else json.dumps(request.input)
-        return sessions_messages.CloseTurn(request.program, request.helper, one.go(), outcome, given, text, used)
+        return sessions_messages.CloseTurn(
+            request.program, request.helper, one.attempt_id(), outcome, given, text, used
+        )
 
     async def close_turn(self, one: call.Call, outcome: str, text: str, used: int) -> None:
         """Record how the turn ended."""
@@ -586,7 +588,7 @@
             call.Ended(0, 0, 0, None, result.RequestError(refusal.result, ran, refusal.detail, refusal.retry)),
         )
         outcome, request = (sessions_messages.UNKNOWN if one.sent else sessions_messages.NOT_RUN), one.request
-        if one.granted is not None or (one.turns() and is_outcome_unknown):
+        if one.granted is not None or (one.is_turn() and is_outcome_unknown):
             self.closings.offer(
                 session_groups.group_of(request.program, self.node.settings.talk_pairs),
                 closing.Closing(request.identity, self.close_turn_command(one, outcome, "", 0)),
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -213,7 +213,7 @@
     Mutation(
         "signals share the senders of streams",
         "gateway/path.py",
-        "        if self.send_queues[one.turns()].offer(one.lane.urgency, one):\n",
+        "        if self.send_queues[one.is_turn()].offer(one.lane.urgency, one):\n",
         "        if self.send_queues[True].offer(one.lane.urgency, one):\n",
         (
             "simulation/calls_test.py::test_signals_have_places_of_their_own_beside_long_streams",
@@ -238,7 +238,7 @@
     Mutation(
         "all group_ids share acceptors",
         "gateway/path.py",
-        "        key = (group_id, one.turns())\n",
+        "        key = (group_id, one.is_turn())\n",
         "        key = (1, True)\n",
         ("simulation/calls_test.py::test_a_pair_without_a_primary_holds_up_none_but_its_own",),
     ),
