--- a/aspencroft/power/machine_power.py
+++ b/aspencroft/power/machine_power.py
@@ -162,7 +162,7 @@
         if not self.duty.has_lease():
             return
         try:
-            left = await self.adapter.rest(target, False)
+            left = await self.adapter.set_asleep(target, False)
         except result.RequestError as refusal:
             self.counts["orders failed"] += 1
             self.waking[target.name] += 1
@@ -192,7 +192,7 @@
         if not self.duty.has_lease():
             return
         try:
-            await self.adapter.rest(target, True)
+            await self.adapter.set_asleep(target, True)
             self.asleep.add(target.name)
             self.counts["slept"] += 1
         except result.RequestError as refusal:
--- a/aspencroft/workers/adapter.py
+++ b/aspencroft/workers/adapter.py
@@ -197,7 +197,7 @@
                 result.ResultCode.WORKER_BROKE, result.Ran.UNKNOWN, f"order: {error}"[:500]
             ) from None
 
-    async def rest(self, target: worker.Worker, asleep: bool) -> datetime.timedelta:
+    async def set_asleep(self, target: worker.Worker, asleep: bool) -> datetime.timedelta:
         """Put a worker's machine to sleep, or wake it; return how long it will take until the worker can serve.
 
         The request is idempotent; a repeated one returns the time that is then left.
