--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -36,7 +36,7 @@
 REPEATABLE_RESULTS = (result.ResultCode.WORKER_LOST, result.ResultCode.WORKER_BROKE, result.ResultCode.WORKER_REFUSED)
 
 
-class Path:
+class RequestPath:
     """All stages of requests on one edge.
 
     Accepting waits for session groups, so each group has its own queues and tasks. There and among the senders,
@@ -58,9 +58,9 @@
         self.acceptors = max(MIN_ACCEPTORS, TOTAL_ACCEPTORS // len(self.accept_queues))
         self.awaiting_worker = priority_queue.PriorityQueue(QUEUE_BOUND * 8)
         self.send_queues = {turns: priority_queue.PriorityQueue(count) for turns, count in SENDERS.items()}
-        self.parked = wait_queue.Parked()
+        self.wait_queue = wait_queue.WaitQueue()
         self.closings = closing.Closings(own)
-        self.sight = worker_view.Sight(own)
+        self.worker_view = worker_view.WorkerView(own)
         self.active: dict[str, call.Call] = {}
         self.mean_duration = {True: clock.seconds(0.2), False: clock.seconds(0.05)}
         self.next_wake: dict[str, datetime.timedelta] = {}
@@ -79,7 +79,7 @@
         if not self.node.relay.current():
             raise result.RequestError(result.ResultCode.NO_PLAN, retry=RETRY_SOON)
 
-    def take_in(self, request: call.Request) -> call.Call:
+    def admit(self, request: call.Request) -> call.Call:
         """Check a request and queue it.
 
         :raises result.RequestError: the request is refused; it did not run
@@ -109,13 +109,13 @@
         """
         if one.request.operation and not one.claimed:
             group_id = session_groups.group_of(one.request.operation, self.node.settings.talk_pairs)
-        elif one.turns() and one.granted is None:
+        elif one.is_turn() and one.granted is None:
             group_id = session_groups.group_of(one.request.program, self.node.settings.talk_pairs)
         else:
             if self.awaiting_worker.offer(one.lane.urgency, one):
                 return None
             return result.RequestError(result.ResultCode.OVERLOADED, retry=RETRY_SOON)
-        key = (group_id, one.turns())
+        key = (group_id, one.is_turn())
         expected = self.mean_accept_time[key] * self.accept_queues[key].ahead(one.lane.urgency) / self.acceptors
         if clock.now() + expected > one.end:
             return result.RequestError(
@@ -151,7 +151,7 @@
         """Read the platform's list of workers periodically; after a failure the last list stays in use."""
         while self.node.settings.workers:
             try:
-                self.sight.take_list(await self.adapter.workers(self.node.settings.workers))
+                self.worker_view.take_list(await self.adapter.workers(self.node.settings.workers))
                 self.dispatch_parked()
             except result.RequestError as refusal:
                 self.counts["lists missed"] += 1
@@ -220,7 +220,7 @@
                 request.helper,
                 request.after,
                 request.lane,
-                one.go(),
+                one.attempt_id(),
                 request.most,
                 request.budget,
                 one.lane.keep,
@@ -240,7 +240,7 @@
         if state.outcome == sessions_messages.DONE and state.answer:
             kept = json.loads(state.answer)
             self.record_event(one, "answered from the key's record", state.attempt)
-            pieces = 1 if one.turns() and kept["text"] else 0
+            pieces = 1 if one.is_turn() and kept["text"] else 0
             if pieces:
                 one.events.put_nowait(adapter.Piece(0, kept["text"], kept["used"]))
             self.deliver_end(one, call.Ended(kept["turn"], pieces, kept["used"], kept["answer"], None))
@@ -257,12 +257,12 @@
         while True:
             one = await self.awaiting_worker.take()
             key = (one.lane.name, one.request.tool)
-            if self.parked.waits(key) and not one.attempts:
+            if self.wait_queue.waits(key) and not one.attempts:
                 self.park(one, front=False)
-            elif not self.draw_one(one):
+            elif not self.select_worker(one):
                 self.park(one, front=one.attempts > 0)
 
-    def draw_one(self, one: call.Call) -> bool:
+    def select_worker(self, one: call.Call) -> bool:
         """Select a worker or give the call up; False if the call must wait for free capacity."""
         self.counts["draws"] += 1
         if self.is_over(one):
@@ -273,12 +273,12 @@
             self.give_up(one, result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=one.lane.name))
             return True
         allowed = current.allowed(one.lane.name, one.request.tool)
-        selected = selection.draw(
-            allowed, one.request.program, self.sight.view(), one.tried_workers, self.node.environment.randomness
+        selected = selection.select_worker(
+            allowed, one.request.program, self.worker_view.view(), one.tried_workers, self.node.environment.randomness
         )
         self.wake(selected.wake)
         if selected.worker is None:
-            unlisted = not self.sight.listed and clock.now() - one.started_at < RETRY_SOON
+            unlisted = not self.worker_view.listed and clock.now() - one.started_at < RETRY_SOON
             if not selected.full and not one.tried_workers and not unlisted:
                 self.record_event(one, "no worker", str(selected.reasons))
                 self.give_up(one, result.RequestError(result.ResultCode.NO_WORKER, detail=", ".join(allowed)))
@@ -286,11 +286,11 @@
             one.tried_workers = frozenset()
             return False
         one.worker, one.service = selected.worker, selected.service
-        self.sight.demand[selected.worker.name] += 1
+        self.worker_view.demand[selected.worker.name] += 1
         self.record_event(
             one, "drawn", f"{selected.worker.name} for {selected.service}; left out: {dict(selected.reasons)}"
         )
-        if self.send_queues[one.turns()].offer(one.lane.urgency, one):
+        if self.send_queues[one.is_turn()].offer(one.lane.urgency, one):
             return True
         self.free_worker(one)
         return False
@@ -299,8 +299,8 @@
         """Park a call until capacity is free, or give it up at once if that cannot happen before its deadline."""
         current = self.node.relay.configuration
         services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
-        default_interval = self.mean_duration[one.turns()] / max(1, self.sight.capacity(services))
-        retry = self.parked.offer(
+        default_interval = self.mean_duration[one.is_turn()] / max(1, self.worker_view.capacity(services))
+        retry = self.wait_queue.offer(
             (one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), default_interval, front
         )
         if retry is not None:
@@ -313,19 +313,19 @@
         """Select workers for parked calls, most urgent rows first, each row until its first call finds no capacity."""
         if not self.node.relay.current():
             return
-        for key in self.parked.rows_by_urgency():
-            while self.parked.waits(key):
-                one = self.parked.head(key)
-                if not self.draw_one(one):
+        for key in self.wait_queue.rows_by_urgency():
+            while self.wait_queue.waits(key):
+                one = self.wait_queue.head(key)
+                if not self.select_worker(one):
                     break
-                self.parked.pop(key, clock.now(), served=one.worker is not None)
+                self.wait_queue.pop(key, clock.now(), served=one.worker is not None)
 
     async def dispatch_stage(self) -> None:
         """Dispatch parked calls periodically, as other edges free capacity too; refuse calls that are now too late."""
         while True:
             await clock.sleep(DISPATCH_INTERVAL)
             self.dispatch_parked()
-            for one, retry in self.parked.too_late(clock.now()):
+            for one, retry in self.wait_queue.too_late(clock.now()):
                 self.give_up(
                     one,
                     result.RequestError(
@@ -350,7 +350,7 @@
         calls are dispatched at the next interval.
         """
         if one.worker is not None:
-            self.sight.demand[one.worker.name] -= 1
+            self.worker_view.demand[one.worker.name] -= 1
             one.worker = None
 
     def release(self, one: call.Call) -> None:
@@ -386,7 +386,7 @@
             return "the lane is gone"
         if one.service not in current.configuration.allowed(one.lane.name, one.request.tool):
             return "the service is not allowed any more"
-        return "the worker is leaving" if self.sight.is_excluded(one.worker.name) else ""
+        return "the worker is leaving" if self.worker_view.is_excluded(one.worker.name) else ""
 
     async def send_to_worker(self, one: call.Call) -> None:
         """Make one attempt: check again, send once, stream. An attempt that certainly did not run is queued again."""
@@ -401,7 +401,7 @@
         request = one.request
         past = tuple((turn.input, turn.output) for turn in one.granted.turns) if one.granted else ()
         work = adapter.Work(
-            one.go(),
+            one.attempt_id(),
             one.service,
             request.program,
             request.helper,
@@ -413,7 +413,7 @@
         )
         worker_name = one.worker.name
         one.sent, one.attempts, one.sent_at = True, one.attempts + 1, clock.now()
-        if one.worker.name in self.sight.quiet():
+        if one.worker.name in self.worker_view.quiet():
             self.wake((one.worker.name,))
         self.record_event(one, "sent on", f"go {one.attempts} to {one.worker.name}")
         self.replicate_trace(one)
@@ -432,9 +432,9 @@
             result.ResultCode.UNREACHABLE,
             result.ResultCode.WORKER_LOST,
         ):
-            self.sight.failed(one.worker.name)
+            self.worker_view.failed(one.worker.name)
         if refusal.result is result.ResultCode.PUT_BACK and one.worker is not None:
-            self.sight.put_back(one.worker.name)
+            self.worker_view.put_back(one.worker.name)
         if refusal.ran is result.Ran.NOT_RUN:
             one.sent = False
             self.counts["goes not run"] += 1
@@ -474,7 +474,7 @@
         if one.granted is not None:
             await self.close_turn(one, sessions_messages.UNKNOWN, "", 0)
         one.sent, one.granted, one.repetitions = False, None, one.repetitions + 1
-        if one.turns():
+        if one.is_turn():
             await self.accept(one)
 
     async def stream(self, one: call.Call, work: adapter.Work) -> None:
@@ -483,7 +483,7 @@
         async for event in self.adapter.run(one.worker, work):
             if isinstance(event, adapter.Piece):
                 if not parts:
-                    self.sight.first_token(one.worker.name, one.service, one.request.program)
+                    self.worker_view.first_token(one.worker.name, one.service, one.request.program)
                 parts.append(event.text)
                 tap_state, intents = tap_state.feed(event.text)
                 for intent in intents:
@@ -499,7 +499,7 @@
 
     def notify_role_holder(self, topic: str, message) -> None:
         """Notify the holder of a singleton role, if its published topic names one."""
-        holder = self.sight.topic(topic).get("holder")
+        holder = self.worker_view.topic(topic).get("holder")
         if holder:
             self.node.link.notify(holder, message)
 
@@ -507,7 +507,7 @@
         """Free the worker, store the turn and the key's answer, then tell the caller the end."""
         request, turn, worker_name = one.request, 0, one.worker.name
         duration = clock.now() - one.sent_at
-        self.mean_duration[one.turns()] += (duration - self.mean_duration[one.turns()]) / SMOOTHING
+        self.mean_duration[one.is_turn()] += (duration - self.mean_duration[one.is_turn()]) / SMOOTHING
         self.release(one)
         if one.granted is not None:
             turn = one.granted.number
@@ -534,7 +534,9 @@
         """Return the command that records how the turn ended."""
         request = one.request
         given = request.input if isinstance(request.input, str) else json.dumps(request.input)
-        return sessions_messages.CloseTurn(request.program, request.helper, one.go(), outcome, given, text, used)
+        return sessions_messages.CloseTurn(
+            request.program, request.helper, one.attempt_id(), outcome, given, text, used
+        )
 
     async def close_turn(self, one: call.Call, outcome: str, text: str, used: int) -> None:
         """Record how the turn ended."""
@@ -586,7 +588,7 @@
             call.Ended(0, 0, 0, None, result.RequestError(refusal.result, ran, refusal.detail, refusal.retry)),
         )
         outcome, request = (sessions_messages.UNKNOWN if one.sent else sessions_messages.NOT_RUN), one.request
-        if one.granted is not None or (one.turns() and is_outcome_unknown):
+        if one.granted is not None or (one.is_turn() and is_outcome_unknown):
             self.closings.offer(
                 session_groups.group_of(request.program, self.node.settings.talk_pairs),
                 closing.Closing(request.identity, self.close_turn_command(one, outcome, "", 0)),
@@ -617,13 +619,13 @@
     def samples(self) -> list[sample.Sample]:
         """Return the metrics of the edge."""
         found = [
-            sample.sample("aspencroft_parked", self.parked.total()),
+            sample.sample("aspencroft_parked", self.wait_queue.total()),
             sample.sample("aspencroft_active", len(self.active)),
             sample.sample("aspencroft_asked_total", self.counts["asked"]),
             sample.sample("aspencroft_answered_total", self.counts["answered"]),
             sample.sample("aspencroft_goes_total", self.counts["goes"]),
-            sample.sample("aspencroft_workers_listed", len(self.sight.workers)),
-            sample.sample("aspencroft_workers_quiet", len(self.sight.quiet())),
+            sample.sample("aspencroft_workers_listed", len(self.worker_view.workers)),
+            sample.sample("aspencroft_workers_quiet", len(self.worker_view.quiet())),
         ]
         found.extend(
             sample.sample("aspencroft_refused_total", count, result=name.split()[1])
@@ -631,7 +633,8 @@
             if name.startswith("refused ")
         )
         found.extend(
-            sample.sample("aspencroft_demand", count, worker=name) for name, count in sorted(self.sight.demand.items())
+            sample.sample("aspencroft_demand", count, worker=name)
+            for name, count in sorted(self.worker_view.demand.items())
         )
         return found
 
@@ -640,14 +643,14 @@
         return {
             "counts": dict(self.counts),
             "active": len(self.active),
-            "parked": self.parked.total(),
+            "parked": self.wait_queue.total(),
             "accepting": {
                 f"pair {group_id} {'turns' if turns else 'signals'}": row.ahead(9)
                 for (group_id, turns), row in self.accept_queues.items()
             },
             "closings": dict(self.closings.counts),
-            "workers": [one.name for one in self.sight.workers],
-            "demand": {name: count for name, count in self.sight.demand.items() if count},
+            "workers": [one.name for one in self.worker_view.workers],
+            "demand": {name: count for name, count in self.worker_view.demand.items() if count},
             "seconds a turn": self.mean_duration[True].total_seconds(),
             "seconds a signal": self.mean_duration[False].total_seconds(),
         }
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -213,7 +213,7 @@
     Mutation(
         "signals share the senders of streams",
         "gateway/path.py",
-        "        if self.send_queues[one.turns()].offer(one.lane.urgency, one):\n",
+        "        if self.send_queues[one.is_turn()].offer(one.lane.urgency, one):\n",
         "        if self.send_queues[True].offer(one.lane.urgency, one):\n",
         (
             "simulation/calls_test.py::test_signals_have_places_of_their_own_beside_long_streams",
@@ -238,7 +238,7 @@
     Mutation(
         "all group_ids share acceptors",
         "gateway/path.py",
-        "        key = (group_id, one.turns())\n",
+        "        key = (group_id, one.is_turn())\n",
         "        key = (1, True)\n",
         ("simulation/calls_test.py::test_a_pair_without_a_primary_holds_up_none_but_its_own",),
     ),
@@ -286,8 +286,8 @@
     Mutation(
         "all parked calls are looked at each time",
         "gateway/path.py",
-        "                if not self.draw_one(one):\n",
-        '                if not self.draw_one(one):\n                    for other in list(self.parked.rows[key].calls)[1:]:\n                        self.counts["draws"] += 1\n',
+        "                if not self.select_worker(one):\n",
+        '                if not self.select_worker(one):\n                    for other in list(self.wait_queue.rows[key].calls)[1:]:\n                        self.counts["draws"] += 1\n',
         (
             "simulation/calls_test.py::test_a_flood_costs_linear_work_and_what_cannot_be_served_is_refused_when_that_is_known",
         ),
