--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -1,4 +1,4 @@
-"""The control group's view: plan resources with revisions, and the epochs of duties."""
+"""The control group's state machine: plan resources with their revisions, and the epochs of singleton roles."""
 
 import collections.abc
 import dataclasses
@@ -14,14 +14,14 @@
 from aspencroft.transport import codec
 
 ROLE_LEASE = clock.seconds(2)
-SLICE = 64
-STEPS = 64
+CHECKS_PER_SLICE = 64
+MAX_PATCHES = 64
 
 
 @codec.kind(70)
 @dataclasses.dataclass(frozen=True)
 class Revision:
-    """A state of the plan: epoch of the control group and a number that only grows.
+    """A revision of the plan: the epoch of the control group, and a number that increases with every change.
 
     Example: ``Revision(3, 17) > Revision(2, 16)``
     """
@@ -33,7 +33,7 @@
         return (self.number, self.epoch) < (other.number, other.epoch)
 
     def text(self) -> str:
-        """The form that operators see.
+        """Return the text form that operators see.
 
         Example: ``Revision(3, 17).text() == "3.17"``
         """
@@ -44,7 +44,7 @@
 
 
 def revision_of(text: str) -> Revision:
-    """The revision that a text names.
+    """Parse the text form of a revision.
 
     Example: ``revision_of("3.17") == Revision(3, 17)``
     """
@@ -52,13 +52,15 @@
         epoch, number = text.strip('"').split(".")
         return Revision(int(epoch), int(number))
     except ValueError:
-        raise result.RequestError(result.ResultCode.MALFORMED, detail=f"{text!r} is no revision") from None
+        raise result.RequestError(
+            result.ResultCode.MALFORMED, detail=f"{text!r} is not a revision, such as 3.17"
+        ) from None
 
 
 @codec.kind(71)
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """One resource's new specification; an empty one removes it."""
+    """The new specification of one resource; an empty specification removes it."""
 
     kind: str
     name: str
@@ -68,7 +70,7 @@
 @codec.kind(72)
 @dataclasses.dataclass(frozen=True)
 class ResourcesChanged:
-    """Event: resources changed together under a new revision."""
+    """Event: resources that changed together, and the new revision of the plan."""
 
     revision: Revision
     changes: tuple[Change, ...]
@@ -77,7 +79,7 @@
 @codec.kind(73)
 @dataclasses.dataclass(frozen=True)
 class WriteResources:
-    """Command: whole plan, merge patch, or one resource; with a condition when one is given."""
+    """Command: write the whole plan, a merge patch or one resource, optionally only at an expected revision."""
 
     way: str
     kind: str
@@ -89,7 +91,7 @@
 @codec.kind(74)
 @dataclasses.dataclass(frozen=True)
 class ReadResources:
-    """Command: the plan, when it is newer than a revision."""
+    """Command: read the plan if it is newer than a revision."""
 
     after: Revision
 
@@ -97,7 +99,7 @@
 @codec.kind(89)
 @dataclasses.dataclass(frozen=True)
 class ResourcePatch:
-    """What leads from one revision of the plan to the next: a merge patch upon document, revisions and version."""
+    """A merge patch over document, revisions and version that leads from one revision of the plan to the next."""
 
     base: Revision
     revision: Revision
@@ -107,7 +109,7 @@
 @codec.kind(75)
 @dataclasses.dataclass(frozen=True)
 class ResourcesRead:
-    """The plan's revision; when newer than asked for, the steps that lead there, or else the whole document."""
+    """Reply: the plan's revision and, if it is newer than asked for, the patches up to it or the whole document."""
 
     revision: Revision
     document: str
@@ -117,7 +119,7 @@
 @codec.kind(76)
 @dataclasses.dataclass(frozen=True)
 class ResourcesWritten:
-    """A write's revision and how many resources it changed."""
+    """Reply: the revision of a write and the number of resources that it changed."""
 
     revision: Revision
     changed: int
@@ -126,7 +128,7 @@
 @codec.kind(77)
 @dataclasses.dataclass(frozen=True)
 class AcquireRole:
-    """Command: hold or go on holding a duty."""
+    """Command: acquire a singleton role or renew the lease on it."""
 
     duty: str
     holder: str
@@ -136,7 +138,7 @@
 @codec.kind(78)
 @dataclasses.dataclass(frozen=True)
 class RoleAcquired:
-    """Event and reply: who holds a duty under which epoch."""
+    """Event and reply: the holder of a singleton role and its epoch."""
 
     duty: str
     epoch: int
@@ -147,7 +149,7 @@
 @codec.kind(88)
 @dataclasses.dataclass(frozen=True)
 class ConfigurationTaken:
-    """Event: an operator's configuration was taken, with the changes that it means for the plan."""
+    """Event: an operator's configuration was accepted, with the changes that it makes to the plan."""
 
     changed: ResourcesChanged
     taken: taken_orders.Taken
@@ -156,11 +158,11 @@
 
 
 Event = RoleAcquired | ConfigurationTaken | ResourcesChanged | refused_orders.OrderRefused
-"""What the control group's log holds."""
+"""The entries of the control group's log."""
 
 
 class ControlState:
-    """Plan, operator's configuration and duties, folded from events."""
+    """The plan, the operator's configuration and the singleton roles, built up by applying events."""
 
     def __init__(self) -> None:
         self.revision = NEVER
@@ -173,7 +175,12 @@
         self.claims: dict[str, datetime.timedelta] = {}
 
     def decide(self, command: object, now: datetime.timedelta, epoch: int) -> tuple[tuple, object]:
-        """Events and reply for a command, or a Refusal; nothing changes here but duty claims."""
+        """Return the events and the reply for a command; nothing is changed but the leases on singleton roles.
+
+        Raises:
+            RequestError: the command is rejected.
+
+        """
         if isinstance(command, ReadResources):
             return (), self.read_plan(command.after)
         if isinstance(command, operator_configuration.ApplyConfiguration):
@@ -187,61 +194,63 @@
         raise result.RequestError(result.ResultCode.MALFORMED, detail=type(command).__name__)
 
     def decide_at_once(self, command: object, now: datetime.timedelta, epoch: int) -> object | None:
-        """Every command of the control group is decided in turn."""
+        """Return None: the control group decides all commands one after the other."""
         return None
 
     def note_committed(self) -> None:
-        """Nothing here waits for the members of the record."""
+        """Do nothing: no command here waits until the members have committed."""
 
     def read_plan(self, after: Revision) -> ResourcesRead:
-        """What is new since a revision: steps where they are still held, else the whole document."""
+        """Return the patches since a revision if they are still kept, else the whole document."""
         if not after < self.revision:
             return ResourcesRead(self.revision, "", ())
-        row, place = [], after
-        while place != self.revision and place in self.steps:
-            revision, patch = self.steps[place]
-            row.append(ResourcePatch(place, revision, json.dumps(patch)))
-            place = revision
-        if place == self.revision:
-            return ResourcesRead(self.revision, "", tuple(row))
-        shown = {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}
-        return ResourcesRead(self.revision, json.dumps(shown), ())
+        patches, base = [], after
+        while base != self.revision and base in self.steps:
+            revision, patch = self.steps[base]
+            patches.append(ResourcePatch(base, revision, json.dumps(patch)))
+            base = revision
+        if base == self.revision:
+            return ResourcesRead(self.revision, "", tuple(patches))
+        content = {"plan": self.document, "revisions": self.revisions, "version": self.configuration.version}
+        return ResourcesRead(self.revision, json.dumps(content), ())
 
     def decide_configuration(
         self, command: operator_configuration.ApplyConfiguration, epoch: int
     ) -> tuple[tuple, object]:
-        """An operator's configuration, checked whole before anything is stored.
+        """Decide on an operator's configuration, which is fully validated before anything is stored.
 
-        One that was taken is known again; one that was refused stays refused.
+        A repeat of an accepted configuration gets the same reply again; a rejected one stays rejected.
         """
-        known = self.configuration.known(command)
-        if known is not None:
-            return (), operator_configuration.Applied(known.revision, 0, True)
+        recorded = self.configuration.known(command)
+        if recorded is not None:
+            return (), operator_configuration.Applied(recorded.revision, 0, True)
         self.configuration.check_refused_before(command)
         try:
             decided = self.configuration.decide(command, self.document, self.index)
         except result.RequestError as refusal:
-            lasting = self.configuration.lasting_refusal(command, refusal)
-            if lasting is None:
+            refusal_event = self.configuration.lasting_refusal(command, refusal)
+            if refusal_event is None:
                 raise
-            return (lasting,), refusal
+            return (refusal_event,), refusal
         revision = Revision(epoch, self.revision.number + 1)
-        changed = ResourcesChanged(revision, tuple(Change(*one) for one in decided.changes))
+        resources_changed = ResourcesChanged(revision, tuple(Change(*one) for one in decided.changes))
         taken = taken_orders.Taken(command.version, command.digest, revision.text())
-        event = ConfigurationTaken(changed, taken, decided.kept, decided.orders)
+        event = ConfigurationTaken(resources_changed, taken, decided.kept, decided.orders)
         return (event,), operator_configuration.Applied(revision.text(), len(decided.changes), False)
 
     def decide_write(self, command: WriteResources, epoch: int) -> tuple[tuple, object]:
-        """A plan write, checked whole before anything is stored."""
-        single = command.way in ("put", "delete")
+        """Decide on a write to the plan, which is fully validated before anything is stored."""
+        is_single = command.way in ("put", "delete")
         if command.condition is not None:
             path = f"{command.kind}/{command.name}"
-            held = revision_of(self.revisions.get(path, NEVER.text())) if single else self.revision
-            if held != command.condition:
-                raise result.RequestError(result.ResultCode.REVISION_DIFFERS, detail=f"it is {held.text()}")
-        fresh = self.after(command)
-        changes = self.changes_of(command, fresh)
-        faults = resources.check(fresh, tuple((kind, name) for kind, name, _ in changes))
+            current = revision_of(self.revisions.get(path, NEVER.text())) if is_single else self.revision
+            if current != command.condition:
+                raise result.RequestError(
+                    result.ResultCode.REVISION_DIFFERS, detail=f"the current revision is {current.text()}"
+                )
+        new_document = self.after(command)
+        changes = self.changes_of(command, new_document)
+        faults = resources.check(new_document, tuple((kind, name) for kind, name, _ in changes))
         if faults:
             raise result.RequestError(
                 result.ResultCode.PLAN_INVALID, detail=json.dumps([dataclasses.asdict(one) for one in faults])
@@ -253,30 +262,30 @@
         return (event,), ResourcesWritten(revision, len(changes))
 
     async def look_ahead(self, command: WriteResources) -> None:
-        """Check what a write would change in slices, so that deciding it holds the loop for a moment only."""
+        """Validate the changes of a write in slices, so that deciding it later blocks the event loop only briefly."""
         try:
-            fresh = self.after(command)
-            changes = () if resources.crowded(fresh) else self.changes_of(command, fresh)
+            new_document = self.after(command)
+            changes = () if resources.crowded(new_document) else self.changes_of(command, new_document)
         except result.RequestError:
             return
-        for place, (kind, name, text) in enumerate(changes):
+        for position, (kind, name, text) in enumerate(changes):
             if text:
                 resources.check_one(kind, name, text)
-            if place % SLICE == SLICE - 1:
+            if position % CHECKS_PER_SLICE == CHECKS_PER_SLICE - 1:
                 await clock.sleep(clock.ZERO)
 
-    def changes_of(self, command: WriteResources, fresh: dict) -> tuple[tuple[str, str, str], ...]:
-        """The resources that a write would change; one resource's write looks at no other."""
+    def changes_of(self, command: WriteResources, new_document: dict) -> tuple[tuple[str, str, str], ...]:
+        """Return the resources that a write would change; a write of one resource compares only that one."""
         if command.way not in ("put", "delete"):
-            return resources.differences(self.document, fresh)
-        held, wanted = (whole.get(command.kind, {}) for whole in (self.document, fresh))
+            return resources.differences(self.document, new_document)
+        old_group, new_group = (plan.get(command.kind, {}) for plan in (self.document, new_document))
         return resources.differences(
-            {command.kind: {name: spec for name, spec in held.items() if name == command.name}},
-            {command.kind: {name: spec for name, spec in wanted.items() if name == command.name}},
+            {command.kind: {name: spec for name, spec in old_group.items() if name == command.name}},
+            {command.kind: {name: spec for name, spec in new_group.items() if name == command.name}},
         )
 
     def after(self, command: WriteResources) -> dict:
-        """The whole plan as it would be after a write."""
+        """Return the whole plan as it would be after a write."""
         body: typing.Any = json.loads(command.body) if command.body else None
         if command.way == "whole":
             return body
@@ -292,7 +301,7 @@
         return {**self.document, command.kind: group}
 
     def decide_role(self, command: AcquireRole, now: datetime.timedelta) -> tuple[tuple, object]:
-        """A duty is handed to another only once its holder's claim ran out; each time under a new epoch."""
+        """Grant a singleton role to another node only after its holder's lease has expired, under a new epoch."""
         held = self.duties.get(command.duty)
         if held is not None and (held.holder, held.incarnation) == (command.holder, command.incarnation):
             self.claims[command.duty] = now + ROLE_LEASE
@@ -303,12 +312,12 @@
                 detail=f"{held.holder} holds {command.duty}",
                 retry=self.claims[command.duty] - now,
             )
-        taken = RoleAcquired(command.duty, held.epoch + 1 if held else 1, command.holder, command.incarnation)
+        acquired = RoleAcquired(command.duty, held.epoch + 1 if held else 1, command.holder, command.incarnation)
         self.claims[command.duty] = now + ROLE_LEASE
-        return (taken,), taken
+        return (acquired,), acquired
 
     def apply(self, event: Event) -> None:
-        """Take an event in."""
+        """Apply an event of the log."""
         if isinstance(event, RoleAcquired):
             self.duties[event.duty] = event
         elif isinstance(event, ConfigurationTaken):
@@ -320,77 +329,77 @@
             self.fold_changes(event)
 
     def fold_changes(self, event: ResourcesChanged) -> None:
-        """Take changed resources in, and remember the step that leads there."""
-        text = event.revision.text()
+        """Apply changed resources, and keep the patch that leads to the new revision."""
+        revision_text = event.revision.text()
         patch: dict = {"plan": {}, "revisions": {}, "version": self.configuration.version}
         for change in event.changes:
             group = self.document.setdefault(change.kind, {})
-            path, held = f"{change.kind}/{change.name}", group.get(change.name)
-            patched = patch["plan"].setdefault(change.kind, {})
+            path, previous = f"{change.kind}/{change.name}", group.get(change.name)
+            group_patch = patch["plan"].setdefault(change.kind, {})
             if change.spec:
                 spec = group[change.name] = msgspec.json.decode(change.spec)
-                patched[change.name] = spec if held is None else resources.patch_between(held, spec)
-                self.revisions[path] = patch["revisions"][path] = text
+                group_patch[change.name] = spec if previous is None else resources.patch_between(previous, spec)
+                self.revisions[path] = patch["revisions"][path] = revision_text
             else:
                 group.pop(change.name, None)
                 self.revisions.pop(path, None)
-                patched[change.name] = patch["revisions"][path] = None
+                group_patch[change.name] = patch["revisions"][path] = None
             if change.kind == resources.HTTP_ROUTES:
                 if change.spec:
                     self.index.put(change.name, spec)
                 else:
                     self.index.drop(change.name)
         self.steps[self.revision] = (event.revision, patch)
-        while len(self.steps) > STEPS:
+        while len(self.steps) > MAX_PATCHES:
             del self.steps[next(iter(self.steps))]
         self.revision = event.revision
 
     def due(self, now: datetime.timedelta, gone: collections.abc.Callable[[str], bool]) -> tuple:
-        """No clock events here."""
+        """Return no events: nothing here depends on the clock."""
         return ()
 
     def reset_clocks(self) -> None:
-        """This node is the primary no more: claims that it saw renewed count for nothing if it is one again."""
+        """Drop the role leases when this node stops being primary: they are out of date if it becomes primary again."""
         self.claims = {}
 
     def snapshot(self) -> bytes:
-        """All of it as bytes."""
-        duties = [dataclasses.asdict(one) for one in self.duties.values()]
+        """Return the whole state as bytes."""
+        roles = [dataclasses.asdict(role) for role in self.duties.values()]
         return json.dumps(
             {
                 "revision": self.revision.text(),
                 "document": self.document,
                 "revisions": self.revisions,
-                "duties": duties,
+                "duties": roles,
                 "configuration": self.configuration.snapshot(),
             }
         ).encode()
 
     def snapshot_parts(self) -> collections.abc.Iterator[bytes]:
-        """The snapshot, in one part: a plan is bounded."""
+        """Return the snapshot in a single part, as the size of a plan is bounded."""
         return iter([self.snapshot()])
 
     def size(self) -> int:
-        """How much a snapshot holds."""
+        """Return 0: the state is not counted in entries."""
         return 0
 
     def payload_bytes(self) -> int:
-        """Bytes of what callers sent; the control group holds none.
+        """Return the bytes of callers' payloads, of which the control group holds none.
 
         Example: ``ControlState().payload_bytes() == 0``
         """
         return 0
 
     def limit_payload(self, most: int) -> None:
-        """Nothing to bound: the control group holds nothing of what callers send."""
+        """Do nothing: the control group holds no payloads of callers."""
 
     def restore(self, body: bytes) -> None:
-        """Become what a snapshot shows."""
-        shown = json.loads(body)
-        self.revision = revision_of(shown["revision"])
-        self.document, self.revisions = shown["document"], shown["revisions"]
-        self.duties = {one["duty"]: RoleAcquired(**one) for one in shown["duties"]}
-        self.configuration.restore(shown["configuration"])
+        """Replace the state with that of a snapshot."""
+        fields = json.loads(body)
+        self.revision = revision_of(fields["revision"])
+        self.document, self.revisions = fields["document"], fields["revisions"]
+        self.duties = {role["duty"]: RoleAcquired(**role) for role in fields["duties"]}
+        self.configuration.restore(fields["configuration"])
         self.steps, self.index = {}, http_route.Index()
         for name, spec in self.document.get(resources.HTTP_ROUTES, {}).items():
             self.index.put(name, spec)
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -1,4 +1,4 @@
-"""The plan: all named resources that operators write, checked whole, with typed views."""
+"""The plan: the set of all named resources that operators write, with its validation and its typed form."""
 
 import collections.abc
 import dataclasses
@@ -47,13 +47,13 @@
     HTTP_ROUTES: http_route.faults,
     TENANTS: tenant.faults,
 }
-"""How a resource of a kind without a schema is checked on its own, given as JSON."""
+"""Validators for the kinds that have no voluptuous schema; each takes one resource as JSON text."""
 RESOURCE_NAME = voluptuous.Schema(voluptuous.All(str, voluptuous.Match(r"^[A-Za-z0-9\[][A-Za-z0-9._:\[\]-]{0,95}\Z")))
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """One fault of a plan: where it is and what is wrong."""
+    """A validation error in a plan: the path of the faulty value and what is wrong with it."""
 
     path: str
     meaning: str
@@ -63,29 +63,29 @@
 class DrainOrder:
     """An order to drain the machine at an address.
 
-    ``name`` is the machine's when the order was given, empty where only its address was marked; ``is_completed`` tells
-    that somebody was told that the machine is drained, and may have taken it away.
+    ``name`` is the name that the machine had when the order was given, or empty if the order names only an address.
+    ``is_completed`` is set once an operator was told that the machine is drained; the machine may be gone since then.
     """
 
     name: str
     is_completed: bool
 
     def is_for(self, name: str) -> bool:
-        """Whether the order is for a machine of this name, as far as its address does not tell."""
+        """Whether the order applies to a machine of this name; an order without a name applies to any."""
         return self.name in ("", name)
 
     def holds_for_new_disk(self, name: str) -> bool:
-        """Whether the order is for a machine of this name that comes to its address with an empty disk.
+        """Whether the order still applies to a machine of this name that starts at the address with an empty disk.
 
-        Then the disk of the ordered machine was lost. Once somebody was told that this one is drained, an empty disk
-        is another machine's.
+        Before the order is completed, an empty disk means that the machine to be drained lost its disk. Afterwards
+        it means that a different machine has taken over the address.
         """
         return self.is_for(name) and not self.is_completed
 
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """The plan as nodes use it."""
+    """The typed plan that nodes work with."""
 
     services: dict[str, service.Service]
     lanes: dict[str, lane.Lane]
@@ -104,20 +104,20 @@
 
     @property
     def drained(self) -> collections.abc.Set[str]:
-        """The addresses of machines that are to hold no replicas."""
+        """The addresses of machines that must not hold replicas."""
         return self.drain_orders.keys()
 
     def allowed(self, lane_name: str, tool: str) -> tuple[str, ...]:
-        """The services that a lane's call may go to now, for a tool or in general."""
-        whole = self.lanes[lane_name].services
-        current = self.lane_routes.get((lane_name, tool)) or self.lane_routes.get((lane_name, ""))
-        if current is None:
-            return whole
-        return tuple(one for one in current.services if one in whole)
+        """The services that a call of a lane may currently use, for a tool or, with an empty tool, in general."""
+        lane_services = self.lanes[lane_name].services
+        route = self.lane_routes.get((lane_name, tool)) or self.lane_routes.get((lane_name, ""))
+        if route is None:
+            return lane_services
+        return tuple(name for name in route.services if name in lane_services)
 
 
 def check(document: dict, changed: tuple[tuple[str, str], ...] | None = None) -> tuple[Fault, ...]:
-    """All faults of a plan; given changed resources, only those are checked on their own."""
+    """Validate a plan; if changed resources are given, only those are validated one by one."""
     faults = [Fault(kind, "unknown kind of resource") for kind in document if kind not in SCHEMAS]
     if crowded(document):
         return (Fault("", f"more than {MOST_RESOURCES} resources"),)
@@ -139,7 +139,7 @@
 
 
 def is_machine_name(name: str) -> bool:
-    """Whether a resource can bear a machine's name without being taken for that of an address.
+    """Whether a machine's name is valid as a resource name and cannot be mistaken for an address.
 
     Example: ``is_machine_name("storage-1") and not is_machine_name("storage-1:7300")``
     """
@@ -151,12 +151,12 @@
 
 
 def crowded(document: dict) -> bool:
-    """Whether a document holds more resources than may be."""
+    """Whether a document exceeds the maximum number of resources."""
     return sum(len(group) for group in document.values() if isinstance(group, dict)) > MOST_RESOURCES
 
 
 def check_anew(kind: str, name: str, text: str) -> tuple[Fault, ...]:
-    """The faults of one resource on its own, given as JSON."""
+    """Validate error_item resource, given as JSON, without looking at any other."""
     typed_faults = TYPED_FAULTS.get(kind)
     faults = [
         Fault("/".join([kind, name, path]).rstrip("/"), meaning)
@@ -169,45 +169,45 @@
         try:
             schema(value)
         except voluptuous.MultipleInvalid as error:
-            for one in error.errors:
-                path = "/".join([kind, name, *[str(part) for part in one.path]])
-                faults.append(Fault(path, one.msg))
+            for error_item in error.errors:
+                path = "/".join([kind, name, *[str(part) for part in error_item.path]])
+                faults.append(Fault(path, error_item.msg))
     return tuple(faults)
 
 
 @functools.lru_cache(CHECKS_KEPT)
 def check_one(kind: str, name: str, text: str) -> tuple[Fault, ...]:
-    """The faults of one resource, kept, as a write is checked ahead in slices."""
+    """Validate one resource through a cache, which is filled in slices before a write is decided."""
     return check_anew(kind, name, text)
 
 
 def references(document: dict) -> list[Fault]:
-    """The faults between resources: names that no resource bears."""
+    """Validate references between resources, such as names of resources that do not exist."""
     faults = []
     services, lanes = document.get("services", {}), document.get("lanes", {})
     for name, spec in services.items():
         if spec.get("base") and spec["base"] not in services:
             faults.append(Fault(f"services/{name}/base", f"no service {spec['base']}"))
     for name, spec in lanes.items():
-        for place, one in enumerate(spec["services"]):
-            if one not in services:
-                faults.append(Fault(f"lanes/{name}/services/{place}", f"no service {one}"))
-    held: dict[tuple[str, str], str] = {}
+        for position, service_name in enumerate(spec["services"]):
+            if service_name not in services:
+                faults.append(Fault(f"lanes/{name}/services/{position}", f"no service {service_name}"))
+    route_by_target: dict[tuple[str, str], str] = {}
     for name, spec in document.get("routes", {}).items():
         if spec["lane"] not in lanes:
             faults.append(Fault(f"routes/{name}/lane", f"no lane {spec['lane']}"))
             continue
-        other = held.setdefault((spec["lane"], spec.get("tool", "")), name)
-        if other != name:
-            faults.append(Fault(f"routes/{name}/tool", f"route {other} is for the same lane and tool"))
-        for place, one in enumerate(spec["services"]):
-            if one not in lanes[spec["lane"]]["services"]:
-                faults.append(Fault(f"routes/{name}/services/{place}", f"the lane does not allow {one}"))
-    for kind, only in (("limits", limits.EDGE), (ACCESS, tenant.ACCESS)):
+        other_name = route_by_target.setdefault((spec["lane"], spec.get("tool", "")), name)
+        if other_name != name:
+            faults.append(Fault(f"routes/{name}/tool", f"route {other_name} is for the same lane and tool"))
+        for position, service_name in enumerate(spec["services"]):
+            if service_name not in lanes[spec["lane"]]["services"]:
+                faults.append(Fault(f"routes/{name}/services/{position}", f"the lane does not allow {service_name}"))
+    for kind, only_name in (("limits", limits.EDGE), (ACCESS, tenant.ACCESS)):
         faults.extend(
-            Fault(f"{kind}/{name}", f"the only {kind} resource is {only}")
+            Fault(f"{kind}/{name}", f"the only {kind} resource is {only_name}")
             for name in document.get(kind, {})
-            if name != only
+            if name != only_name
         )
     faults.extend(
         Fault(f"{TENANTS}/{path}", meaning) for path, meaning in tenant.shared_keys(document.get(TENANTS, {}))
@@ -216,7 +216,7 @@
 
 
 def route_references(document: dict) -> list[Fault]:
-    """The faults between HTTP routes, and between them and services.
+    """Validate HTTP routes against each other and against the services that they name.
 
     Example: ``route_references({"http_routes": {}}) == []``
     """
@@ -225,7 +225,7 @@
 
 
 def of(document: dict, version: int = 0) -> Configuration:
-    """The typed plan of a checked document; the version is the operator's own, 0 when there is none.
+    """Return the typed plan of a valid document; the version is the operator's own, 0 if there is none.
 
     Example: ``of({}).lanes == {}``
     """
@@ -233,83 +233,86 @@
 
 
 def after(before: Configuration, document: dict, patch: dict, version: int) -> Configuration:
-    """The typed plan of a document that differs from another by a merge patch; its cost follows what the
-    patch names.
+    """Return the typed plan of a document that differs from the previous route by a merge patch.
+
+    The cost depends on what the patch names.
     """
-    fresh: dict = {"version": version}
+    fields: dict = {"version": version}
 
-    def named(kind: str, make: collections.abc.Callable) -> dict:
-        return {name: make(name, spec) for name, spec in document.get(kind, {}).items()}
+    def typed_by_name(kind: str, parse: collections.abc.Callable) -> dict:
+        return {name: parse(name, spec) for name, spec in document.get(kind, {}).items()}
 
-    def marked(kind: str, field: str) -> frozenset[str]:
+    def names_with_flag(kind: str, field: str) -> frozenset[str]:
         return frozenset(name for name, spec in document.get(kind, {}).items() if spec.get(field))
 
     if "services" in patch:
-        fresh["services"] = named("services", service.of)
+        fields["services"] = typed_by_name("services", service.of)
     if "lanes" in patch:
-        fresh["lanes"] = named("lanes", lane.of)
+        fields["lanes"] = typed_by_name("lanes", lane.of)
     if "routes" in patch:
-        fresh["lane_routes"] = {(one.lane, one.tool): one for one in named("routes", lane_route.of).values()}
+        fields["lane_routes"] = {
+            (route.lane, route.tool): route for route in typed_by_name("routes", lane_route.of).values()
+        }
     if "workers" in patch:
-        fresh["leaving"] = marked("workers", "leaving")
+        fields["leaving"] = names_with_flag("workers", "leaving")
     if "machines" in patch:
-        fresh["drain_orders"] = {
+        fields["drain_orders"] = {
             address: DrainOrder(spec.get("name", ""), spec.get("completed", False))
             for address, spec in document.get("machines", {}).items()
             if spec.get("emptied")
         }
     if "seeds" in patch:
-        fresh["seeds"] = tuple(document.get("seeds", {}).get("control", {}).get("addresses", []))
+        fields["seeds"] = tuple(document.get("seeds", {}).get("control", {}).get("addresses", []))
     if "rules" in patch:
-        fresh["rules"] = named("rules", alert_rule.of)
-    fresh.update(caller_fields_after(before, document, patch))
-    return dataclasses.replace(before, **fresh)
+        fields["rules"] = typed_by_name("rules", alert_rule.of)
+    fields.update(caller_fields_after(before, document, patch))
+    return dataclasses.replace(before, **fields)
 
 
 def caller_fields_after(before: Configuration, document: dict, patch: dict) -> dict[str, typing.Any]:
-    """The fields of a plan about callers and their routes, as far as a merge patch names them."""
-    fresh: dict[str, typing.Any] = {}
+    """Return the fields for callers and their routes that a merge patch changes."""
+    fields: dict[str, typing.Any] = {}
     if "limits" in patch:
-        fresh["limits"] = limits.of(document.get("limits", {}).get(limits.EDGE, {}))
+        fields["limits"] = limits.of(document.get("limits", {}).get(limits.EDGE, {}))
     if HTTP_ROUTES in patch:
-        found = routes_after(before, document.get(HTTP_ROUTES, {}), patch[HTTP_ROUTES])
-        fresh["http_routes"], fresh["route_table"] = found
+        routes_and_table = routes_after(before, document.get(HTTP_ROUTES, {}), patch[HTTP_ROUTES])
+        fields["http_routes"], fields["route_table"] = routes_and_table
     if TENANTS in patch:
-        fresh["tenants"], fresh["key_table"] = tenants_after(before, document.get(TENANTS, {}), patch[TENANTS])
+        fields["tenants"], fields["key_table"] = tenants_after(before, document.get(TENANTS, {}), patch[TENANTS])
     if ACCESS in patch:
-        fresh["keys_required"] = document.get(ACCESS, {}).get(tenant.ACCESS, {}).get("keys_required", False)
-    return fresh
+        fields["keys_required"] = document.get(ACCESS, {}).get(tenant.ACCESS, {}).get("keys_required", False)
+    return fields
 
 
 def routes_after(
-    before: Configuration, group: dict, patched: dict | None
+    before: Configuration, group: dict, patch: dict | None
 ) -> tuple[dict[str, http_route.HttpRoute], route_table.RouteTable]:
-    """HTTP routes and their table once those that a patch names are as a document has them; none: all of them."""
+    """Return the HTTP routes and their table after a patch; without a patch all routes are replaced."""
     routes = dict(before.http_routes)
-    names = patched if patched is not None else {**routes, **group}
-    gone = [routes.pop(name) for name in names if name in routes]
-    come = [http_route.of(name, group[name]) for name in names if name in group]
-    routes.update((one.name, one) for one in come)
-    return routes, before.route_table.changed(gone, come)
+    names = patch if patch is not None else {**routes, **group}
+    removed = [routes.pop(name) for name in names if name in routes]
+    added = [http_route.of(name, group[name]) for name in names if name in group]
+    routes.update((route.name, route) for route in added)
+    return routes, before.route_table.changed(removed, added)
 
 
 def tenants_after(
-    before: Configuration, group: dict, patched: dict | None
+    before: Configuration, group: dict, patch: dict | None
 ) -> tuple[dict[str, tenant.Tenant], tenant.KeyTable]:
-    """Tenants and their keys once those that a patch names are as a document has them; none: all of them."""
+    """Return the tenants and their keys after a patch; without a patch all tenants are replaced."""
     tenants = dict(before.tenants)
-    names = patched if patched is not None else {**tenants, **group}
-    gone = [tenants.pop(name) for name in names if name in tenants]
-    come = [tenant.of(name, group[name]) for name in names if name in group]
-    tenants.update((one.name, one) for one in come)
-    return tenants, before.key_table.changed(gone, come)
+    names = patch if patch is not None else {**tenants, **group}
+    removed = [tenants.pop(name) for name in names if name in tenants]
+    added = [tenant.of(name, group[name]) for name in names if name in group]
+    tenants.update((tenant_added.name, tenant_added) for tenant_added in added)
+    return tenants, before.key_table.changed(removed, added)
 
 
 EMPTY = Configuration({}, {}, {}, frozenset(), {}, (), {}, {}, route_table.EMPTY, limits.of({}), {}, tenant.NO_KEYS)
 
 
 def patch_between(old: dict, new: dict) -> dict:
-    """The merge patch that makes one object of names into another.
+    """Return the JSON merge patch that turns one object into another.
 
     Example: ``patch_between({"a": 1}, {"b": 2}) == {"a": None, "b": 2}``
     """
@@ -318,13 +321,13 @@
         if key not in old:
             patch[key] = value
         elif old[key] is not value and old[key] != value:
-            both = isinstance(value, dict) and isinstance(old[key], dict)
-            patch[key] = patch_between(old[key], value) if both else value
+            are_objects = isinstance(value, dict) and isinstance(old[key], dict)
+            patch[key] = patch_between(old[key], value) if are_objects else value
     return patch
 
 
 def merge(target: typing.Any, patch: typing.Any) -> typing.Any:
-    """A JSON merge patch applied.
+    """Apply a JSON merge patch.
 
     Example: ``merge({"a": 1, "b": 2}, {"a": None}) == {"b": 2}``
     """
@@ -340,19 +343,21 @@
 
 
 def differences(old: dict, new: dict) -> tuple[tuple[str, str, str], ...]:
-    """Resources that differ, as kind, name and specification; an empty one means removed.
+    """Return the resources that differ as kind, name and specification; an empty specification means removed.
 
     Example: ``differences({}, {"lanes": {"a": {}}}) == (("lanes", "a", "{}"),)``
     """
-    found = []
+    changes = []
     for kind in SCHEMAS:
-        held, wanted = old.get(kind, {}), new.get(kind, {})
-        if not isinstance(wanted, dict) or held is wanted:
+        old_group, new_group = old.get(kind, {}), new.get(kind, {})
+        if not isinstance(new_group, dict) or old_group is new_group:
             continue
-        differing = [
-            name for name, spec in wanted.items() if name not in held or (held[name] is not spec and held[name] != spec)
+        changed_names = [
+            name
+            for name, spec in new_group.items()
+            if name not in old_group or (old_group[name] is not spec and old_group[name] != spec)
         ]
-        differing.extend(name for name in held if name not in wanted)
-        for name in sorted(differing):
-            found.append((kind, name, json.dumps(wanted[name], sort_keys=True) if name in wanted else ""))
-    return tuple(found)
+        changed_names.extend(name for name in old_group if name not in new_group)
+        for name in sorted(changed_names):
+            changes.append((kind, name, json.dumps(new_group[name], sort_keys=True) if name in new_group else ""))
+    return tuple(changes)
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -192,8 +192,8 @@
     Mutation(
         "the lane's services are not looked at",
         "configuration/resources.py",
-        "        whole = self.lanes[lane_name].services\n",
-        "        whole = tuple(self.services)\n",
+        "        lane_services = self.lanes[lane_name].services\n",
+        "        lane_services = tuple(self.services)\n",
         ("simulation/plans_test.py", "configuration/resources_test.py"),
     ),
     Mutation(
