--- a/aspencroft/configuration/http_route.py
+++ b/aspencroft/configuration/http_route.py
@@ -1,4 +1,4 @@
-"""An HTTP route: requests of a host under a path prefix, and what may be done with them."""
+"""HTTP routes: how requests to a host under a path prefix are forwarded, retried and retained."""
 
 import collections
 import collections.abc
@@ -12,27 +12,27 @@
 NON_IDEMPOTENT: typing.Final = "non_idempotent"
 KEYED: typing.Final = "keyed"
 STREAM: typing.Final = "stream"
-LONGEST = 10_000 * 86400
+MAX_SECONDS = 10_000 * 86400
 NAME = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=96)]
-SECONDS = typing.Annotated[float, msgspec.Meta(ge=0, le=LONGEST)]
+SECONDS = typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_SECONDS)]
 COUNT = typing.Annotated[int, msgspec.Meta(ge=1, le=1 << 50)]
 
 
 class TargetSpec(msgspec.Struct, forbid_unknown_fields=True):
-    """A target as it is written: a service and its weight among the targets."""
+    """A target as operators write it: a service and its weight among the targets."""
 
     service: NAME
     weight: typing.Annotated[float, msgspec.Meta(ge=0, le=1e12)] = 1.0
 
 
 class Spec(msgspec.Struct, forbid_unknown_fields=True):
-    """A route as it is written; times are in seconds, and a gap or aim of 0 says that there is none."""
+    """A route as operators write it; times are in seconds, and a gap or aim of 0 means that there is none."""
 
     host: typing.Annotated[str, msgspec.Meta(max_length=300, pattern=r"^[^\s/]+\Z")]
     prefix: typing.Annotated[str, msgspec.Meta(max_length=8192, pattern=r"(?s)^/(.*/)?\Z")]
     targets: typing.Annotated[list[TargetSpec], msgspec.Meta(min_length=1, max_length=1024)]
     kind: typing.Literal["safe", "non_idempotent", "keyed", "stream"] = NON_IDEMPOTENT
-    timeout: typing.Annotated[float, msgspec.Meta(gt=0, le=LONGEST)] = 30.0
+    timeout: typing.Annotated[float, msgspec.Meta(gt=0, le=MAX_SECONDS)] = 30.0
     aim: SECONDS = 0.0
     rank: typing.Annotated[int, msgspec.Meta(ge=0, le=1 << 30)] = 0
     attempts: typing.Annotated[int, msgspec.Meta(ge=1, le=1 << 30)] = 1
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a route's requests go to, in proportion to its weight among the route's targets."""
+    """A service that receives a share of a route's requests, in proportion to its weight."""
 
     service: str
     weight: float
@@ -54,12 +54,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpRoute:
-    """A route, checked and typed.
+    """A valid route in typed form.
 
-    ``rank`` 0 is the most urgent; ``attempts`` is the most workers that one attempt of a caller may be sent to;
-    ``timeout`` the longest that it is held, ``aim`` the time within which an answer is worth most, ``keep`` how
-    long retained turns last, ``gap`` the longest good pause between two events. An aim or gap of zero: none.
-    ``public``: a caller needs no API key.
+    ``rank``: priority, 0 is the most urgent. ``attempts``: the maximum number of workers to which one attempt of a
+    caller is sent. ``timeout``: the longest time for which an attempt is held. ``aim``: the target latency, 0 for
+    none. ``keep``: how long retained turns are kept. ``gap``: the longest acceptable pause between two events of a
+    stream, 0 for none. ``public``: callers need no API key.
     """
 
     name: str
@@ -79,12 +79,12 @@
     public: bool = False
 
     def services(self) -> tuple[str, ...]:
-        """The services that requests may go to: targets whose weight is above 0."""
-        return tuple(one.service for one in self.targets if one.weight > 0)
+        """Return the services that receive requests: the targets whose weight is above 0."""
+        return tuple(target.service for target in self.targets if target.weight > 0)
 
 
 def faults(text: str) -> list[tuple[str, str]]:
-    """The faults of one route on its own, given as JSON: path within it, and meaning.
+    """Validate one route, given as JSON; return the path within the route and the meaning of each fault.
 
     Example: ``faults('{"host": "a", "prefix": "/", "targets": []}')[0][0] == "targets"``
     """
@@ -93,40 +93,40 @@
     except msgspec.DecodeError as error:
         meaning, _, path = str(error).partition(" - at `$")
         return [(path.rstrip("`").strip(".").replace("[", "/").replace("]", "").replace(".", "/"), meaning)]
-    found = []
-    if sum(one.weight for one in spec.targets) <= 0:
-        found.append(("targets", "the weights add up to 0"))
-    return found
+    faults_found = []
+    if sum(target.weight for target in spec.targets) <= 0:
+        faults_found.append(("targets", "the weights add up to 0"))
+    return faults_found
 
 
 def of(name: str, spec: dict) -> HttpRoute:
-    """The typed route of a checked resource."""
-    full = msgspec.convert(spec, Spec)
+    """Return the typed route of a valid resource."""
+    complete_spec = msgspec.convert(spec, Spec)
 
-    def span(count: float) -> datetime.timedelta:
+    def to_timedelta(count: float) -> datetime.timedelta:
         return datetime.timedelta(seconds=count)
 
     return HttpRoute(
         name,
-        full.host,
-        full.prefix,
-        full.kind,
-        tuple(Target(one.service, one.weight) for one in full.targets),
-        span(full.timeout),
-        span(full.aim),
-        full.rank,
-        full.attempts,
-        full.retained,
-        span(full.keep),
-        full.affinity,
-        full.resumable,
-        span(full.gap),
-        full.public,
+        complete_spec.host,
+        complete_spec.prefix,
+        complete_spec.kind,
+        tuple(Target(target.service, target.weight) for target in complete_spec.targets),
+        to_timedelta(complete_spec.timeout),
+        to_timedelta(complete_spec.aim),
+        complete_spec.rank,
+        complete_spec.attempts,
+        complete_spec.retained,
+        to_timedelta(complete_spec.keep),
+        complete_spec.affinity,
+        complete_spec.resumable,
+        to_timedelta(complete_spec.gap),
+        complete_spec.public,
     )
 
 
 def bare(host: str) -> str:
-    """A host without its port, in lower case.
+    """Return a host without its port, in lower case.
 
     Example: ``bare("A.example:80") == "a.example"``
     """
@@ -135,7 +135,10 @@
 
 
 class Index:
-    """Where routes lie and which services they use: what must agree between routes, kept up change by change."""
+    """An incremental index of routes by host and prefix, and of the services that they use.
+
+    It finds faults between routes at a cost that depends on the change only.
+    """
 
     def __init__(self) -> None:
         self.places: dict[tuple[str, str], str] = {}
@@ -143,23 +146,23 @@
         self.uses: collections.Counter = collections.Counter()
 
     def put(self, name: str, spec: dict) -> None:
-        """Take a checked route in, in the place of one of the same name."""
+        """Add a valid route, or replace the one of the same name."""
         self.drop(name)
-        place, services = outline(spec)
-        self.routes[name] = (place, services)
-        self.places[place] = name
+        location, services = outline(spec)
+        self.routes[name] = (location, services)
+        self.places[location] = name
         self.uses.update(services)
 
     def drop(self, name: str) -> None:
-        """Forget a route, if there is one of that name."""
-        place, services = self.routes.pop(name, (None, ()))
-        if place is not None:
-            if self.places.get(place) == name:
-                del self.places[place]
-            for one in services:
-                self.uses[one] -= 1
-                if not self.uses[one]:
-                    del self.uses[one]
+        """Remove a route, if there is one of that name."""
+        location, services = self.routes.pop(name, (None, ()))
+        if location is not None:
+            if self.places.get(location) == name:
+                del self.places[location]
+            for service in services:
+                self.uses[service] -= 1
+                if not self.uses[service]:
+                    del self.uses[service]
 
     def faults(
         self,
@@ -168,37 +171,38 @@
         known: collections.abc.Callable[[str], bool],
         lost: collections.abc.Iterable[str],
     ) -> list[tuple[str, str]]:
-        """The faults that a change would bring: path and meaning; its cost follows the change, not the routes held.
+        """Return the path and meaning of each fault that a change would cause.
 
-        ``known`` tells whether a service is there after the change, ``lost`` names those that go with it.
+        The cost depends on the size of the change, not on the number of routes. ``known`` tells whether a service
+        exists after the change; ``lost`` names the services that the change removes.
         """
-        found: list[tuple[str, str]] = []
-        taken: dict[tuple[str, str], str] = {}
-        fewer: collections.Counter = collections.Counter()
+        faults_found: list[tuple[str, str]] = []
+        new_locations: dict[tuple[str, str], str] = {}
+        released_uses: collections.Counter = collections.Counter()
         for name in {*put, *dropped}:
-            fewer.update(self.routes.get(name, (None, ()))[1])
+            released_uses.update(self.routes.get(name, (None, ()))[1])
         for name, spec in put.items():
-            place, services = outline(spec)
-            for number, one in enumerate(services):
-                if not known(one):
-                    found.append((f"{name}/targets/{number}/service", f"no service {one}"))
-            other = taken.setdefault(place, name)
-            held = self.places.get(place, name)
-            if other == name and held != name and held not in dropped and held not in put:
-                other = held
-            if other != name:
-                found.append((f"{name}/prefix", f"route {other} has the same host and prefix"))
-        for one in lost:
-            if self.uses[one] > fewer[one]:
+            location, services = outline(spec)
+            for position, service in enumerate(services):
+                if not known(service):
+                    faults_found.append((f"{name}/targets/{position}/service", f"no service {service}"))
+            other_name = new_locations.setdefault(location, name)
+            holder = self.places.get(location, name)
+            if other_name == name and holder != name and holder not in dropped and holder not in put:
+                other_name = holder
+            if other_name != name:
+                faults_found.append((f"{name}/prefix", f"route {other_name} has the same host and prefix"))
+        for service in lost:
+            if self.uses[service] > released_uses[service]:
                 using = next(
                     name
                     for name, (_, services) in self.routes.items()
-                    if one in services and name not in put and name not in dropped
+                    if service in services and name not in put and name not in dropped
                 )
-                found.append((f"{using}/targets", f"no service {one}"))
-        return found
+                faults_found.append((f"{using}/targets", f"no service {service}"))
+        return faults_found
 
 
 def outline(spec: dict) -> tuple[tuple[str, str], tuple[str, ...]]:
-    """A checked route's place and the services that it names."""
+    """Return the host and prefix of a valid route, and the services that it names."""
     return (bare(spec["host"]), spec["prefix"]), tuple(one["service"] for one in spec["targets"])
--- a/aspencroft/configuration/lane.py
+++ b/aspencroft/configuration/lane.py
@@ -1,4 +1,4 @@
-"""A lane: what one kind of program may use, how urgent it is, how long its history is kept."""
+"""Lanes: a class of programs with the services they may use, their urgency and their retention time."""
 
 import dataclasses
 import datetime
@@ -25,7 +25,7 @@
 
 
 def defaults_of(schema: voluptuous.Schema) -> dict:
-    """The fields that a specification may leave out, with their values.
+    """Return the optional fields of a schema with their default values.
 
     Example: ``defaults_of(SCHEMA)["urgency"] == 5``
     """
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Lane:
-    """A lane's wish, checked and typed."""
+    """A valid lane in typed form."""
 
     name: str
     kind: str
@@ -55,19 +55,19 @@
 
 
 def of(name: str, spec: dict) -> Lane:
-    """The typed lane of a resource that was checked when it was written.
+    """Return the typed lane of a resource that was validated when it was written.
 
     Example: ``of("alert", {"kind": "signal", "services": ["notice"]}).repeatable is False``
     """
-    full = {**DEFAULTS, **spec}
+    complete_spec = {**DEFAULTS, **spec}
     return Lane(
         name,
-        full["kind"],
-        tuple(full["services"]),
-        full["urgency"],
-        datetime.timedelta(seconds=full["deadline"]),
-        datetime.timedelta(seconds=full["keep"]),
-        full["budget"],
-        full["turn_output"],
-        full["repeatable"],
+        complete_spec["kind"],
+        tuple(complete_spec["services"]),
+        complete_spec["urgency"],
+        datetime.timedelta(seconds=complete_spec["deadline"]),
+        datetime.timedelta(seconds=complete_spec["keep"]),
+        complete_spec["budget"],
+        complete_spec["turn_output"],
+        complete_spec["repeatable"],
     )
--- a/aspencroft/configuration/lane_route.py
+++ b/aspencroft/configuration/lane_route.py
@@ -1,4 +1,4 @@
-"""A lane route: which of a lane's services serve a tool at present."""
+"""Lane routes: which of a lane's services currently serve the calls of a tool."""
 
 import dataclasses
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LaneRoute:
-    """Where calls of a lane for a tool go now."""
+    """The services that currently receive a lane's calls for a tool."""
 
     name: str
     lane: str
@@ -28,9 +28,9 @@
 
 
 def of(name: str, spec: dict) -> LaneRoute:
-    """The typed lane route of a checked resource.
+    """Return the typed lane route of a valid resource.
 
     Example: ``of("a", {"lane": "chat", "services": ["planner"]}).tool == ""``
     """
-    full = {**DEFAULTS, **spec}
-    return LaneRoute(name, full["lane"], full["tool"], tuple(full["services"]))
+    complete_spec = {**DEFAULTS, **spec}
+    return LaneRoute(name, complete_spec["lane"], complete_spec["tool"], tuple(complete_spec["services"]))
--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -1,6 +1,7 @@
-"""An operator's configuration: a numbered document of named items, taken whole or in part, each on top of a version.
+"""An operator's configuration: a versioned document of named items, replaced as a whole or changed by a patch.
 
-Items are kept word for word as they were sent, in their order; what they mean for the plan comes beside them.
+An order applies on top of a given version. The texts of the items are stored unchanged and in their order, next to the
+plan resources that they stand for.
 """
 
 import collections.abc
@@ -13,13 +14,13 @@
 from aspencroft.errors import result
 from aspencroft.transport import codec
 
-MOST_FAULTS = 100
+MAX_FAULTS_TOLD = 100
 
 
 @codec.kind(79)
 @dataclasses.dataclass(frozen=True)
 class Item:
-    """One item: its list, its name there, its words, and the resource that it stands for (kind empty: none)."""
+    """An item: its list, its name in that list, its text and the resource that it stands for (empty kind: none)."""
 
     group: str
     label: str
@@ -41,10 +42,10 @@
 @codec.kind(81)
 @dataclasses.dataclass(frozen=True)
 class ApplyConfiguration:
-    """Command: take a configuration numbered ``version`` if ``condition`` is the current number (0: there is none).
+    """Command: apply a configuration as ``version`` if ``condition`` is the current version (0: there is none yet).
 
-    ``whole``: items that are not among ``upserts`` go; else only ``removals`` do. ``digest`` tells this very order
-    from any other, so that it is known again when it is repeated.
+    If ``whole`` is set, items that are not among ``upserts`` are removed; otherwise only ``removals`` are. ``digest``
+    identifies the order, so that a repeat of it is recognised.
     """
 
     version: int
@@ -58,7 +59,7 @@
 @codec.kind(82)
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """The order of all items of a list."""
+    """The sequence of all items in a list."""
 
     group: str
     labels: tuple[str, ...]
@@ -67,7 +68,7 @@
 @codec.kind(83)
 @dataclasses.dataclass(frozen=True)
 class Kept:
-    """An item as it is kept; an empty text removes it."""
+    """An item as it is stored; an empty text removes it."""
 
     group: str
     label: str
@@ -79,7 +80,7 @@
 @codec.kind(85)
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """Reply: the configuration is in the plan as of this revision; ``again``: it had been taken before."""
+    """Reply: the plan revision with which the configuration was applied; ``again`` is set for a repeated order."""
 
     revision: str
     changed: int
@@ -89,13 +90,13 @@
 @codec.kind(86)
 @dataclasses.dataclass(frozen=True)
 class ReadConfiguration:
-    """Command: the newest configuration."""
+    """Command: read the newest configuration."""
 
 
 @codec.kind(87)
 @dataclasses.dataclass(frozen=True)
 class ConfigurationRead:
-    """Reply: number and items of the newest configuration, in order; number 0: there is none yet."""
+    """Reply: version and items of the newest configuration, in order; version 0 means that there is none yet."""
 
     version: int
     items: tuple[Kept, ...]
@@ -103,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decided:
-    """What a command comes to: items to keep, orders of lists to set, changed resources (an empty text removes)."""
+    """The effect of a command: items to store, sequences of lists, changed resources (an empty text removes one)."""
 
     kept: tuple[Kept, ...]
     orders: tuple[Order, ...]
@@ -111,7 +112,7 @@
 
 
 class Configuration:
-    """The newest configuration and the record of all that were taken, folded from events.
+    """The newest configuration and the records of accepted and rejected orders, built up by applying events.
 
     Example: ``Configuration().version == 0``
     """
@@ -123,79 +124,96 @@
         self.refused = refused_orders.RefusedOrders()
 
     def known(self, command: ApplyConfiguration) -> taken_orders.Taken | None:
-        """The record of this very command, if it was taken before.
+        """Return the record of an order if it was accepted before.
+
+        An order whose record may have been discarded by now is not rejected, since it may have been accepted: its
+        outcome is unknown. Only an order with a condition at or above its version was certainly never accepted.
+
+        Raises:
+            RequestError: OUTCOME_UNKNOWN if the record of the order may have been discarded.
 
-        Refused as unknown where such a record would have been given up by now: it may have been taken, and an order
-        that was taken is never called refused. A condition at or above the version tells that it never was.
         """
-        found = self.taken.find(command.version)
-        if found is not None and found.digest == command.digest:
-            return found
+        record = self.taken.find(command.version)
+        if record is not None and record.digest == command.digest:
+            return record
         if self.taken.forgotten(command.version) and command.condition < command.version:
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN,
                 result.Ran.UNKNOWN,
-                f"orders up to {self.taken.horizon} are no longer on record",
+                f"the records of orders up to version {self.taken.horizon} have been discarded",
             )
         return None
 
     def decide(self, command: ApplyConfiguration, document: dict, index: http_route.Index) -> Decided:
-        """What a command would change; a RequestError when its condition is not met or what it gives is not sound."""
+        """Return what a command changes.
+
+        Raises:
+            RequestError: the condition is not met, or the configuration is not valid.
+
+        """
         if command.condition != self.version:
-            raise result.RequestError(result.ResultCode.REVISION_DIFFERS, detail=f"the version is {self.version}")
+            raise result.RequestError(
+                result.ResultCode.REVISION_DIFFERS, detail=f"the current version is {self.version}"
+            )
         faults = []
         if command.version <= self.version:
-            faults.append(resources.Fault("version", f"{command.version} is not above {self.version}"))
+            faults.append(
+                resources.Fault("version", f"{command.version} is not above the current version {self.version}")
+            )
         if len(command.digest) != taken_orders.DIGEST_BYTES:
             faults.append(resources.Fault("digest", f"expected {taken_orders.DIGEST_BYTES} bytes"))
-        names = [(one.group, one.label) for one in command.upserts]
-        names.extend((one.group, one.label) for one in command.removals)
-        faults.extend(resources.Fault(f"{group}/{label}", "named twice") for group, label in twice(names))
-        faults.extend(resources.Fault(f"{one.group}/{one.label}", "no text") for one in command.upserts if not one.text)
-        meant = [(one.kind, one.name) for one in command.upserts if one.kind]
-        faults.extend(resources.Fault(f"{kind}/{name}", "stated twice") for kind, name in twice(meant))
+        names = [(item.group, item.label) for item in command.upserts]
+        names.extend((item.group, item.label) for item in command.removals)
+        faults.extend(resources.Fault(f"{group}/{label}", "named twice") for group, label in duplicate_names(names))
+        faults.extend(
+            resources.Fault(f"{item.group}/{item.label}", "no text") for item in command.upserts if not item.text
+        )
+        resource_names = [(item.kind, item.name) for item in command.upserts if item.kind]
+        faults.extend(
+            resources.Fault(f"{kind}/{name}", "stated twice") for kind, name in duplicate_names(resource_names)
+        )
         if faults:
-            raise refusal(faults)
+            raise invalid_configuration(faults)
         kept, dropped = self.items(command)
-        gone = {(one.kind, one.name) for one in dropped if one.kind} - set(meant)
+        removed_resources = {(item.kind, item.name) for item in dropped if item.kind} - set(resource_names)
         changes = []
-        for one in command.upserts:
-            if one.kind:
-                if one.kind not in resources.SCHEMAS:
-                    raise refusal([resources.Fault(one.kind, "unknown kind of resource")])
-                found = resources.check_anew(one.kind, one.name, one.spec)
-                faults.extend(found)
-                held = document.get(one.kind, {}).get(one.name)
-                if not found and (held is None or held != msgspec.json.decode(one.spec)):
-                    changes.append((one.kind, one.name, one.spec))
-        changes.extend((kind, name, "") for kind, name in sorted(gone) if name in document.get(kind, {}))
-        faults = faults or between(document, changes, index)
+        for item in command.upserts:
+            if item.kind:
+                if item.kind not in resources.SCHEMAS:
+                    raise invalid_configuration([resources.Fault(item.kind, "unknown kind of resource")])
+                resource_faults = resources.check_anew(item.kind, item.name, item.spec)
+                faults.extend(resource_faults)
+                current = document.get(item.kind, {}).get(item.name)
+                if not resource_faults and (current is None or current != msgspec.json.decode(item.spec)):
+                    changes.append((item.kind, item.name, item.spec))
+        changes.extend((kind, name, "") for kind, name in sorted(removed_resources) if name in document.get(kind, {}))
+        faults = faults or reference_faults_after(document, changes, index)
         if faults:
-            raise refusal(faults)
+            raise invalid_configuration(faults)
         return Decided(tuple(kept), self.orders(command), tuple(changes))
 
     def check_refused_before(self, command: ApplyConfiguration) -> None:
-        """Refuse an order again that was refused before, though it could be taken now.
+        """Reject an order that was rejected before, even if it has become valid since.
 
         Raises:
-            RequestError: the result that the order was told then.
+            RequestError: the order was rejected before; the result is the same as then.
 
         """
-        found = self.refused.find(command.version, command.condition, command.digest)
-        if found is None:
+        refused = self.refused.find(command.version, command.condition, command.digest)
+        if refused is None:
             return
-        text = "this very order was refused before"
-        if found.result == result.ResultCode.PLAN_INVALID.number:
-            raise refusal([resources.Fault("", text)])
+        text = "the same order was refused before"
+        if refused.result == result.ResultCode.PLAN_INVALID.number:
+            raise invalid_configuration([resources.Fault("", text)])
         raise result.RequestError(result.ResultCode.REVISION_DIFFERS, detail=text)
 
     def lasting_refusal(
-        self, command: ApplyConfiguration, told: result.RequestError
+        self, command: ApplyConfiguration, error: result.RequestError
     ) -> refused_orders.OrderRefused | None:
-        """The event that keeps a refused order refused; none where no later state could take it.
+        """Return the event that records a rejection, or None if no later state could accept the order anyway.
 
         Raises:
-            RequestError: OUTCOME_UNKNOWN where the record has no room for it.
+            RequestError: OUTCOME_UNKNOWN if the record of rejections is full.
 
         """
         is_final = command.condition < self.version or command.version <= command.condition
@@ -205,139 +223,152 @@
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN, result.Ran.UNKNOWN, "too many refused orders are on record"
             )
-        return refused_orders.OrderRefused(command.version, command.condition, command.digest, told.result.number)
+        return refused_orders.OrderRefused(command.version, command.condition, command.digest, error.result.number)
 
     def items(self, command: ApplyConfiguration) -> tuple[list[Kept], list[Kept]]:
-        """Items that a command changes, as they will be kept, and the old ones that go or give way."""
-        kept, dropped, named = [], [], set()
-        for one in command.upserts:
-            fresh = Kept(one.group, one.label, one.text, one.kind, one.name)
-            held = self.groups.get(one.group, {}).get(one.label)
-            named.add((one.group, one.label))
-            if held != fresh:
-                kept.append(fresh)
-                if held is not None:
-                    dropped.append(held)
+        """Return the items to store for a command, and the old ones that it removes or replaces."""
+        kept, dropped, names = [], [], set()
+        for item in command.upserts:
+            new_item = Kept(item.group, item.label, item.text, item.kind, item.name)
+            old_item = self.groups.get(item.group, {}).get(item.label)
+            names.add((item.group, item.label))
+            if old_item != new_item:
+                kept.append(new_item)
+                if old_item is not None:
+                    dropped.append(old_item)
         if command.whole:
-            going = [
-                one for group in self.groups.values() for one in group.values() if (one.group, one.label) not in named
+            removed = [
+                item
+                for group in self.groups.values()
+                for item in group.values()
+                if (item.group, item.label) not in names
             ]
         else:
-            found = (self.groups.get(one.group, {}).get(one.label) for one in command.removals)
-            going = [one for one in found if one is not None]
-        dropped.extend(going)
-        kept.extend(Kept(one.group, one.label, "", "", "") for one in going)
+            listed = (self.groups.get(item.group, {}).get(item.label) for item in command.removals)
+            removed = [item for item in listed if item is not None]
+        dropped.extend(removed)
+        kept.extend(Kept(item.group, item.label, "", "", "") for item in removed)
         return kept, dropped
 
     def orders(self, command: ApplyConfiguration) -> tuple[Order, ...]:
-        """The lists of a whole document whose items would otherwise stand in another order."""
+        """Return the sequences to set for a whole document: those of lists that would otherwise be out of order."""
         if not command.whole:
             return ()
-        wanted: dict[str, list[str]] = {}
-        for one in command.upserts:
-            wanted.setdefault(one.group, []).append(one.label)
-        found = []
-        for group, labels in wanted.items():
-            asked, held = set(labels), self.groups.get(group, {})
-            stays = [label for label in held if label in asked]
-            if stays + [label for label in labels if label not in held] != labels:
-                found.append(Order(group, tuple(labels)))
-        return tuple(found)
+        wanted_sequences: dict[str, list[str]] = {}
+        for item in command.upserts:
+            wanted_sequences.setdefault(item.group, []).append(item.label)
+        sequences = []
+        for group, labels in wanted_sequences.items():
+            wanted_labels, current_group = set(labels), self.groups.get(group, {})
+            remaining = [label for label in current_group if label in wanted_labels]
+            if remaining + [label for label in labels if label not in current_group] != labels:
+                sequences.append(Order(group, tuple(labels)))
+        return tuple(sequences)
 
     def apply(self, taken: taken_orders.Taken, kept: tuple[Kept, ...], orders: tuple[Order, ...]) -> None:
-        """Take in a configuration that was decided."""
+        """Apply a configuration that was accepted."""
         self.version = taken.version
         self.taken.add(taken)
         self.refused.forget_below(taken.version)
-        for one in kept:
-            group = self.groups.setdefault(one.group, {})
-            if one.text:
-                group[one.label] = one
+        for item in kept:
+            group = self.groups.setdefault(item.group, {})
+            if item.text:
+                group[item.label] = item
             else:
-                group.pop(one.label, None)
+                group.pop(item.label, None)
                 if not group:
-                    del self.groups[one.group]
+                    del self.groups[item.group]
         for order in orders:
-            held = self.groups[order.group]
-            self.groups[order.group] = {label: held[label] for label in order.labels}
+            items = self.groups[order.group]
+            self.groups[order.group] = {label: items[label] for label in order.labels}
 
     def read(self) -> ConfigurationRead:
-        """The newest configuration."""
-        return ConfigurationRead(self.version, tuple(one for group in self.groups.values() for one in group.values()))
+        """Return the newest configuration."""
+        return ConfigurationRead(self.version, tuple(item for group in self.groups.values() for item in group.values()))
 
     def snapshot(self) -> dict:
-        """All of it as JSON's types."""
-        shown = {
+        """Return the whole state as JSON types."""
+        fields = {
             "version": self.version,
-            "items": [dataclasses.astuple(one) for group in self.groups.values() for one in group.values()],
+            "items": [dataclasses.astuple(item) for group in self.groups.values() for item in group.values()],
             "taken": self.taken.snapshot(),
         }
         if len(self.refused):
-            # Left out where it is empty: the snapshot is then, byte for byte, that of earlier software.
-            shown["refused"] = self.refused.snapshot()
-        return shown
-
-    def restore(self, shown: dict) -> None:
-        """Become what a snapshot shows."""
-        self.version, self.groups = shown["version"], {}
-        for one in shown["items"]:
-            kept = Kept(*one)
+            # Omitted if empty, so that the snapshot is byte for byte the one that earlier software writes.
+            fields["refused"] = self.refused.snapshot()
+        return fields
+
+    def restore(self, fields: dict) -> None:
+        """Replace the state with that of a snapshot."""
+        self.version, self.groups = fields["version"], {}
+        for item in fields["items"]:
+            kept = Kept(*item)
             self.groups.setdefault(kept.group, {})[kept.label] = kept
         self.taken = taken_orders.TakenOrders()
-        self.taken.restore(shown["taken"])
+        self.taken.restore(fields["taken"])
         self.refused = refused_orders.RefusedOrders()
-        self.refused.restore(shown.get("refused", ()))
+        self.refused.restore(fields.get("refused", ()))
 
 
-def twice(names: collections.abc.Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """The names that come more than once.
+def duplicate_names(names: collections.abc.Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return the names that occur more than once.
 
-    Example: ``twice([("a", "b"), ("a", "b")]) == [("a", "b")]``
+    Example: ``duplicate_names([("a", "b"), ("a", "b")]) == [("a", "b")]``
     """
-    seen, found = set(), []
-    for one in names:
-        if one in seen:
-            found.append(one)
-        seen.add(one)
-    return found
+    seen, duplicates = set(), []
+    for name in names:
+        if name in seen:
+            duplicates.append(name)
+        seen.add(name)
+    return duplicates
+
 
+def reference_faults_after(
+    document: dict, changes: list[tuple[str, str, str]], index: http_route.Index
+) -> list[resources.Fault]:
+    """Validate references between resources as they would be after some changes.
 
-def between(document: dict, changes: list[tuple[str, str, str]], index: http_route.Index) -> list[resources.Fault]:
-    """The faults between resources once changes are made; for HTTP routes its cost follows the changes.
+    For HTTP routes the cost depends on the number of changes, not on the number of routes.
 
-    Example: ``between({}, [("services", "a", "{}")], http_route.Index()) == []``
+    Example: ``reference_faults_after({}, [("services", "a", "{}")], http_route.Index()) == []``
     """
-    after = dict(document)
+    new_document = dict(document)
     for kind in {kind for kind, _, _ in changes} - {resources.HTTP_ROUTES}:
-        after[kind] = dict(document.get(kind, {}))
-    put, dropped, lost = {}, set(), []
+        new_document[kind] = dict(document.get(kind, {}))
+    put_routes, removed_routes, removed_services = {}, set(), []
     for kind, name, text in changes:
         if kind != resources.HTTP_ROUTES:
             if text:
-                after[kind][name] = msgspec.json.decode(text)
+                new_document[kind][name] = msgspec.json.decode(text)
             else:
-                after[kind].pop(name, None)
+                new_document[kind].pop(name, None)
                 if kind == "services":
-                    lost.append(name)
+                    removed_services.append(name)
         elif text:
-            put[name] = msgspec.json.decode(text)
+            put_routes[name] = msgspec.json.decode(text)
         else:
-            dropped.add(name)
-    more = len(put) - sum(name in document.get(resources.HTTP_ROUTES, {}) for name in put) - len(dropped)
-    if more + sum(len(group) for group in after.values()) > resources.MOST_RESOURCES:
+            removed_routes.add(name)
+    added_route_count = (
+        len(put_routes)
+        - sum(name in document.get(resources.HTTP_ROUTES, {}) for name in put_routes)
+        - len(removed_routes)
+    )
+    if added_route_count + sum(len(group) for group in new_document.values()) > resources.MOST_RESOURCES:
         return [resources.Fault("", f"more than {resources.MOST_RESOURCES} resources")]
-    found = [
+    faults = [
         resources.Fault(f"{resources.HTTP_ROUTES}/{path}", meaning)
-        for path, meaning in index.faults(put, dropped, after.get("services", {}).__contains__, lost)
+        for path, meaning in index.faults(
+            put_routes, removed_routes, new_document.get("services", {}).__contains__, removed_services
+        )
     ]
     if any(kind != resources.HTTP_ROUTES for kind, _, _ in changes):
-        found.extend(resources.references(after))
-    return found
+        faults.extend(resources.references(new_document))
+    return faults
 
 
-def refusal(faults: list[resources.Fault]) -> result.RequestError:
-    """The refusal that lists faults."""
+def invalid_configuration(faults: list[resources.Fault]) -> result.RequestError:
+    """Return the error that rejects a configuration with a list of faults."""
     return result.RequestError(
         result.ResultCode.PLAN_INVALID,
-        detail=json.dumps([dataclasses.asdict(one) for one in faults[:MOST_FAULTS]]),
+        detail=json.dumps([dataclasses.asdict(fault) for fault in faults[:MAX_FAULTS_TOLD]]),
     )
--- a/aspencroft/configuration/refused_orders.py
+++ b/aspencroft/configuration/refused_orders.py
@@ -1,9 +1,10 @@
-"""Orders that were refused although a later state could take them: what was refused stays refused.
+"""The record of rejected orders that a later state could accept, so that a rejected order stays rejected.
 
-An order whose condition lies behind the version is refused for good, as versions only grow. One whose condition is the
-version or lies ahead of it could become valid: when that version comes, or when another writer adds the resource that
-it lacked. Its refusal is an event of the control group, told only once all members hold it. It is forgotten when the
-version passes its condition, so the record holds no more than what could still be taken.
+An order whose condition is below the current version can never become valid, as versions only increase. An order whose
+condition is the current version or above it could: when that version is reached, or when another writer adds a
+resource that it lacked. Its rejection is therefore an event in the control group's log, and it is reported only after
+all members hold it. The event is discarded when the version passes the condition, so the record is limited to orders
+that could still be accepted.
 """
 
 import collections.abc
@@ -12,13 +13,13 @@
 from aspencroft.transport import codec
 
 MOST_REFUSALS = 4096
-"""Refusals on record at once; beyond, an order that would need another one gets no clear answer."""
+"""The bound of the record; when it is full, a rejection that would need an entry is reported as unknown outcome."""
 
 
 @codec.kind(188)
 @dataclasses.dataclass(frozen=True)
 class OrderRefused:
-    """Event: an order was refused, with the number of the result that it was told."""
+    """Event: an order was rejected, with the number of the result that was reported."""
 
     version: int
     condition: int
@@ -27,7 +28,7 @@
 
 
 class RefusedOrders:
-    """The refusals that must last, by version and digest of the order.
+    """The rejections that must last, by version and digest of the order.
 
     Example: ``len(RefusedOrders()) == 0``
     """
@@ -39,29 +40,32 @@
         return len(self.refusals)
 
     def find(self, version: int, condition: int, digest: bytes) -> OrderRefused | None:
-        """The refusal of this very order, if it is on record."""
-        found = self.refusals.get((version, digest))
-        return found if found is not None and found.condition == condition else None
+        """Return the rejection of an order, if it is on record."""
+        refusal = self.refusals.get((version, digest))
+        return refusal if refusal is not None and refusal.condition == condition else None
 
     def is_full(self) -> bool:
-        """Whether no other refusal may be recorded now."""
+        """Whether the record has reached its bound."""
         return len(self.refusals) >= MOST_REFUSALS
 
     def add(self, refused: OrderRefused) -> None:
-        """Record a refusal."""
+        """Record a rejection."""
         self.refusals[refused.version, refused.digest] = refused
 
     def forget_below(self, version: int) -> None:
-        """Forget the refusals of orders that build on what was before a version: they can never be taken."""
+        """Discard rejections of orders with a condition below a version, as these can never be accepted."""
         if self.refusals:
-            self.refusals = {key: kept for key, kept in self.refusals.items() if kept.condition >= version}
+            self.refusals = {key: refusal for key, refusal in self.refusals.items() if refusal.condition >= version}
 
     def snapshot(self) -> list[list]:
-        """The record as JSON's types."""
-        return [[kept.version, kept.condition, kept.digest.hex(), kept.result] for kept in self.refusals.values()]
-
-    def restore(self, shown: collections.abc.Iterable[list]) -> None:
-        """Become what a snapshot shows."""
+        """Return the record as JSON types."""
+        return [
+            [refusal.version, refusal.condition, refusal.digest.hex(), refusal.result]
+            for refusal in self.refusals.values()
+        ]
+
+    def restore(self, rows: collections.abc.Iterable[list]) -> None:
+        """Replace the record with that of a snapshot."""
         self.refusals = {}
-        for version, condition, digest, number in shown:
-            self.add(OrderRefused(version, condition, bytes.fromhex(digest), number))
+        for version, condition, digest, result_number in rows:
+            self.add(OrderRefused(version, condition, bytes.fromhex(digest), result_number))
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -156,7 +156,7 @@
 
 
 def check_anew(kind: str, name: str, text: str) -> tuple[Fault, ...]:
-    """Validate error_item resource, given as JSON, without looking at any other."""
+    """Validate one resource, given as JSON, without looking at any other."""
     typed_faults = TYPED_FAULTS.get(kind)
     faults = [
         Fault("/".join([kind, name, path]).rstrip("/"), meaning)
@@ -233,7 +233,7 @@
 
 
 def after(before: Configuration, document: dict, patch: dict, version: int) -> Configuration:
-    """Return the typed plan of a document that differs from the previous route by a merge patch.
+    """Return the typed plan of a document that differs from the previous one by a merge patch.
 
     The cost depends on what the patch names.
     """
--- a/aspencroft/configuration/route_table.py
+++ b/aspencroft/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""The route table: which route a request belongs to, by host and longest prefix."""
+"""The route table, which finds the route of a request by its host and the longest matching path prefix."""
 
 import collections.abc
 import dataclasses
@@ -8,14 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prefixes:
-    """The routes of one host by prefix; no prefix holds more slashes than ``deepest``."""
+    """The routes of one host by prefix; no prefix has more slashes than ``deepest``."""
 
     routes: dict[str, http_route.HttpRoute]
     deepest: int
 
 
 class RouteTable:
-    """Routes by host and prefix, never changed once made; a change gives another table that shares most with it."""
+    """An immutable table of routes by host and prefix; a changed copy shares the data of hosts that stay the same."""
 
     __slots__ = ("hosts",)
 
@@ -23,21 +23,21 @@
         self.hosts = hosts
 
     def match(self, host: str, path: str) -> http_route.HttpRoute | None:
-        """The route with the longest prefix that begins the path, among those of the host; none: no such route.
+        """Return the host's route with the longest prefix of the path, or None if there is no such route.
 
-        The host is compared without its port and without regard to case; the path is without its query. The
-        cost follows the slashes of the host's deepest prefix, not the number of routes.
+        The host is compared without its port and ignoring case; the path must not include the query. The cost
+        depends on the number of slashes in the host's deepest prefix, not on the number of routes.
         """
-        held = self.hosts.get(http_route.bare(host))
-        if held is None or not path.startswith("/"):
+        prefixes = self.hosts.get(http_route.bare(host))
+        if prefixes is None or not path.startswith("/"):
             return None
         ends: list[int] = []
-        place = 0
-        while place >= 0 and len(ends) < held.deepest:
-            ends.append(place + 1)
-            place = path.find("/", place + 1)
+        position = 0
+        while position >= 0 and len(ends) < prefixes.deepest:
+            ends.append(position + 1)
+            position = path.find("/", position + 1)
         for end in reversed(ends):
-            route = held.routes.get(path[:end])
+            route = prefixes.routes.get(path[:end])
             if route is not None:
                 return route
         return None
@@ -47,25 +47,25 @@
         gone: collections.abc.Iterable[http_route.HttpRoute],
         come: collections.abc.Iterable[http_route.HttpRoute],
     ) -> "RouteTable":
-        """The table without some routes and with others; only the hosts that they belong to are made anew."""
-        hosts, fresh = dict(self.hosts), {}
+        """Return a table with some routes removed and others added; only the affected hosts are rebuilt."""
+        hosts, rebuilt = dict(self.hosts), {}
 
         def routes_of(host: str) -> dict[str, http_route.HttpRoute]:
-            if host not in fresh:
-                fresh[host] = dict(hosts[host].routes) if host in hosts else {}
-            return fresh[host]
+            if host not in rebuilt:
+                rebuilt[host] = dict(hosts[host].routes) if host in hosts else {}
+            return rebuilt[host]
 
-        for one in gone:
-            routes_of(http_route.bare(one.host)).pop(one.prefix, None)
+        for route in gone:
+            routes_of(http_route.bare(route.host)).pop(route.prefix, None)
         deepest: dict[str, int] = {}
-        for one in come:
-            host = http_route.bare(one.host)
-            routes_of(host)[one.prefix] = one
-            deepest[host] = max(deepest.get(host, 0), one.prefix.count("/"))
-        for host, routes in fresh.items():
+        for route in come:
+            host = http_route.bare(route.host)
+            routes_of(host)[route.prefix] = route
+            deepest[host] = max(deepest.get(host, 0), route.prefix.count("/"))
+        for host, routes in rebuilt.items():
             if routes:
-                held = hosts[host].deepest if host in hosts else 0
-                hosts[host] = Prefixes(routes, max(held, deepest.get(host, 0)))
+                old_deepest = hosts[host].deepest if host in hosts else 0
+                hosts[host] = Prefixes(routes, max(old_deepest, deepest.get(host, 0)))
             else:
                 hosts.pop(host, None)
         return RouteTable(hosts)
--- a/aspencroft/configuration/taken_orders.py
+++ b/aspencroft/configuration/taken_orders.py
@@ -1,7 +1,8 @@
-"""The record of all orders that were taken: compact, in the order of their versions, so that a repeat is known again.
+"""A compact record of accepted orders, sorted by version, by which a repeated order is recognised.
 
-Versions strictly increase, so a record is found by bisection. The record is bounded: the oldest entries go, and the
-horizon says up to which version they did. Nothing at or below the horizon may be called refused.
+Versions strictly increase, so an entry is found by bisection. The record is bounded: the oldest entries are discarded,
+and the horizon is the highest version among them. An order at or below the horizon must not be rejected, because it
+may have been accepted.
 """
 
 import base64
@@ -13,14 +14,14 @@
 
 DIGEST_BYTES = 16
 MOST_RECORDS = 1 << 16
-EARLIER_RECORDS = 256
+MAX_RECORDS_IN_OLD_SNAPSHOT = 256
 RECORD = struct.Struct(f">QQQ{DIGEST_BYTES}s")
 
 
 @codec.kind(84)
 @dataclasses.dataclass(frozen=True)
 class Taken:
-    """What is remembered of a configuration that was taken: its number, its digest, the plan's revision since."""
+    """The record of an accepted configuration: its version, its digest and the plan revision that it led to."""
 
     version: int
     digest: bytes
@@ -28,7 +29,7 @@
 
 
 class TakenOrders:
-    """Versions, digests and plan revisions of the orders that were taken.
+    """Versions, digests and plan revisions of the accepted orders.
 
     Example: ``TakenOrders().find(7) is None``
     """
@@ -40,24 +41,24 @@
     def __len__(self) -> int:
         return len(self.records) // RECORD.size
 
-    def version_at(self, place: int) -> int:
-        """The version of the record at a place."""
-        return RECORD.unpack_from(self.records, place * RECORD.size)[0]
+    def version_at(self, position: int) -> int:
+        """Return the version of the record at a position."""
+        return RECORD.unpack_from(self.records, position * RECORD.size)[0]
 
     def find(self, version: int) -> Taken | None:
-        """The order that was taken under a version, if it is still on record."""
-        place = bisect.bisect_left(range(len(self)), version, key=self.version_at)
-        if place == len(self) or self.version_at(place) != version:
+        """Return the order that was accepted as a version, if it is still on record."""
+        position = bisect.bisect_left(range(len(self)), version, key=self.version_at)
+        if position == len(self) or self.version_at(position) != version:
             return None
-        _, epoch, number, digest = RECORD.unpack_from(self.records, place * RECORD.size)
+        _, epoch, number, digest = RECORD.unpack_from(self.records, position * RECORD.size)
         return Taken(version, digest, f"{epoch}.{number}")
 
     def forgotten(self, version: int) -> bool:
-        """Whether an order under a version may have been taken so long ago that its record is gone."""
+        """Whether the record of an order with this version may have been discarded."""
         return version <= self.horizon
 
     def add(self, taken: Taken) -> None:
-        """Record an order; its version is above all others. The oldest record goes where there are too many."""
+        """Record an order, whose version is above all others, and discard the oldest records beyond the bound."""
         epoch, number = map(int, taken.revision.split("."))
         self.records += RECORD.pack(taken.version, epoch, number, taken.digest)
         excess = len(self) - MOST_RECORDS
@@ -66,18 +67,20 @@
             del self.records[: excess * RECORD.size]
 
     def snapshot(self) -> dict:
-        """The whole record as JSON's types."""
+        """Return the whole record as JSON types."""
         return {"horizon": self.horizon, "records": base64.b64encode(self.records).decode()}
 
-    def restore(self, shown: dict | list) -> None:
-        """Become what a snapshot shows; earlier software wrote a list of the last 256 orders: a full one has a
-        horizon.
+    def restore(self, content: dict | list) -> None:
+        """Replace the record with that of a snapshot.
+
+        Earlier software wrote a list of the last 256 orders; if that list is full, older orders may be missing and
+        it gets a horizon.
         """
-        if isinstance(shown, dict):
-            self.horizon, self.records = shown["horizon"], bytearray(base64.b64decode(shown["records"]))
+        if isinstance(content, dict):
+            self.horizon, self.records = content["horizon"], bytearray(base64.b64decode(content["records"]))
             return
         self.horizon, self.records = 0, bytearray()
-        for version, digest, revision in shown:
+        for version, digest, revision in content:
             self.add(Taken(version, bytes.fromhex(digest), revision))
-        if len(shown) >= EARLIER_RECORDS:
-            self.horizon = max(0, shown[0][0] - 1)
+        if len(content) >= MAX_RECORDS_IN_OLD_SNAPSHOT:
+            self.horizon = max(0, content[0][0] - 1)
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -575,8 +575,8 @@
     Mutation(
         "an order is known again by its number alone",
         "configuration/operator_configuration.py",
-        "        if found is not None and found.digest == command.digest:\n",
-        "        if found is not None:\n",
+        "        if record is not None and record.digest == command.digest:\n",
+        "        if record is not None:\n",
         ("configuration/orders_stateful_test.py",),
     ),
     Mutation(
@@ -1342,8 +1342,8 @@
     Mutation(
         "refused orders are not in the snapshot",
         "configuration/operator_configuration.py",
-        '            shown["refused"] = self.refused.snapshot()\n',
-        '            shown["refused"] = []\n',
+        '            fields["refused"] = self.refused.snapshot()\n',
+        '            fields["refused"] = []\n',
         ("configuration/refused_orders_test.py",),
     ),
     Mutation(
