--- a/aspencroft/alerts/alerts.py
+++ b/aspencroft/alerts/alerts.py
@@ -1,4 +1,4 @@
-"""The alerts duty: evaluates operators' rules over the nodes' samples, publishes states and controls."""
+"""The alerts role: evaluates alert rules over the nodes' samples and publishes their states and controls."""
 
 import dataclasses
 import datetime
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class State:
-    """A rule's state: since when it holds without a break, and when it was last seen to hold."""
+    """The state of a rule, the start of its uninterrupted truth, and the last time it was true."""
 
     state: str
     since: datetime.timedelta
@@ -33,8 +33,9 @@
 def step(
     before: State, holds: bool, wait: datetime.timedelta, keep: datetime.timedelta, now: datetime.timedelta
 ) -> State:
-    """A rule's next state: pending for its wait, then firing, and kept firing a while after it last held, so
-    that a rule that flaps does not make the fleet flap.
+    """Return a rule's next state: pending for its ``for`` time, then firing.
+
+    It is kept firing for ``keep`` after it was last true, so that a flapping rule does not make the cluster flap.
     """
     if holds:
         since = now if before.state == INACTIVE else before.since
@@ -46,7 +47,7 @@
 
 
 class Alerts:
-    """The work of the duty's holder. A new holder goes on from the states that were published."""
+    """The work of the role's holder; a new holder continues from the published states."""
 
     def __init__(self, own: node.Node):
         self.node = own
@@ -60,21 +61,21 @@
         self.published = ""
 
     async def run(self) -> None:
-        """Compete for the duty; hear samples and evaluate while it is held."""
+        """Compete for the role; collect samples and evaluate rules while holding it."""
         async with supervision.Group() as group:
             group.create_task(supervision.stand("alerts duty", self.duty.run, self.node.standing))
             group.create_task(supervision.stand("alerts hear", self.hear, self.node.standing))
             group.create_task(supervision.stand("alerts evaluate", self.evaluate, self.node.standing))
 
     async def hear(self) -> None:
-        """Take samples from nodes."""
+        """Receive samples from nodes."""
         while True:
             message = await self.duty.inbox.get()
             if isinstance(message, sample.Sampled) and (message.node in self.heard or len(self.heard) < MOST_NODES):
                 self.heard[message.node] = (clock.now(), message.samples)
 
     async def evaluate(self) -> None:
-        """One step a second while the duty is held."""
+        """Evaluate all rules once a second while holding the role."""
         while True:
             await clock.sleep(STEP)
             if not self.duty.has_lease():
@@ -83,41 +84,45 @@
             now = clock.now()
             if not self.held:
                 self.take_over(now)
-            self.heard = {name: one for name, one in self.heard.items() if now - one[0] < STALE}
-            samples = tuple(one for _, each in self.heard.values() for one in each)
+            self.heard = {name: entry for name, entry in self.heard.items() if now - entry[0] < STALE}
+            samples = tuple(one for _, node_samples in self.heard.values() for one in node_samples)
             rules = self.node.relay.configuration.rules
-            fresh = State(INACTIVE, now, now)
+            initial = State(INACTIVE, now, now)
             self.states = {
                 name: step(
-                    self.states.get(name, fresh), alert_expression.holds(one.tree, samples), one.wait, one.keep, now
+                    self.states.get(name, initial),
+                    alert_expression.holds(rule.tree, samples),
+                    rule.wait,
+                    rule.keep,
+                    now,
                 )
-                for name, one in rules.items()
+                for name, rule in rules.items()
             }
             body = json.dumps(
                 {
                     "holder": self.node.address,
                     "epoch": self.duty.epoch,
-                    "rules": {name: one.state for name, one in sorted(self.states.items())},
+                    "rules": {name: rule.state for name, rule in sorted(self.states.items())},
                     **controls(rules, self.states),
                 }
             )
-            known = self.node.relay.topics.get(TOPIC)
-            if known is None or known.body != body:
+            current = self.node.relay.topics.get(TOPIC)
+            if current is None or current.body != body:
                 await residency.publish(self.node, self.duty, TOPIC, body)
 
     def take_over(self, now: datetime.timedelta) -> None:
-        """Go on from what was published: what fires goes on firing while it is evaluated anew."""
-        known = self.node.relay.topics.get(TOPIC)
-        shown = json.loads(known.body).get("rules", {}) if known is not None else {}
-        self.states = {name: State(state, now, now) for name, state in shown.items()}
+        """Continue from the published states, so that firing rules keep firing until they are evaluated again."""
+        published = self.node.relay.topics.get(TOPIC)
+        states = json.loads(published.body).get("rules", {}) if published is not None else {}
+        self.states = {name: State(state, now, now) for name, state in states.items()}
         self.heard, self.held = {}, True
 
 
 def controls(rules: dict[str, alert_rule.Rule], states: dict[str, State]) -> dict:
-    """What firing rules ask of the rest duty, the residency duty and the edges."""
-    firing = [one for name, one in rules.items() if states[name].state == FIRING]
+    """Return what firing rules demand of the power role, the residency role and the edges."""
+    firing = [rule for name, rule in rules.items() if states[name].state == FIRING]
     return {
-        "keep_awake": any(one.control == alert_rule.KEEP_AWAKE for one in firing),
-        "hold_moves": any(one.control == alert_rule.HOLD_MOVES for one in firing),
-        "shed": min((one.urgency for one in firing if one.control == alert_rule.SHED), default=10),
+        "keep_awake": any(rule.control == alert_rule.KEEP_AWAKE for rule in firing),
+        "hold_moves": any(rule.control == alert_rule.HOLD_MOVES for rule in firing),
+        "shed": min((rule.urgency for rule in firing if rule.control == alert_rule.SHED), default=10),
     }
--- a/aspencroft/configuration/alert_expression.py
+++ b/aspencroft/configuration/alert_expression.py
@@ -1,8 +1,8 @@
-"""The part of the Prometheus expression language that alert rules may use; parsed by promql-parser.
+"""The subset of the Prometheus expression language that alert rules may use, parsed by promql-parser.
 
 A condition is a metric, with label matchers or not, or ``sum``, ``max``, ``min`` or ``avg`` over one, compared
 with a number by ``>``, ``>=``, ``<``, ``<=``, ``==`` or ``!=``; conditions are joined by ``and`` and ``or``.
-Anything else is a fault that names it.
+Anything else is rejected with an error that names it.
 """
 
 import operator
@@ -13,7 +13,7 @@
 
 from aspencroft.tracing import sample
 
-MAX_LETTERS = 1000
+MAX_CHARACTERS = 1000
 COMPARISONS = {
     ">": operator.gt,
     ">=": operator.ge,
@@ -35,29 +35,29 @@
 
 
 class UnsupportedExpressionError(ValueError):
-    """An expression outside the part of the language that is supported; the text names what."""
+    """The expression uses an unsupported part of the language, which the text names."""
 
 
 def parse(text: str) -> promql_parser.Expr:
     """Parse and check an expression.
 
     Raises:
-        UnsupportedExpressionError: names what cannot be used.
+        UnsupportedExpressionError: the expression is invalid or uses an unsupported part of the language.
 
     """
-    if len(text) > MAX_LETTERS:
-        raise UnsupportedExpressionError(f"longer than {MAX_LETTERS} letters")
+    if len(text) > MAX_CHARACTERS:
+        raise UnsupportedExpressionError(f"longer than {MAX_CHARACTERS} characters")
     try:
         tree = promql_parser.parse(text)
     except Exception as error:
-        # The parser does not say which exceptions it raises; whatever it is, the text came from outside.
-        raise UnsupportedExpressionError(f"no expression: {error}"[:300]) from None
+        # promql-parser does not document the exceptions it raises; any of them means that the input is invalid.
+        raise UnsupportedExpressionError(f"not a valid expression: {error}"[:300]) from None
     check(tree)
     return tree
 
 
 def check(tree: typing.Any) -> None:
-    """Refuse what is outside the supported part."""
+    """Raise an error for anything outside the supported subset."""
     if isinstance(tree, promql_parser.ParenExpr):
         check(tree.expr)
         return
@@ -70,13 +70,13 @@
         check(tree.rhs)
     elif str(tree.op) in COMPARISONS:
         check_left_side(tree.lhs)
-        number_value(tree.rhs)
+        literal_value(tree.rhs)
     else:
         raise UnsupportedExpressionError(f"{tree.op}: the operator is not supported")
 
 
 def check_left_side(tree: typing.Any) -> None:
-    """The left side of a comparison: a metric, or one of four aggregations over it."""
+    """Check that the left side of a comparison is a metric, or one of the four aggregations over a metric."""
     if isinstance(tree, promql_parser.AggregateExpr):
         if str(tree.op) not in AGGREGATIONS:
             raise UnsupportedExpressionError(f"{tree.op}: the aggregation is not supported")
@@ -94,10 +94,10 @@
             raise UnsupportedExpressionError(f"{matcher.name}: only = and != match labels")
 
 
-def number_value(tree: typing.Any) -> float:
-    """The number on the right side of a comparison.
+def literal_value(tree: typing.Any) -> float:
+    """Return the number on the right side of a comparison.
 
-    Example: ``number_value(promql_parser.parse("-3")) == -3.0``
+    Example: ``literal_value(promql_parser.parse("-3")) == -3.0``
     """
     if isinstance(tree, promql_parser.NumberLiteral):
         return tree.val
@@ -107,28 +107,28 @@
 
 
 def holds(tree: typing.Any, samples: tuple[sample.Sample, ...]) -> bool:
-    """Whether a checked expression holds over samples; where samples are missing nothing holds."""
+    """Whether a valid expression is true for some samples; a comparison without matching samples is false."""
     if isinstance(tree, promql_parser.ParenExpr):
         return holds(tree.expr, samples)
     if str(tree.op) in ("and", "or"):
-        either = (holds(tree.lhs, samples), holds(tree.rhs, samples))
-        return all(either) if str(tree.op) == "and" else any(either)
+        operands = (holds(tree.lhs, samples), holds(tree.rhs, samples))
+        return all(operands) if str(tree.op) == "and" else any(operands)
     left, aggregate = tree.lhs, None
     if isinstance(left, promql_parser.AggregateExpr):
         aggregate = AGGREGATIONS[str(left.op)]
         left = left.expr
     values = [
-        sampled.value
-        for sampled in samples
-        if sampled.name == left.name
+        candidate.value
+        for candidate in samples
+        if candidate.name == left.name
         and all(
             MATCHERS[str(match.op)](
-                next((label.value for label in sampled.labels if label.name == match.name), ""), match.value
+                next((label.value for label in candidate.labels if label.name == match.name), ""), match.value
             )
             for match in left.matchers.matchers
         )
     ]
     if not values:
         return False
-    compare, bound = COMPARISONS[str(tree.op)], number_value(tree.rhs)
-    return any(compare(value, bound) for value in ([aggregate(values)] if aggregate is not None else values))
+    compare, threshold = COMPARISONS[str(tree.op)], literal_value(tree.rhs)
+    return any(compare(value, threshold) for value in ([aggregate(values)] if aggregate is not None else values))
--- a/aspencroft/configuration/alert_rule.py
+++ b/aspencroft/configuration/alert_rule.py
@@ -1,4 +1,4 @@
-"""An alert rule: an operator's resource in the Prometheus rule form, an input to control."""
+"""Alert rules: operators' resources in the format of Prometheus rules, some of which control the cluster."""
 
 import dataclasses
 import datetime
@@ -14,8 +14,8 @@
 KEEP_FIRING = datetime.timedelta(seconds=15)
 
 
-def usable(text: object) -> str:
-    """The expression's text, if it can be used."""
+def valid_expression(text: object) -> str:
+    """Validate the text of an expression and return it."""
     if not isinstance(text, str):
         raise voluptuous.Invalid("expected an expression")
     try:
@@ -25,19 +25,19 @@
     return text
 
 
-def span(text: str) -> str:
-    """The text of a duration such as 30s or 5m, at most a day."""
+def valid_duration(text: str) -> str:
+    """Validate the text of a duration such as 30s or 5m, at most one day, and return it."""
     try:
-        found = promql_parser.parse_duration(text)
+        duration = promql_parser.parse_duration(text)
     except Exception:
         raise voluptuous.Invalid("expected a duration such as 30s") from None
-    if found > datetime.timedelta(days=1):
+    if duration > datetime.timedelta(days=1):
         raise voluptuous.Invalid("at most a day")
     return text
 
 
-def complete(spec: dict) -> dict:
-    """Labels that act name what they need: shed an urgency from 1 to 9, the others none."""
+def check_control_labels(spec: dict) -> dict:
+    """Validate the control label, of which only ``shed`` needs an urgency label, from 1 to 9."""
     labels = spec.get("labels", {})
     control, urgency = labels.get("control"), labels.get("urgency")
     if control is not None and control not in (KEEP_AWAKE, HOLD_MOVES, SHED):
@@ -49,25 +49,25 @@
     return spec
 
 
-TEXTS = voluptuous.Schema({NAME: voluptuous.All(str, voluptuous.Length(max=1000))})
+TEXTS_BY_NAME = voluptuous.Schema({NAME: voluptuous.All(str, voluptuous.Length(max=1000))})
 SCHEMA = voluptuous.Schema(
     voluptuous.All(
         {
             voluptuous.Required("alert"): voluptuous.All(str, NAME),
-            voluptuous.Required("expr"): usable,
-            voluptuous.Optional("for", default="0s"): span,
-            voluptuous.Optional("keep_firing_for", default="15s"): span,
-            voluptuous.Optional("labels", default={}): TEXTS,
-            voluptuous.Optional("annotations", default={}): TEXTS,
+            voluptuous.Required("expr"): valid_expression,
+            voluptuous.Optional("for", default="0s"): valid_duration,
+            voluptuous.Optional("keep_firing_for", default="15s"): valid_duration,
+            voluptuous.Optional("labels", default={}): TEXTS_BY_NAME,
+            voluptuous.Optional("annotations", default={}): TEXTS_BY_NAME,
         },
-        complete,
+        check_control_labels,
     )
 )
 
 
 @dataclasses.dataclass(frozen=True)
 class Rule:
-    """A rule as the alerts duty uses it."""
+    """A typed rule, as the alerts role evaluates it."""
 
     name: str
     tree: object
@@ -78,7 +78,7 @@
 
 
 def of(name: str, spec: dict) -> Rule:
-    """The typed rule of a checked resource."""
+    """Return the typed rule of a valid resource."""
     labels = spec.get("labels", {})
     control = labels.get("control", "")
     return Rule(
--- a/aspencroft/configuration/limits.py
+++ b/aspencroft/configuration/limits.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """The most bytes of a request's head and body, how long the head may take, how long a connection may rest."""
+    """The maximum bytes of a request's head and body, and the time-outs for the head and for an idle connection."""
 
     header_bytes: int
     body_bytes: int
@@ -34,11 +34,11 @@
 
 
 def of(spec: dict) -> Limits:
-    """The typed limits of a checked resource."""
-    full = {**DEFAULTS, **spec}
+    """Return the typed limits of a valid resource."""
+    complete_spec = {**DEFAULTS, **spec}
     return Limits(
-        full["header_bytes"],
-        full["body_bytes"],
-        datetime.timedelta(seconds=full["header_timeout"]),
-        datetime.timedelta(seconds=full["idle_timeout"]),
+        complete_spec["header_bytes"],
+        complete_spec["body_bytes"],
+        datetime.timedelta(seconds=complete_spec["header_timeout"]),
+        datetime.timedelta(seconds=complete_spec["idle_timeout"]),
     )
--- a/aspencroft/configuration/service.py
+++ b/aspencroft/configuration/service.py
@@ -1,4 +1,4 @@
-"""A service: a model or a plain worker's skill that lanes may be allowed to use."""
+"""Services: a model, or a function of plain workers, that lanes may be allowed to use."""
 
 import dataclasses
 import datetime
@@ -43,8 +43,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Engine:
-    """What a model's worker can do: requests at once, tokens of KV memory, bytes of KV a token, its link in bit/s
-    (0: not told), tokens in one event of a stream, and the models that it serves.
+    """The capacity of a model's worker.
+
+    ``slots``: concurrent requests. ``kv_tokens``: capacity of the KV cache in tokens. ``kv_bytes``: KV bytes per token.
+    ``link``: link speed in bit/s, 0 if unknown. ``stride``: tokens per event of a stream. ``models``: models served.
     """
 
     slots: int
@@ -57,10 +59,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """A service's facts; a service with a base is an adapter upon that model.
+    """A valid service in typed form; a service with a base is an adapter for that model.
 
-    ``max_connections`` is what one worker takes from all callers together, 0 when it is not told; ``health_path`` is
-    empty when there is none; ``keeps_keys``: the service has a record of operation keys of its own.
+    ``max_connections``: connections that one worker accepts from all callers together, 0 if unknown. ``health_path``:
+    empty if there is none. ``keeps_keys``: the service keeps a record of operation keys itself.
     """
 
     name: str
@@ -75,30 +77,30 @@
 
 
 def of(name: str, spec: dict) -> Service:
-    """The typed service of a checked resource.
+    """Return the typed service of a valid resource.
 
     Example: ``of("notice", {"kind": "plain"}).base == ""``
     """
-    full = {**DEFAULTS, **spec}
+    complete_spec = {**DEFAULTS, **spec}
     engine = None
-    if "engine" in full:
-        told = {**ENGINE_DEFAULTS, **full["engine"]}
+    if "engine" in complete_spec:
+        engine_spec = {**ENGINE_DEFAULTS, **complete_spec["engine"]}
         engine = Engine(
-            told["slots"],
-            told["kv_tokens"],
-            told["kv_bytes"],
-            float(told["link"]),
-            told["stride"],
-            tuple(told["models"]),
+            engine_spec["slots"],
+            engine_spec["kv_tokens"],
+            engine_spec["kv_bytes"],
+            float(engine_spec["link"]),
+            engine_spec["stride"],
+            tuple(engine_spec["models"]),
         )
     return Service(
         name,
-        full["kind"],
-        full["size"],
-        datetime.timedelta(seconds=full["startup"]),
-        full.get("base", ""),
-        full["health_path"],
-        full["max_connections"],
-        full["keeps_keys"],
+        complete_spec["kind"],
+        complete_spec["size"],
+        datetime.timedelta(seconds=complete_spec["startup"]),
+        complete_spec.get("base", ""),
+        complete_spec["health_path"],
+        complete_spec["max_connections"],
+        complete_spec["keeps_keys"],
         engine,
     )
--- a/aspencroft/configuration/tenant.py
+++ b/aspencroft/configuration/tenant.py
@@ -1,7 +1,7 @@
-"""Tenants: whose a request is, by the digest of its caller's API key, and how much a tenant may ask for.
+"""Tenants: identification of a caller by the digest of its API key, and the tenant's rate limit.
 
-API keys themselves are no part of a configuration: it holds their SHA-256 digests. Keys are long and random, so that a
-plain digest does not give them away, and looking one up takes a time that says nothing of the keys that are held.
+A configuration holds the SHA-256 digests of API keys, not the keys themselves. As keys are long and random, an unsalted
+digest does not reveal them, and the time of a lookup by digest gives no information about the stored keys.
 """
 
 import collections.abc
@@ -17,7 +17,7 @@
 MAX_KEYS = 10_000
 MAX_RATE = 1e9
 ROUNDING = 1e-9
-"""Added before a limit is rounded down, as a product of two fractions may lie just under a whole number."""
+"""Added before a limit is rounded down, as the product of two floats may be just below a whole number."""
 DIGEST = typing.Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}\Z")]
 ACCESS = "callers"
 """The only resource of the kind ``access``."""
@@ -25,7 +25,7 @@
 
 
 class Spec(msgspec.Struct, forbid_unknown_fields=True):
-    """A tenant as it is written; a rate of 0 says that there is no limit, a rank of none that the route's holds."""
+    """A tenant as operators write it; a rate of 0 means no limit, a rank of None means that of the route."""
 
     key_digests: typing.Annotated[list[DIGEST], msgspec.Meta(max_length=MAX_KEYS)] = []
     rate: typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_RATE)] = 0.0
@@ -35,10 +35,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant, checked and typed.
+    """A valid tenant in typed form.
 
-    ``rate`` is in requests a second over all edges, ``burst`` in requests on top of it; a rate of 0: no limit. ``rank``
-    goes before that of a route, 0 is the most urgent.
+    ``rate``: requests per second over all edges, 0 for no limit. ``burst``: requests allowed on top of the rate.
+    ``rank``: priority that overrides the rank of a route, 0 is the most urgent.
     """
 
     name: str
@@ -48,16 +48,16 @@
     rank: int | None
 
     def is_limited(self) -> bool:
-        """Whether the tenant has a limit."""
+        """Whether the tenant has a rate limit."""
         return self.rate > 0
 
     def most_requests(self, window: datetime.timedelta) -> int:
-        """The most requests in any window of that length, for a tenant that has a limit; one at least."""
+        """Return the most requests, at least one, that a limited tenant may send in any window of that length."""
         return max(1, math.floor(self.rate * window.total_seconds() + self.burst + ROUNDING))
 
 
 def digest(api_key: bytes) -> str:
-    """What a configuration holds of an API key.
+    """Return the digest of an API key that a configuration stores.
 
     Example: ``len(digest(b"key")) == 64``
     """
@@ -65,7 +65,7 @@
 
 
 def faults(text: str) -> list[tuple[str, str]]:
-    """The faults of one tenant on its own, given as JSON: path within it, and meaning.
+    """Validate one tenant, given as JSON; return the path within the tenant and the meaning of each fault.
 
     Example: ``faults('{"rate": -1}')[0][0] == "rate"``
     """
@@ -78,25 +78,25 @@
 
 
 def of(name: str, spec: dict) -> Tenant:
-    """The typed tenant of a checked resource."""
-    full = msgspec.convert(spec, Spec)
-    return Tenant(name, tuple(full.key_digests), full.rate, full.burst, full.rank)
+    """Return the typed tenant of a valid resource."""
+    complete_spec = msgspec.convert(spec, Spec)
+    return Tenant(name, tuple(complete_spec.key_digests), complete_spec.rate, complete_spec.burst, complete_spec.rank)
 
 
 def shared_keys(specs: collections.abc.Mapping[str, dict]) -> list[tuple[str, str]]:
-    """The faults between checked tenants: path and meaning of each key that two of them hold."""
+    """Return the path and meaning of each key that two valid tenants share."""
     holders: dict[str, str] = {}
-    found = []
+    faults_found = []
     for name, spec in specs.items():
-        for place, one in enumerate(spec.get("key_digests", ())):
-            other = holders.setdefault(one, name)
-            if other != name:
-                found.append((f"{name}/key_digests/{place}", f"tenant {other} holds the same key"))
-    return found
+        for position, key_digest in enumerate(spec.get("key_digests", ())):
+            other_name = holders.setdefault(key_digest, name)
+            if other_name != name:
+                faults_found.append((f"{name}/key_digests/{position}", f"tenant {other_name} holds the same key"))
+    return faults_found
 
 
 class KeyTable:
-    """Which tenant holds a key, never changed once made; a change gives another table."""
+    """An immutable table of tenants by key digest; a change returns a new table."""
 
     __slots__ = ("holders",)
 
@@ -104,17 +104,17 @@
         self.holders = holders
 
     def find(self, key_digest: str) -> Tenant | None:
-        """The tenant that holds a key; its cost does not follow the number of tenants."""
+        """Return the tenant that holds a key, at a cost independent of the number of tenants."""
         return self.holders.get(key_digest)
 
     def changed(self, gone: collections.abc.Iterable[Tenant], come: collections.abc.Iterable[Tenant]) -> "KeyTable":
-        """The table without the keys of some tenants and with those of others."""
+        """Return a table with the keys of some tenants removed and those of others added."""
         holders = dict(self.holders)
-        for one in gone:
-            for key_digest in one.key_digests:
+        for tenant in gone:
+            for key_digest in tenant.key_digests:
                 holders.pop(key_digest, None)
-        for one in come:
-            holders.update(dict.fromkeys(one.key_digests, one))
+        for tenant in come:
+            holders.update(dict.fromkeys(tenant.key_digests, tenant))
         return KeyTable(holders)
 
 
