--- a/aspencroft/configuration/__init__.py
+++ b/aspencroft/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' resources, routes and the control group's state machine."""
+"""Operators' resources, route tables and the state machine of the control group."""
--- a/aspencroft/configuration/http_route_test.py
+++ b/aspencroft/configuration/http_route_test.py
@@ -1,11 +1,11 @@
-"""HTTP routes: what is refused, and the index against a look at all routes."""
+"""Tests of ``aspencroft.configuration.http_route``; the index is compared with a check of all pairs of routes."""
 
 import json
 import random
 
 from aspencroft.configuration import http_route, resources
 
-SOUND = {"host": "a.example", "prefix": "/a/", "targets": [{"service": "s"}]}
+VALID_ROUTE = {"host": "a.example", "prefix": "/a/", "targets": [{"service": "s"}]}
 
 
 def test_each_fault_of_a_route_is_named_by_its_path():
@@ -34,9 +34,11 @@
         ({"keep": -1}, "keep"),
         ({"aim": 1e300}, "aim"),
     ):
-        found = http_route.faults(json.dumps({**SOUND, **change}))
-        assert [one[0] for one in found] == [path], (change, found)
-        faults = resources.check({"services": {"s": {"kind": "plain"}}, "http_routes": {"r": {**SOUND, **change}}})
+        found = http_route.faults(json.dumps({**VALID_ROUTE, **change}))
+        assert [fault[0] for fault in found] == [path], (change, found)
+        faults = resources.check(
+            {"services": {"s": {"kind": "plain"}}, "http_routes": {"r": {**VALID_ROUTE, **change}}}
+        )
         assert faults[0].path == f"http_routes/r/{path}".rstrip("/"), faults
     for text in ("", "[]", "null", "{", '{"host": 3}'):
         assert http_route.faults(text)
@@ -46,13 +48,17 @@
         {"targets": [{"service": "s", "weight": 0}, {"service": "t", "weight": 0.5}]},
         {"aim": 0},
     ):
-        assert http_route.faults(json.dumps({**SOUND, **change})) == []
+        assert http_route.faults(json.dumps({**VALID_ROUTE, **change})) == []
 
 
 def test_a_route_with_nothing_but_its_needs_is_taken_carefully():
-    one = http_route.of("r", SOUND)
-    assert one.kind == http_route.NON_IDEMPOTENT and one.attempts == 1 and not one.retained and not one.resumable
-    weighted = http_route.of("r", {**SOUND, "targets": [{"service": "s", "weight": 0}, {"service": "t", "weight": 9}]})
+    route = http_route.of("r", VALID_ROUTE)
+    assert (
+        route.kind == http_route.NON_IDEMPOTENT and route.attempts == 1 and not route.retained and not route.resumable
+    )
+    weighted = http_route.of(
+        "r", {**VALID_ROUTE, "targets": [{"service": "s", "weight": 0}, {"service": "t", "weight": 9}]}
+    )
     assert weighted.services() == ("t",)
 
 
@@ -67,53 +73,57 @@
         assert http_route.bare(given) == wanted
 
 
-def slow_faults(routes: dict, services: set) -> bool:
-    """Whether routes disagree, by looking at each pair of them.
+def has_faults_by_pairs(routes: dict, services: set) -> bool:
+    """Whether routes have faults, found by comparing each pair of them.
 
-    Example: ``slow_faults({}, set()) is False``
+    Example: ``has_faults_by_pairs({}, set()) is False``
     """
-    rows = list(routes.values())
-    same = any(
-        http_route.outline(rows[one])[0] == http_route.outline(rows[other])[0]
-        for one in range(len(rows))
+    specs = list(routes.values())
+    share_location = any(
+        http_route.outline(specs[one])[0] == http_route.outline(specs[other])[0]
+        for one in range(len(specs))
         for other in range(one)
     )
-    return same or any(target["service"] not in services for spec in rows for target in spec["targets"])
+    return share_location or any(target["service"] not in services for spec in specs for target in spec["targets"])
 
 
 def test_the_index_sees_just_the_faults_that_a_look_at_all_routes_sees():
-    seen = {True: 0, False: 0}
+    counts = {True: 0, False: 0}
     for seed in range(300):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         index, routes, services = http_route.Index(), {}, {"s", "t", "u"}
         for _ in range(12):
             put = {
-                chance.choice("abcde"): {
-                    "host": chance.choice(("h", "H", "g")),
-                    "prefix": chance.choice(("/", "/x/")),
-                    "targets": [{"service": chance.choice("stuv")} for _ in range(chance.randint(1, 2))],
+                rng.choice("abcde"): {
+                    "host": rng.choice(("h", "H", "g")),
+                    "prefix": rng.choice(("/", "/x/")),
+                    "targets": [{"service": rng.choice("stuv")} for _ in range(rng.randint(1, 2))],
                 }
-                for _ in range(chance.randrange(3))
+                for _ in range(rng.randrange(3))
             }
-            dropped = {name for name in "abcde" if name not in put and chance.random() < 0.15}
-            wanted = {one for one in "stu" if chance.random() < (0.95 if one in services else 0.5)}
-            fresh = {name: spec for name, spec in {**routes, **put}.items() if name not in dropped}
-            faulty = slow_faults(fresh, wanted)
-            assert bool(index.faults(put, dropped, wanted.__contains__, services - wanted)) == faulty, (
+            dropped = {name for name in "abcde" if name not in put and rng.random() < 0.15}
+            new_services = {one for one in "stu" if rng.random() < (0.95 if one in services else 0.5)}
+            new_routes = {name: spec for name, spec in {**routes, **put}.items() if name not in dropped}
+            is_faulty = has_faults_by_pairs(new_routes, new_services)
+            assert bool(index.faults(put, dropped, new_services.__contains__, services - new_services)) == is_faulty, (
                 seed,
                 routes,
                 put,
                 dropped,
             )
-            seen[faulty] += 1
-            if not faulty:
+            counts[is_faulty] += 1
+            if not is_faulty:
                 for name in dropped:
                     index.drop(name)
                 for name, spec in put.items():
                     index.put(name, spec)
-                routes, services = fresh, wanted
-                again = http_route.Index()
+                routes, services = new_routes, new_services
+                rebuilt_index = http_route.Index()
                 for name, spec in routes.items():
-                    again.put(name, spec)
-                assert (again.places, again.routes, again.uses) == (index.places, index.routes, index.uses)
-    assert min(seen.values()) > 500, seen
+                    rebuilt_index.put(name, spec)
+                assert (rebuilt_index.places, rebuilt_index.routes, rebuilt_index.uses) == (
+                    index.places,
+                    index.routes,
+                    index.uses,
+                )
+    assert min(counts.values()) > 500, counts
--- a/aspencroft/configuration/lane_test.py
+++ b/aspencroft/configuration/lane_test.py
@@ -4,7 +4,7 @@
 
 import voluptuous
 
-import aspencroft.configuration.lane as lane_module
+from aspencroft.configuration import lane as lane_module
 
 
 def test_lane_defaults_and_refusals():
--- a/aspencroft/configuration/operator_configuration_test.py
+++ b/aspencroft/configuration/operator_configuration_test.py
@@ -1,4 +1,4 @@
-"""Operators' configurations against a plain, slow model; what is taken, refused, known again and kept."""
+"""Tests of operators' configurations against a simple, slow reference model."""
 
 import collections
 import copy
@@ -15,38 +15,40 @@
 
 
 def service(name: str, text: str = "") -> operator_configuration.Item:
-    """An item that stands for a service."""
+    """Return an item that stands for a service."""
     return operator_configuration.Item(
         "services here", name, text or f"words of {name}", "services", name, '{"kind": "plain"}'
     )
 
 
-def route(name: str, place: str, to: str, text: str = "") -> operator_configuration.Item:
-    """An item that stands for a route of one host at a prefix."""
-    spec = {"host": "h", "prefix": place, "targets": [{"service": to}]}
+def route(name: str, prefix: str, target: str, text: str = "") -> operator_configuration.Item:
+    """Return an item that stands for a route of a fixed host at a prefix."""
+    spec = {"host": "h", "prefix": prefix, "targets": [{"service": target}]}
     return operator_configuration.Item(
-        "routes here", name, text or f"{place} {to}", "http_routes", name, json.dumps(spec)
+        "routes here", name, text or f"{prefix} {target}", "http_routes", name, json.dumps(spec)
     )
 
 
 def order(
     version: int, condition: int, upserts: list, removals: list | None = None, digest: bytes = b""
 ) -> operator_configuration.ApplyConfiguration:
-    """A command; whole when no removals are given."""
-    told = hashlib.blake2b(digest or repr((version, condition, upserts, removals)).encode(), digest_size=16).digest()
+    """Return a command, which replaces the whole configuration if no removals are given."""
+    order_digest = hashlib.blake2b(
+        digest or repr((version, condition, upserts, removals)).encode(), digest_size=16
+    ).digest()
     return operator_configuration.ApplyConfiguration(
-        version, condition, removals is None, tuple(upserts), tuple(removals or ()), told
+        version, condition, removals is None, tuple(upserts), tuple(removals or ()), order_digest
     )
 
 
 class Store:
-    """The control group's view as a primary uses it, and as a copy that folds the same events."""
+    """The control group's state machine as a primary uses it, and a follower that applies the same events."""
 
     def __init__(self):
         self.state_machine, self.follower = control_state.ControlState(), control_state.ControlState()
 
     def apply(self, command):
-        """The reply, or the refusal's result; nothing may change by a refusal or a repeat."""
+        """Return the reply or the result of a rejection; neither a rejection nor a repeat may change the state."""
         before = self.state_machine.snapshot()
         command = codec.untagged(codec.tagged(command))
         try:
@@ -55,39 +57,41 @@
             assert self.state_machine.snapshot() == before
             return refusal.result
         assert self.state_machine.snapshot() == before
-        shown = self.state_machine.revision, self.items()
+        state_before = self.state_machine.revision, self.items()
         for event in events:
             self.state_machine.apply(event)
             self.follower.apply(codec.untagged(codec.tagged(event)))
         assert self.follower.snapshot() == self.state_machine.snapshot()
         if isinstance(reply, result.RequestError):
-            assert (self.state_machine.revision, self.items()) == shown, "a refusal changes nothing but its record"
+            assert (self.state_machine.revision, self.items()) == state_before, (
+                "a rejection changed more than the record of rejections"
+            )
             return reply.result
         return reply
 
     def restart(self) -> None:
-        """Both copies anew from a snapshot."""
-        shown = self.state_machine.snapshot()
+        """Replace both copies by ones restored from a snapshot."""
+        snapshot = self.state_machine.snapshot()
         for name in ("state_machine", "follower"):
-            fresh = control_state.ControlState()
-            fresh.restore(shown)
-            setattr(self, name, fresh)
-        assert self.state_machine.snapshot() == shown
+            restored = control_state.ControlState()
+            restored.restore(snapshot)
+            setattr(self, name, restored)
+        assert self.state_machine.snapshot() == snapshot
         assert (self.state_machine.index.places, self.state_machine.index.uses) == (
             self.follower.index.places,
             self.follower.index.uses,
         )
 
     def items(self) -> dict[str, list[tuple[str, str]]]:
-        """Labels and words of each list, in order."""
-        found: dict[str, list] = {}
-        for one in self.state_machine.configuration.read().items:
-            found.setdefault(one.group, []).append((one.label, one.text))
-        return found
+        """Return labels and texts of each list, in order."""
+        texts_by_list: dict[str, list] = {}
+        for item in self.state_machine.configuration.read().items:
+            texts_by_list.setdefault(item.group, []).append((item.label, item.text))
+        return texts_by_list
 
 
 class Model:
-    """What a configuration store should do, said plainly: a list of items, checked by looking at all of them."""
+    """The reference model of a configuration store: a list of items, validated by checking all of them."""
 
     def __init__(self):
         self.version = 0
@@ -95,64 +99,64 @@
         self.taken: list[tuple[int, bytes]] = []
 
     def apply(self, command):
-        """True, "again", or the refusals that would be right."""
+        """Return True, "again", or the set of acceptable rejections."""
         if (command.version, command.digest) in self.taken:
             return "again"
-        wrong = set()
+        rejections = set()
         if command.condition != self.version:
-            wrong.add(result.ResultCode.REVISION_DIFFERS)
-        fresh = (
+            rejections.add(result.ResultCode.REVISION_DIFFERS)
+        new_items = (
             []
             if command.whole
             else [
                 one
                 for one in self.items
-                if (one.group, one.label) not in {(gone.group, gone.label) for gone in command.removals}
+                if (one.group, one.label) not in {(removal.group, removal.label) for removal in command.removals}
             ]
         )
         for item in command.upserts:
-            places = [number for number, one in enumerate(fresh) if (one.group, one.label) == (item.group, item.label)]
+            places = [
+                number for number, one in enumerate(new_items) if (one.group, one.label) == (item.group, item.label)
+            ]
             if places:
-                fresh[places[0]] = item
+                new_items[places[0]] = item
             else:
-                fresh.append(item)
+                new_items.append(item)
         names = [(one.group, one.label) for one in (*command.upserts, *command.removals)]
-        services = {one.name for one in fresh if one.kind == "services"}
-        routes = [json.loads(one.spec) for one in fresh if one.kind == "http_routes"]
+        services = {one.name for one in new_items if one.kind == "services"}
+        routes = [json.loads(one.spec) for one in new_items if one.kind == "http_routes"]
         if (
             command.version <= self.version
             or len(set(names)) < len(names)
             or any(one["targets"][0]["service"] not in services for one in routes)
             or len({one["prefix"] for one in routes}) < len(routes)
         ):
-            wrong.add(result.ResultCode.PLAN_INVALID)
-        if wrong:
-            return wrong
-        self.version, self.items = command.version, fresh
+            rejections.add(result.ResultCode.PLAN_INVALID)
+        if rejections:
+            return rejections
+        self.version, self.items = command.version, new_items
         self.taken.append((command.version, command.digest))
         return True
 
 
-def drawn(chance: random.Random, model: Model, said: list) -> operator_configuration.ApplyConfiguration:
-    """An order of some operator: new, raced, repeated, faulty."""
-    if said and chance.random() < 0.2:
-        return chance.choice(said[-12:])
-    condition = (
-        model.version if chance.random() < 0.8 else chance.choice((0, max(0, model.version - 1), model.version + 3))
-    )
-    version = model.version + (chance.randint(1, 4) if chance.random() < 0.9 else -chance.randrange(3))
-    services = [service(name, chance.choice(("", "other"))) for name in chance.sample("stuv", chance.randint(1, 4))]
+def random_order(rng: random.Random, model: Model, sent: list) -> operator_configuration.ApplyConfiguration:
+    """Return a random order of an operator: new, racing, repeated or faulty."""
+    if sent and rng.random() < 0.2:
+        return rng.choice(sent[-12:])
+    condition = model.version if rng.random() < 0.8 else rng.choice((0, max(0, model.version - 1), model.version + 3))
+    version = model.version + (rng.randint(1, 4) if rng.random() < 0.9 else -rng.randrange(3))
+    services = [service(name, rng.choice(("", "other"))) for name in rng.sample("stuv", rng.randint(1, 4))]
     routes = [
-        route(f"r{number}", chance.choice(("/", "/a/", "/b/", "/c/", "/d/", "/e/")), chance.choice("ssstuv"))
-        for number in chance.sample(range(6), chance.randrange(5))
+        route(f"r{number}", rng.choice(("/", "/a/", "/b/", "/c/", "/d/", "/e/")), rng.choice("ssstuv"))
+        for number in rng.sample(range(6), rng.randrange(5))
     ]
-    more = (
-        [operator_configuration.Item("", chance.choice(("quota", "note")), str(chance.randrange(3)))]
-        if chance.random() < 0.3
+    other_items = (
+        [operator_configuration.Item("", rng.choice(("quota", "note")), str(rng.randrange(3)))]
+        if rng.random() < 0.3
         else []
     )
-    if chance.random() < 0.5:
-        return order(version, condition, [*services, *routes, *more])
+    if rng.random() < 0.5:
+        return order(version, condition, [*services, *routes, *other_items])
     removals = [
         operator_configuration.Label(group, label)
         for group, label in (
@@ -162,52 +166,53 @@
             ("", "note"),
             ("gone", "x"),
         )
-        if chance.random() < 0.25
+        if rng.random() < 0.25
     ]
-    return order(version, condition, [*chance.sample(services, len(services) // 2), *routes[:2], *more], removals)
+    return order(version, condition, [*rng.sample(services, len(services) // 2), *routes[:2], *other_items], removals)
 
 
 def test_over_many_seeds_it_does_what_the_model_does():
-    seen = collections.Counter()
+    counts = collections.Counter()
     for seed in range(250):
-        chance = random.Random(seed)
-        store, model, said, refused = Store(), Model(), [], {}
+        rng = random.Random(seed)
+        store, model, sent, refused = Store(), Model(), [], {}
         for _ in range(40):
-            command = drawn(chance, model, said)
-            said.append(command)
+            command = random_order(rng, model, sent)
+            sent.append(command)
             before = store.state_machine.revision
             if command in refused:
-                judged_now = copy.deepcopy(model).apply(command)
-                wanted = {refused[command]} | (judged_now if isinstance(judged_now, set) else set())
-                seen["refused again"] += 1
+                result_now = copy.deepcopy(model).apply(command)
+                expected = {refused[command]} | (result_now if isinstance(result_now, set) else set())
+                counts["refused again"] += 1
             else:
-                wanted = model.apply(command)
+                expected = model.apply(command)
             reply = store.apply(command)
-            if isinstance(wanted, set):
-                assert reply in wanted, (seed, reply, wanted, command)
+            if isinstance(expected, set):
+                assert reply in expected, (seed, reply, expected, command)
                 refused.setdefault(command, reply)
-                seen[reply] += 1
+                counts[reply] += 1
             else:
-                assert reply.again == (wanted == "again"), (seed, reply, wanted, command)
+                assert reply.again == (expected == "again"), (seed, reply, expected, command)
                 assert (store.state_machine.revision == before) == reply.again
-                seen[wanted] += 1
+                counts[expected] += 1
             assert store.state_machine.configuration.version == model.version
-            found: dict[str, list] = {}
+            expected_items: dict[str, list] = {}
             for one in model.items:
-                found.setdefault(one.group, []).append((one.label, one.text))
-            assert store.items() == found, seed
+                expected_items.setdefault(one.group, []).append((one.label, one.text))
+            assert store.items() == expected_items, seed
             for kind in ("services", "http_routes"):
                 assert store.state_machine.document.get(kind, {}) == {
                     one.name: json.loads(one.spec) for one in model.items if one.kind == kind
                 }
             assert resources.check(store.state_machine.document) == ()
-            if chance.random() < 0.1:
+            if rng.random() < 0.1:
                 store.restart()
     assert (
-        seen[True] > 1000
-        and seen["refused again"] > 100
-        and min(seen["again"], seen[result.ResultCode.PLAN_INVALID], seen[result.ResultCode.REVISION_DIFFERS]) > 400
-    ), seen
+        counts[True] > 1000
+        and counts["refused again"] > 100
+        and min(counts["again"], counts[result.ResultCode.PLAN_INVALID], counts[result.ResultCode.REVISION_DIFFERS])
+        > 400
+    ), counts
 
 
 def test_of_two_orders_upon_one_version_one_wins_and_another_under_the_same_number_is_not_taken_for_it():
@@ -231,7 +236,7 @@
         and "other" in store.state_machine.document["services"]
     )
     assert store.apply(control_state.WriteResources("delete", "services", "s", "", None)).changed == 1
-    assert store.apply(order(7, 6, [service("s")])).changed == 1, "what is stated comes back"
+    assert store.apply(order(7, 6, [service("s")])).changed == 1, "the stated service was not restored"
 
 
 def test_other_writers_are_held_to_the_routes_that_stand():
@@ -256,7 +261,7 @@
     faulty = [service("s"), route("a", "/", "gone"), route("b", "/b/", "s"), route("c", "/b/", "s")]
     try:
         _, reply = control_state.ControlState().decide(order(1, 0, faulty), NOW, 1)
-        raise reply if isinstance(reply, result.RequestError) else AssertionError("taken")
+        raise reply if isinstance(reply, result.RequestError) else AssertionError("accepted")
     except result.RequestError as refusal:
         paths = {one["path"] for one in json.loads(refusal.detail)}
         assert paths == {"http_routes/a/targets/0/service", "http_routes/c/prefix"}
@@ -268,11 +273,11 @@
 
 def test_steps_lead_from_any_revision_to_what_stands_and_when_they_are_gone_the_whole_does():
     for seed in range(60):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         store, model = Store(), Model()
-        held = []
+        history = []
         for _ in range(30):
-            shown = json.loads(
+            content = json.loads(
                 json.dumps(
                     {
                         "plan": store.state_machine.document,
@@ -281,52 +286,52 @@
                     }
                 )
             )
-            held.append((store.state_machine.revision, shown, resources.of(shown["plan"], shown["version"])))
-            command = drawn(chance, model, [])
+            history.append((store.state_machine.revision, content, resources.of(content["plan"], content["version"])))
+            command = random_order(rng, model, [])
             if isinstance(store.apply(command), operator_configuration.Applied):
                 model.apply(command)
-            if chance.random() < 0.05:
+            if rng.random() < 0.05:
                 store.restart()
-            for revision, shown, typed in held[-6:]:
+            for revision, content, typed in history[-6:]:
                 read = store.state_machine.read_plan(revision)
                 assert read.revision == store.state_machine.revision
                 if read.document:
-                    shown = json.loads(read.document)
-                    typed = resources.of(shown["plan"], shown["version"])
+                    content = json.loads(read.document)
+                    typed = resources.of(content["plan"], content["version"])
                 for step in read.steps:
                     patch = json.loads(step.patch)
-                    shown = resources.merge(shown, patch)
-                    typed = resources.after(typed, shown["plan"], patch["plan"], shown["version"])
-                assert shown == {
+                    content = resources.merge(content, patch)
+                    typed = resources.after(typed, content["plan"], patch["plan"], content["version"])
+                assert content == {
                     "plan": store.state_machine.document,
                     "revisions": store.state_machine.revisions,
                     "version": model.version,
                 }
-                whole = resources.of(store.state_machine.document, model.version)
+                rebuilt = resources.of(store.state_machine.document, model.version)
                 assert (typed.services, typed.http_routes, typed.version) == (
-                    whole.services,
-                    whole.http_routes,
-                    whole.version,
+                    rebuilt.services,
+                    rebuilt.http_routes,
+                    rebuilt.version,
                 )
 
 
 def test_a_change_of_one_route_looks_at_no_other():
     store = Store()
-    many = [service("s"), *[route(f"r{number}", f"/{number}/", "s") for number in range(300)]]
-    store.apply(order(1, 0, many))
-    looked = collections.Counter()
+    items = [service("s"), *[route(f"r{number}", f"/{number}/", "s") for number in range(300)]]
+    store.apply(order(1, 0, items))
+    counts = collections.Counter()
 
     class Watched(dict):
         def __iter__(self):
-            looked["walks"] += 1
+            counts["walks"] += 1
             return super().__iter__()
 
         def items(self):
-            looked["walks"] += 1
+            counts["walks"] += 1
             return super().items()
 
         def values(self):
-            looked["walks"] += 1
+            counts["walks"] += 1
             return super().values()
 
     store.state_machine.document["http_routes"] = Watched(store.state_machine.document["http_routes"])
@@ -337,7 +342,7 @@
     )
     store.state_machine.apply(events[0])
     read = store.state_machine.read_plan(control_state.Revision(3, 1))
-    assert reply.changed == 2 and len(read.steps) == 1 and len(read.steps[0].patch) < 500 and not looked
+    assert reply.changed == 2 and len(read.steps) == 1 and len(read.steps[0].patch) < 500 and not counts
 
 
 def test_a_field_that_is_left_out_is_gone_also_at_nodes_that_learn_of_the_step():
@@ -359,17 +364,17 @@
             ],
         )
     )
-    shown = {
+    content = {
         "plan": json.loads(json.dumps(store.state_machine.document)),
         "revisions": dict(store.state_machine.revisions),
         "version": 1,
     }
-    typed, before = resources.of(shown["plan"], 1), store.state_machine.revision
+    typed, before = resources.of(content["plan"], 1), store.state_machine.revision
     store.apply(order(2, 1, [route("a", "/", "s")], []))
     patch = json.loads(store.state_machine.read_plan(before).steps[0].patch)
-    shown = resources.merge(shown, patch)
+    content = resources.merge(content, patch)
     assert typed.http_routes["a"].rank == 3
-    assert resources.after(typed, shown["plan"], patch["plan"], 2).http_routes["a"].rank == 0
+    assert resources.after(typed, content["plan"], patch["plan"], 2).http_routes["a"].rank == 0
 
 
 def test_a_service_that_a_lane_names_is_not_taken_away():
--- a/aspencroft/configuration/orders_stateful_test.py
+++ b/aspencroft/configuration/orders_stateful_test.py
@@ -1,7 +1,7 @@
-"""Random walks of the control group's state against a plain register, with snapshots, restores and lost tails anywhere.
+"""Random walks of the control group's state machine against a simple model, with snapshots and lost log tails.
 
-The walk keeps a durable log as a group does: an entry is decided, folded, and made durable or lost with the primary. A
-lost tail brings the state back to a snapshot and the durable entries behind it.
+The walk keeps a log as a replicated group does: an entry is decided, applied, and then made durable or lost with the
+primary. After a loss the state is rebuilt from a snapshot and the durable entries that follow it.
 """
 
 import json
@@ -17,13 +17,13 @@
 
 STEPS = 60
 EXAMPLES = 150
-BOUND = 8
+SMALL_RECORD_BOUND = 8
 MISSING = "gone"
 NUMBERS = hypothesis.strategies.integers
 
 
 class OrdersOnTop(hypothesis.stateful.RuleBasedStateMachine):
-    """Operators that send, race, repeat and invent orders; each reply is compared with the register's."""
+    """Operators that send, repeat and race orders; each reply is compared with the list of accepted orders."""
 
     def __init__(self):
         super().__init__()
@@ -40,26 +40,28 @@
         self.refused: set[bytes] = set()
         self.has_missing_service = False
 
-    def kept_refusals(self) -> list[refused_orders.OrderRefused]:
-        """The refusals in the log that are not superseded: the order could be taken but for them."""
-        found = [codec.untagged(one) for one in self.log]
+    def lasting_refusals(self) -> list[refused_orders.OrderRefused]:
+        """Return the rejections in the log without which their orders could still be accepted."""
+        entries = [codec.untagged(entry) for entry in self.log]
         return [
-            one for one in found if isinstance(one, refused_orders.OrderRefused) and one.condition >= self.version()
+            entry
+            for entry in entries
+            if isinstance(entry, refused_orders.OrderRefused) and entry.condition >= self.version()
         ]
 
     def version(self) -> int:
         return self.register[-1].version if self.register else 0
 
-    def say(self, command: operator_configuration.ApplyConfiguration) -> None:
-        """Decide an order, fold what comes of it, and hold the reply until the log behind it is durable.
+    def send(self, command: operator_configuration.ApplyConfiguration) -> None:
+        """Decide an order, apply its events, and hold the reply back until the log up to it is durable.
 
-        A refusal is final, wherever the condition lies and whatever another writer adds later.
+        A rejection is final, whatever the order's condition is and whatever another writer adds later.
         """
         self.sent.append(command)
         before = self.state.snapshot()
         repeated = command in self.register
         lost_record = command.version <= self.state.configuration.taken.horizon
-        told_before = [one.result for one in self.kept_refusals() if one.digest == command.digest]
+        told_before = [one.result for one in self.lasting_refusals() if one.digest == command.digest]
         events: tuple = ()
         try:
             events, reply = self.state.decide(codec.untagged(codec.tagged(command)), None, self.epoch)
@@ -67,7 +69,7 @@
                 raise reply
         except result.RequestError as refusal:
             assert self.state.snapshot() == before
-            assert not repeated or refusal.ran is result.Ran.UNKNOWN, "an order that was taken was refused"
+            assert not repeated or refusal.ran is result.Ran.UNKNOWN, "an order that was accepted was rejected"
             if refusal.result is result.ResultCode.REVISION_DIFFERS:
                 assert command.condition != self.version() or refusal.result.number in told_before
             elif refusal.result is result.ResultCode.OUTCOME_UNKNOWN:
@@ -80,7 +82,7 @@
                 self.state.apply(codec.untagged(self.log[-1]))
             self.pending.append((command, refusal))
             return
-        assert not told_before, "an order that was refused was taken"
+        assert not told_before, "an order that was rejected was accepted"
         assert reply.again == repeated
         assert repeated == (not events)
         if events:
@@ -93,28 +95,28 @@
 
     @hypothesis.stateful.rule(ahead=NUMBERS(1, 4), mark=NUMBERS(0, 3), fault=NUMBERS(0, 9), whole=NUMBERS(0, 1))
     def order_on_top(self, ahead, mark, fault, whole):
-        self.say(drawn(self.version() + ahead, self.version(), mark, fault == 0, bool(whole)))
+        self.send(order_with(self.version() + ahead, self.version(), mark, fault == 0, bool(whole)))
 
     @hypothesis.stateful.rule(behind=NUMBERS(-2, 4), ahead=NUMBERS(-2, 4), mark=NUMBERS(0, 3))
     def order_elsewhere(self, behind, ahead, mark):
         condition = max(0, self.version() - behind)
-        self.say(drawn(max(0, condition + ahead), condition, mark, False, True))
+        self.send(order_with(max(0, condition + ahead), condition, mark, False, True))
 
     @hypothesis.stateful.precondition(lambda self: self.sent)
     @hypothesis.stateful.rule(place=NUMBERS(0, 1 << 16))
     def repeat_any(self, place):
-        self.say(self.sent[place % len(self.sent)])
+        self.send(self.sent[place % len(self.sent)])
 
     @hypothesis.stateful.precondition(lambda self: self.register)
     @hypothesis.stateful.rule(place=NUMBERS(0, 1 << 16))
     def repeat_taken(self, place):
-        self.say(self.register[place % len(self.register)])
+        self.send(self.register[place % len(self.register)])
 
     @hypothesis.stateful.precondition(lambda self: self.register)
     @hypothesis.stateful.rule(place=NUMBERS(0, 1 << 16), shift=NUMBERS(-2, 2))
     def same_content_on_another_version(self, place, shift):
         known = self.register[place % len(self.register)]
-        self.say(drawn(known.version, max(0, known.condition + shift), 0, False, True))
+        self.send(order_with(known.version, max(0, known.condition + shift), 0, False, True))
 
     @hypothesis.stateful.rule(name=NUMBERS(0, 2))
     def another_writer(self, name):
@@ -126,7 +128,7 @@
 
     @hypothesis.stateful.rule(there=NUMBERS(0, 1))
     def another_writer_of_the_missing_service(self, there):
-        """It comes and goes while no configuration names it, so that an order refused for want of it becomes valid."""
+        """Add or remove the missing service, so that an order that was rejected for lack of it becomes valid."""
         body = json.dumps({"services": {MISSING: {"kind": "plain"} if there else None}})
         try:
             events, _ = self.state.decide(control_state.WriteResources("merge", "", "", body, None), None, self.epoch)
@@ -139,21 +141,21 @@
 
     @hypothesis.stateful.rule()
     def all_members_hold_it(self):
-        """The log is durable: replies are handed out; this is the only place where an operator learns of anything."""
+        """Make the log durable and deliver the pending replies; operators receive replies nowhere else."""
         self.durable = len(self.log)
         for command, reply in self.pending:
             if isinstance(reply, operator_configuration.Applied):
-                assert command.digest not in self.refused, "acknowledged after it was refused"
+                assert command.digest not in self.refused, "acknowledged after it was rejected"
                 assert self.acknowledged.setdefault(command.version, command.digest) == command.digest
                 assert self.bases.setdefault(command.condition, command.digest) == command.digest
             elif reply.ran is not result.Ran.UNKNOWN:
-                assert command.digest not in self.acknowledged.values(), "refused after it was acknowledged"
+                assert command.digest not in self.acknowledged.values(), "rejected after it was acknowledged"
                 self.refused.add(command.digest)
         self.pending = []
 
     @hypothesis.stateful.rule()
     def the_primary_is_lost(self):
-        """The next one begins at the durable log: what was only pending is gone and its replies were never given."""
+        """Continue from the durable log: pending entries are lost and their replies are never delivered."""
         self.log = self.log[: self.durable]
         taken = [codec.untagged(one) for one in self.log]
         count = sum(isinstance(one, control_state.ConfigurationTaken) for one in taken)
@@ -169,7 +171,7 @@
 
     @hypothesis.stateful.rule()
     def draw_snapshot(self):
-        """A snapshot covers what is durable; the state goes on from it as a restarted member would."""
+        """Take a snapshot of the durable state and continue from it, as a restarted member would."""
         if self.durable == len(self.log):
             self.base = (self.state.snapshot(), self.durable)
             fresh = control_state.ControlState()
@@ -179,20 +181,20 @@
 
     @hypothesis.stateful.invariant()
     def what_stands_is_the_newest_taken(self):
-        """The read-back is the very content of the winner of the newest version."""
+        """The stored items are exactly those of the order that was accepted for the newest version."""
         assert self.state.configuration.version == self.version()
-        wanted: dict[tuple[str, str], str] = {}
+        expected: dict[tuple[str, str], str] = {}
         for command in self.register[-self.since_whole() :] if self.register else ():
             if command.whole:
-                wanted = {}
+                expected = {}
             for one in command.removals:
-                wanted.pop((one.group, one.label), None)
-            wanted.update(((one.group, one.label), one.text) for one in command.upserts)
+                expected.pop((one.group, one.label), None)
+            expected.update(((one.group, one.label), one.text) for one in command.upserts)
         found = {(one.group, one.label): one.text for one in self.state.configuration.read().items}
-        assert found == wanted
+        assert found == expected
 
     def since_whole(self) -> int:
-        """How many of the taken orders make what stands: those since the last whole one, that one included."""
+        """Return how many accepted orders make up the current content: the last whole one and all after it."""
         count = 0
         for command in reversed(self.register):
             count += 1
@@ -201,10 +203,10 @@
         return count
 
 
-def drawn(
+def order_with(
     version: int, condition: int, mark: int, faulty: bool, whole: bool
 ) -> operator_configuration.ApplyConfiguration:
-    """An order whose content depends on a mark; a faulty one names a service that is not there."""
+    """Return an order whose content depends on a mark; a faulty one names a service that does not exist."""
     items = [service("s", f"words {mark}"), route("r", f"/{mark}/", MISSING if faulty else "s")]
     return order(version, condition, items, None if whole else [])
 
@@ -214,8 +216,8 @@
     return any(MISSING in one.spec for one in command.upserts)
 
 
-def walk() -> None:
-    """Walk at random; a walk that fails is shown as it is, since making it shorter takes minutes."""
+def run_random_walks() -> None:
+    """Run random walks; a failing walk is shown as it is, as shrinking it takes minutes."""
     settings = hypothesis.settings(
         max_examples=EXAMPLES,
         stateful_step_count=STEPS,
@@ -228,9 +230,9 @@
 
 
 def test_no_walk_refuses_a_taken_order_or_takes_two_on_one_version():
-    walk()
+    run_random_walks()
 
 
 def test_no_walk_does_so_either_where_the_record_of_orders_is_outrun(monkeypatch):
-    monkeypatch.setattr(taken_orders, "MOST_RECORDS", BOUND)
-    walk()
+    monkeypatch.setattr(taken_orders, "MOST_RECORDS", SMALL_RECORD_BOUND)
+    run_random_walks()
--- a/aspencroft/configuration/refused_orders_test.py
+++ b/aspencroft/configuration/refused_orders_test.py
@@ -1,4 +1,4 @@
-"""Tests of ``aspencroft.configuration.refused_orders``, through the control group's state."""
+"""Tests of ``aspencroft.configuration.refused_orders`` through the control group's state machine."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 def send(state: control_state.ControlState, command: operator_configuration.ApplyConfiguration) -> object:
-    """Decide an order and fold what comes of it; the reply, which may be a refusal."""
+    """Decide an order, apply its events and return the reply, which may be a rejection."""
     try:
         events, reply = state.decide(command, None, 1)
     except result.RequestError as refusal:
@@ -28,10 +28,10 @@
 
 
 def restored(state: control_state.ControlState) -> control_state.ControlState:
-    fresh = control_state.ControlState()
-    fresh.restore(state.snapshot())
-    assert fresh.snapshot() == state.snapshot()
-    return fresh
+    copy = control_state.ControlState()
+    copy.restore(state.snapshot())
+    assert copy.snapshot() == state.snapshot()
+    return copy
 
 
 def configured() -> control_state.ControlState:
@@ -53,7 +53,7 @@
     assert code(send(state, ahead)) is result.ResultCode.REVISION_DIFFERS
     assert state.configuration.version == 3
     assert not isinstance(send(state, order(4, 3, [service("s", "fourth")])), result.RequestError)
-    assert len(state.configuration.refused) == 0, "what can never be taken is forgotten"
+    assert len(state.configuration.refused) == 0, "rejections of orders that can never be accepted are discarded"
     assert code(send(state, ahead)) is result.ResultCode.REVISION_DIFFERS
 
 
@@ -81,7 +81,9 @@
         assert code(send(state, order(9 + number, 8, [service("s", "x")]))) is result.ResultCode.REVISION_DIFFERS
     assert code(send(state, order(20, 8, [service("s", "x")]))) is result.ResultCode.OUTCOME_UNKNOWN
     assert code(send(state, order(9, 8, [service("s", "x")]))) is result.ResultCode.REVISION_DIFFERS
-    assert code(send(state, order(9, 0, [service("s", "x")]))) is result.ResultCode.REVISION_DIFFERS, "never takeable"
+    assert code(send(state, order(9, 0, [service("s", "x")]))) is result.ResultCode.REVISION_DIFFERS, (
+        "the order can never be accepted"
+    )
 
 
 def test_a_snapshot_of_earlier_software_has_no_refusals():
--- a/aspencroft/configuration/route_table_test.py
+++ b/aspencroft/configuration/route_table_test.py
@@ -1,4 +1,4 @@
-"""The route table against a look at all routes, and its cost."""
+"""Tests of ``aspencroft.configuration.route_table``, against a linear search and for the cost of a lookup."""
 
 import random
 
@@ -24,53 +24,53 @@
 )
 
 
-def slow_match(routes: dict, host: str, path: str):
-    """The longest prefix that begins the path, among all routes of the host.
+def match_by_linear_search(routes: dict, host: str, path: str):
+    """Return the route with the longest matching prefix by a linear search over the host's routes.
 
-    Example: ``slow_match({}, "h", "/") is None``
+    Example: ``match_by_linear_search({}, "h", "/") is None``
     """
-    found = [
-        one
-        for one in routes.values()
-        if http_route.bare(one.host) == http_route.bare(host) and path.startswith(one.prefix)
+    matching = [
+        route
+        for route in routes.values()
+        if http_route.bare(route.host) == http_route.bare(host) and path.startswith(route.prefix)
     ]
-    return max(found, key=lambda one: len(one.prefix), default=None)
+    return max(matching, key=lambda route: len(route.prefix), default=None)
 
 
 def spec(host: str, prefix: str, service: str) -> dict:
-    """A route's resource."""
+    """Return the specification of a route."""
     return {"host": host, "prefix": prefix, "targets": [{"service": service}]}
 
 
 def test_changed_step_by_step_it_finds_what_a_look_at_all_routes_finds():
-    found = 0
+    match_count = 0
     for seed in range(150):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         document: dict = {"http_routes": {}}
         typed = resources.of(document)
         for step in range(12):
-            old = typed, dict(document["http_routes"])
-            patch: dict = {name: None for name in document["http_routes"] if chance.random() < 0.2}
-            fresh = {name: one for name, one in document["http_routes"].items() if name not in patch}
-            for number in range(chance.randrange(4)):
-                host, prefix = chance.choice(("h", "H2", "g:80")), chance.choice(PREFIXES)
-                if all((one["host"], one["prefix"]) != (host, prefix) for one in fresh.values()):
-                    name = chance.choice((f"r{step}-{number}", *[one for one in fresh if chance.random() < 0.3]))
-                    fresh[name] = patch[name] = spec(host, prefix, chance.choice("st"))
-            document = {"http_routes": fresh}
+            previous = typed, dict(document["http_routes"])
+            patch: dict = {name: None for name in document["http_routes"] if rng.random() < 0.2}
+            new_routes = {name: one for name, one in document["http_routes"].items() if name not in patch}
+            for number in range(rng.randrange(4)):
+                host, prefix = rng.choice(("h", "H2", "g:80")), rng.choice(PREFIXES)
+                if all((one["host"], one["prefix"]) != (host, prefix) for one in new_routes.values()):
+                    name = rng.choice((f"r{step}-{number}", *[one for one in new_routes if rng.random() < 0.3]))
+                    new_routes[name] = patch[name] = spec(host, prefix, rng.choice("st"))
+            document = {"http_routes": new_routes}
             typed = resources.after(typed, document, {"http_routes": patch}, step)
-            for held, routes in (old, (typed, fresh)):
-                assert held.http_routes == {name: http_route.of(name, one) for name, one in routes.items()}
+            for configuration, routes in (previous, (typed, new_routes)):
+                assert configuration.http_routes == {name: http_route.of(name, one) for name, one in routes.items()}
                 for host in ("h", "H:1", "h2", "g", "G:80", "x", ""):
                     for path in PATHS:
-                        wanted = slow_match(held.http_routes, host, path)
-                        assert held.route_table.match(host, path) is wanted, (seed, host, path)
-                        found += wanted is not None
-            whole = resources.of(document, step)
-            assert {host: one.routes for host, one in whole.route_table.hosts.items()} == {
+                        expected = match_by_linear_search(configuration.http_routes, host, path)
+                        assert configuration.route_table.match(host, path) is expected, (seed, host, path)
+                        match_count += expected is not None
+            rebuilt = resources.of(document, step)
+            assert {host: one.routes for host, one in rebuilt.route_table.hosts.items()} == {
                 host: one.routes for host, one in typed.route_table.hosts.items()
             }
-    assert found > 10_000
+    assert match_count > 10_000
 
 
 def test_a_path_of_many_slashes_is_cut_no_oftener_than_the_deepest_prefix_is_deep():
--- a/aspencroft/configuration/taken_orders_test.py
+++ b/aspencroft/configuration/taken_orders_test.py
@@ -1,4 +1,4 @@
-"""The record of taken orders: found by version, bounded, with a horizon below which nothing is called refused."""
+"""Tests of ``aspencroft.configuration.taken_orders``: lookup by version, the bound of the record and its horizon."""
 
 import json
 
@@ -14,60 +14,60 @@
 
 
 def test_each_of_a_long_day_is_found_with_its_digest_and_revision_and_no_other_is():
-    held = taken_orders.TakenOrders()
+    record = taken_orders.TakenOrders()
     versions = [number * 3 + number % 2 for number in range(1, 23_001)]
     for version in versions:
-        held.add(taken(version))
-    assert len(held) == 23_000 and held.horizon == 0
+        record.add(taken(version))
+    assert len(record) == 23_000 and record.horizon == 0
     for version in versions:
-        assert held.find(version) == taken(version)
-    assert not any(held.find(version + 1) for version in versions)
-    assert held.find(0) is None and held.find(versions[-1] + 1) is None
-    assert len(json.dumps(held.snapshot())) < 23_000 * 56
+        assert record.find(version) == taken(version)
+    assert not any(record.find(version + 1) for version in versions)
+    assert record.find(0) is None and record.find(versions[-1] + 1) is None
+    assert len(json.dumps(record.snapshot())) < 23_000 * 56
 
 
 def test_it_is_whole_after_a_snapshot_at_any_size():
-    held = taken_orders.TakenOrders()
+    record = taken_orders.TakenOrders()
     for version in range(1, 60):
-        fresh = taken_orders.TakenOrders()
-        fresh.restore(json.loads(json.dumps(held.snapshot())))
-        assert fresh.snapshot() == held.snapshot() and len(fresh) == len(held)
-        assert all(fresh.find(one) == held.find(one) for one in range(version + 2))
-        held.add(taken(version))
+        restored = taken_orders.TakenOrders()
+        restored.restore(json.loads(json.dumps(record.snapshot())))
+        assert restored.snapshot() == record.snapshot() and len(restored) == len(record)
+        assert all(restored.find(one) == record.find(one) for one in range(version + 2))
+        record.add(taken(version))
 
 
 def test_at_its_bound_the_oldest_go_and_the_horizon_says_so(monkeypatch):
     monkeypatch.setattr(taken_orders, "MOST_RECORDS", 10)
-    held = taken_orders.TakenOrders()
+    record = taken_orders.TakenOrders()
     for version in range(2, 42, 2):
-        held.add(taken(version))
-    assert len(held) == 10 and held.horizon == 20
-    assert held.forgotten(20) and not held.forgotten(21)
-    assert held.find(20) is None and held.find(22) == taken(22)
-    fresh = taken_orders.TakenOrders()
-    fresh.restore(held.snapshot())
-    assert fresh.horizon == 20
+        record.add(taken(version))
+    assert len(record) == 10 and record.horizon == 20
+    assert record.forgotten(20) and not record.forgotten(21)
+    assert record.find(20) is None and record.find(22) == taken(22)
+    restored = taken_orders.TakenOrders()
+    restored.restore(record.snapshot())
+    assert restored.horizon == 20
 
 
 def test_a_list_of_earlier_software_is_read_and_a_full_one_has_a_horizon():
     for count, horizon in ((0, 0), (255, 0), (256, 6)):
-        shown = [[number + 7, taken(number).digest.hex(), f"1.{number}"] for number in range(count)]
-        held = taken_orders.TakenOrders()
-        held.restore(shown)
-        assert len(held) == count and held.horizon == horizon
-        assert all(held.find(number + 7).digest == taken(number).digest for number in range(count))
+        old_snapshot = [[number + 7, taken(number).digest.hex(), f"1.{number}"] for number in range(count)]
+        record = taken_orders.TakenOrders()
+        record.restore(old_snapshot)
+        assert len(record) == count and record.horizon == horizon
+        assert all(record.find(number + 7).digest == taken(number).digest for number in range(count))
 
 
 def test_every_order_of_a_long_day_is_known_again_also_after_a_restart_and_never_taken_twice():
-    view = control_state.ControlState()
+    state = control_state.ControlState()
     orders = [order(number + 1, number, [service("s", f"words {number}")]) for number in range(3000)]
     for command in orders:
-        events, _ = view.decide(command, None, 3)
-        view.apply(events[0])
-    fresh = control_state.ControlState()
-    fresh.restore(view.snapshot())
+        events, _ = state.decide(command, None, 3)
+        state.apply(events[0])
+    restored = control_state.ControlState()
+    restored.restore(state.snapshot())
     for command in orders:
-        events, reply = fresh.decide(command, None, 4)
+        events, reply = restored.decide(command, None, 4)
         assert events == () and reply.again and reply.revision == f"3.{command.version}"
 
 
--- a/aspencroft/power/__init__.py
+++ b/aspencroft/power/__init__.py
@@ -1,1 +1,1 @@
-"""Machines that sleep while idle."""
+"""Putting idle machines to sleep and waking them."""
--- a/aspencroft/power/machine_power.py
+++ b/aspencroft/power/machine_power.py
@@ -1,4 +1,4 @@
-"""The rest duty: empties machines, lets them sleep when traffic allows, wakes them on load."""
+"""The power role: drains machines, lets them sleep when traffic allows it, and wakes them on load."""
 
 import asyncio
 import collections
@@ -19,18 +19,18 @@
 TOPIC = "quiet"
 WINDOW = clock.seconds(10)
 STEP = clock.seconds(1)
-EMPTYING = clock.seconds(3)
-FIRST_WAKE = clock.seconds(3)
-TREND = 6
+DRAIN_TIME = clock.seconds(3)
+INITIAL_WAKE_TIME = clock.seconds(3)
+TREND_STEPS = 6
 
 
 class Rest:
-    """The work of the duty's holder.
+    """The work of the role's holder.
 
-    A machine on the quiet list first gets no new calls; it is put to sleep once it had time to empty and a
-    report that the residency duty read afterwards shows nothing in flight. A machine that is needed stays on
-    the list until it says that it is awake; the order to wake is said again each step until then, and while
-    one does not wake another is woken besides. A new holder goes on from the list that was published.
+    A machine on the quiet list first gets no new calls. It is put to sleep after its drain time, once a report that
+    the residency role read after that shows nothing in flight. A machine that is needed stays on the list until it
+    reports that it is awake; the wake order is repeated in each step until then, and while a machine fails to wake,
+    another one is woken as well. A new holder continues from the published list.
     """
 
     def __init__(self, own: node.Node, back: adapter.Adapter):
@@ -47,22 +47,22 @@
         self.asleep: set[str] = set()
         self.waking: dict[str, int] = {}
         self.marks: dict[str, tuple[int, int]] = {}
-        self.demands: collections.deque[float] = collections.deque(maxlen=TREND)
-        self.wake_time = FIRST_WAKE
+        self.demands: collections.deque[float] = collections.deque(maxlen=TREND_STEPS)
+        self.wake_time = INITIAL_WAKE_TIME
         self.changed = clock.ZERO
         self.started = clock.ZERO
         self.hurry = asyncio.Event()
         self.counts = {"slept": 0, "woken": 0, "orders failed": 0}
 
     async def run(self) -> None:
-        """Compete for the duty and do it while it is held."""
+        """Compete for the role and do its work while holding it."""
         async with supervision.Group() as group:
             group.create_task(supervision.stand("rest duty", self.duty.run, self.node.standing))
             group.create_task(supervision.stand("rest hear", self.hear, self.node.standing))
             group.create_task(supervision.stand("rest work", self.work, self.node.standing))
 
     async def hear(self) -> None:
-        """Take word from edges: how long workers worked, and which sleeping ones are needed."""
+        """Receive messages from edges: how long workers were busy, and which sleeping workers are needed."""
         while True:
             message = await self.duty.inbox.get()
             if isinstance(message, messages.Called):
@@ -72,7 +72,7 @@
                 self.hurry.set()
 
     async def work(self) -> None:
-        """One step a second, at once when a sleeping machine is needed."""
+        """Do one step per second, or at once if a sleeping machine is needed."""
         while True:
             try:
                 async with clock.limit(STEP):
@@ -86,26 +86,28 @@
             try:
                 await self.step(clock.now())
             except result.RequestError as refusal:
-                LOG.info("{}", refusal)
+                LOG.info("power step failed: {}", refusal)
 
     def take_over(self, now: datetime.timedelta) -> None:
-        """Go on from the published list; a new holder first listens for a whole window."""
-        known = self.node.relay.topics.get(TOPIC)
-        shown = json.loads(known.body) if known is not None else {}
-        self.quiet, self.asleep = frozenset(shown.get("workers", ())), set(shown.get("asleep", ()))
+        """Continue from the published list; a new holder first collects load for a whole window."""
+        published = self.node.relay.topics.get(TOPIC)
+        content = json.loads(published.body) if published is not None else {}
+        self.quiet, self.asleep = frozenset(content.get("workers", ())), set(content.get("asleep", ()))
         self.since = dict.fromkeys(self.quiet, now)
         self.waking, self.marks, self.started, self.changed = {}, {}, now, now
         self.demands.clear()
 
     async def step(self, now: datetime.timedelta) -> None:
-        """Decide the list one step on, publish it, then wake or put to sleep."""
+        """Compute the next quiet list, publish it, then wake machines or put them to sleep."""
         if self.started == clock.ZERO:
             self.take_over(now)
         while self.served and now - self.served[0][0] > WINDOW:
             self.served.popleft()
-        found = await self.adapter.workers(self.node.settings.workers) if self.node.settings.workers else ()
-        targets = {one.name: one for one in found if one.kind == worker.MODEL}
-        leaving = {one.name for one in found if one.leaving} | self.node.relay.configuration.leaving
+        workers = await self.adapter.workers(self.node.settings.workers) if self.node.settings.workers else ()
+        targets = {found_worker.name: found_worker for found_worker in workers if found_worker.kind == worker.MODEL}
+        leaving = {
+            found_worker.name for found_worker in workers if found_worker.leaving
+        } | self.node.relay.configuration.leaving
         self.decide(now, targets, leaving)
         await self.publish()
         async with supervision.Group() as group:
@@ -117,78 +119,80 @@
         await self.publish()
 
     def decide(self, now: datetime.timedelta, targets: dict[str, worker.Worker], leaving: frozenset[str]) -> None:
-        """The quiet list one step on, and which machines are to be woken."""
-        worked = collections.Counter()
+        """Compute the next quiet list and the machines to wake."""
+        busy_seconds = collections.Counter()
         for _, name, seconds in self.served:
-            worked[name] += seconds
+            busy_seconds[name] += seconds
         machines = tuple(
-            sleeping_machines.Machine(one.name, one.services, one.places, worked[one.name])
-            for one in targets.values()
-            if one.name not in leaving
+            sleeping_machines.Machine(machine.name, machine.services, machine.places, busy_seconds[machine.name])
+            for machine in targets.values()
+            if machine.name not in leaving
         )
-        names = {one.name for one in machines}
+        names = {machine.name for machine in machines}
         self.asleep &= set(targets)
-        self.waking = {name: tries for name, tries in self.waking.items() if name in self.quiet & names}
-        listed = (self.quiet & names) - set(self.waking)
-        awake = tuple(one for one in machines if one.name not in self.quiet)
+        self.waking = {name: failures for name, failures in self.waking.items() if name in self.quiet & names}
+        quiet_targets = (self.quiet & names) - set(self.waking)
+        awake = tuple(machine for machine in machines if machine.name not in self.quiet)
         self.demands.append(sleeping_machines.demand(awake, WINDOW))
         wanted = frozenset(self.wanted) & self.quiet
         self.wanted.clear()
-        calm = now - max(self.changed, self.started) > sleeping_machines.CALM and not self.waking
+        may_grow = now - max(self.changed, self.started) > sleeping_machines.MIN_STABLE_TIME and not self.waking
         if self.node.control("keep_awake", False):
             wanted |= self.quiet
-        calm = calm and not self.node.control("hold_moves", False) and not self.node.control("keep_awake", False)
-        fresh = sleeping_machines.next_list(
+        may_grow = (
+            may_grow and not self.node.control("hold_moves", False) and not self.node.control("keep_awake", False)
+        )
+        next_quiet = sleeping_machines.next_list(
             machines,
-            listed,
+            quiet_targets,
             wanted,
             WINDOW,
-            calm,
+            may_grow,
             sleeping_machines.forecast(tuple(self.demands), STEP, self.wake_time),
         )
-        woken = listed - fresh
-        if any(tries > 0 for tries in self.waking.values()) and not woken:
-            woken = frozenset(sorted(listed)[:1])
+        woken = quiet_targets - next_quiet
+        if any(failures > 0 for failures in self.waking.values()) and not woken:
+            woken = frozenset(sorted(quiet_targets)[:1])
         for name in woken:
             self.waking.setdefault(name, 0)
-        added = fresh - self.quiet
-        if woken or added:
+        newly_quiet = next_quiet - self.quiet
+        if woken or newly_quiet:
             self.changed = now
-        self.since.update(dict.fromkeys(added, now))
-        self.quiet = (fresh - woken) | set(self.waking) | (self.asleep - names)
+        self.since.update(dict.fromkeys(newly_quiet, now))
+        self.quiet = (next_quiet - woken) | set(self.waking) | (self.asleep - names)
 
     async def wake(self, target: worker.Worker) -> None:
-        """Say that a machine is needed; it leaves the list once it says that it is awake."""
+        """Order a machine to wake; it leaves the quiet list once it reports that it is awake."""
         if not self.duty.has_lease():
             return
         try:
-            left = await self.adapter.rest(target, False)
+            time_left = await self.adapter.rest(target, False)
         except result.RequestError as refusal:
             self.counts["orders failed"] += 1
             self.waking[target.name] += 1
-            LOG.info("waking {}: {}", target.name, refusal)
+            LOG.info("waking machine {} failed, retrying in the next step: {}", target.name, refusal)
             return
-        self.wake_time = max(self.wake_time, left)
+        self.wake_time = max(self.wake_time, time_left)
         self.waking[target.name] = 0
         self.asleep.discard(target.name)
-        if left <= clock.ZERO:
+        if time_left <= clock.ZERO:
             self.counts["woken"] += 1
             del self.waking[target.name]
             self.quiet -= {target.name}
             self.marks.pop(target.name, None)
 
     def emptied(self, name: str, now: datetime.timedelta) -> bool:
-        """Whether a machine had its time, and a report read after that shows nothing in flight."""
-        known = self.node.relay.topics.get(residency.TOPIC)
-        shown = json.loads(known.body) if known is not None else {}
-        seen = shown.get("emptying", {}).get(name)
-        if seen is None or now - self.since[name] <= EMPTYING:
+        """Whether a machine's drain time is over and a report read after that shows nothing in flight."""
+        published = self.node.relay.topics.get(residency.TOPIC)
+        content = json.loads(published.body) if published is not None else {}
+        report = content.get("emptying", {}).get(name)
+        if report is None or now - self.since[name] <= DRAIN_TIME:
             return False
-        mark = (shown["epoch"], seen["reports"])
-        return self.marks.setdefault(name, mark) != mark and seen["busy"] == 0
+        mark = (content["epoch"], report["reports"])
+        return self.marks.setdefault(name, mark) != mark and report["busy"] == 0
 
     async def put_to_sleep(self, target: worker.Worker) -> None:
-        """Let a machine sleep that was drained."""
+        """Put a drained machine to sleep."""
         if not self.duty.has_lease():
             return
         try:
@@ -197,10 +201,10 @@
             self.counts["slept"] += 1
         except result.RequestError as refusal:
             self.counts["orders failed"] += 1
-            LOG.info("putting {} to sleep: {}", target.name, refusal)
+            LOG.info("putting machine {} to sleep failed: {}", target.name, refusal)
 
     async def publish(self) -> None:
-        """Give the list to the root of the relay tree."""
+        """Send the list to the root of the relay tree if it changed."""
         body = json.dumps(
             {
                 "holder": self.node.address,
@@ -209,6 +213,6 @@
                 "asleep": sorted(self.asleep),
             }
         )
-        known = self.node.relay.topics.get(TOPIC)
-        if known is None or known.body != body:
+        published = self.node.relay.topics.get(TOPIC)
+        if published is None or published.body != body:
             await residency.publish(self.node, self.duty, TOPIC, body)
--- a/aspencroft/power/sleeping_machines.py
+++ b/aspencroft/power/sleeping_machines.py
@@ -1,18 +1,18 @@
-"""The quiet list: which machines may sleep while the traffic allows it."""
+"""The quiet list: the machines that get no new calls, so that they can sleep while traffic is low."""
 
 import dataclasses
 import datetime
 
 from aspencroft.runtime import clock
 
-LOW, HIGH = 0.25, 0.6
-LEAST_AWAKE = 2
-CALM = clock.seconds(8)
+LOW_DEMAND, HIGH_DEMAND = 0.25, 0.6
+MIN_AWAKE = 2
+MIN_STABLE_TIME = clock.seconds(8)
 
 
 @dataclasses.dataclass(frozen=True)
 class Machine:
-    """A machine that could sleep: its services, places, and the seconds it worked in the window."""
+    """A machine that may sleep: its services, its concurrent places, and its busy seconds in the window."""
 
     name: str
     services: tuple[str, ...]
@@ -21,15 +21,15 @@
 
 
 def demand(machines: tuple[Machine, ...], window: datetime.timedelta) -> float:
-    """The share of the machines' places that was used in the window."""
-    places = sum(one.places for one in machines)
-    return sum(one.worked for one in machines) / (places * window.total_seconds()) if places else 1.0
+    """Return the share of the machines' capacity that was used in the window."""
+    places = sum(machine.places for machine in machines)
+    return sum(machine.worked for machine in machines) / (places * window.total_seconds()) if places else 1.0
 
 
 def forecast(demands: tuple[float, ...], step: datetime.timedelta, wake_time: datetime.timedelta) -> float:
-    """The demand expected once a machine that is woken now could serve: the last trend goes on.
+    """Return the demand expected when a machine that is woken now could serve, by linear extrapolation.
 
-    A falling demand is not trusted: the newest one is the least that is expected.
+    A falling trend is ignored: the forecast is never below the newest demand.
     """
     if len(demands) < 2:
         return demands[-1] if demands else 0.0
@@ -45,22 +45,25 @@
     calm: bool,
     expected: float = 0.0,
 ) -> frozenset[str]:
-    """The quiet list one step on: at most one machine more, or as many fewer as the demand asks for.
+    """Return the next quiet list, with at most one machine more, or fewer machines as demand requires.
 
-    Every service keeps a machine awake, and at least two stay awake in all. ``expected`` is the forecast.
+    Every service keeps at least one machine awake, and at least two machines stay awake in total. ``expected`` is the
+    forecast of the demand.
     """
-    awake = tuple(one for one in machines if one.name not in quiet)
-    needed = max(demand(awake, window), expected)
-    if wanted or needed > HIGH or len(awake) < LEAST_AWAKE:
+    awake = tuple(candidate for candidate in machines if candidate.name not in quiet)
+    expected_demand = max(demand(awake, window), expected)
+    if wanted or expected_demand > HIGH_DEMAND or len(awake) < MIN_AWAKE:
         asleep = sorted(quiet - wanted)
-        woken = set(wanted) | set(asleep[:1] if needed > HIGH or len(awake) < LEAST_AWAKE else ())
-        return frozenset(one for one in quiet if one not in woken)
-    if not calm or needed >= LOW or len(awake) <= LEAST_AWAKE:
+        woken = set(wanted) | set(asleep[:1] if expected_demand > HIGH_DEMAND or len(awake) < MIN_AWAKE else ())
+        return frozenset(candidate for candidate in quiet if candidate not in woken)
+    if not calm or expected_demand >= LOW_DEMAND or len(awake) <= MIN_AWAKE:
         return quiet
-    for one in sorted(awake, key=lambda machine: (machine.worked, machine.name)):
-        rest = tuple(other for other in awake if other != one)
-        covered = {service for other in rest for service in other.services}
-        if set(one.services) <= covered and demand(rest, window) < HIGH:
-            if sum(one.worked for one in awake) <= HIGH * window.total_seconds() * sum(m.places for m in rest):
-                return quiet | {one.name}
+    for candidate in sorted(awake, key=lambda machine: (machine.worked, machine.name)):
+        others = tuple(other for other in awake if other != candidate)
+        covered = {service for other in others for service in other.services}
+        if set(candidate.services) <= covered and demand(others, window) < HIGH_DEMAND:
+            if sum(machine.worked for machine in awake) <= HIGH_DEMAND * window.total_seconds() * sum(
+                other.places for other in others
+            ):
+                return quiet | {candidate.name}
     return quiet
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -340,14 +340,14 @@
     Mutation(
         "a machine is drawn while it wakes",
         "power/machine_power.py",
-        "        if left <= clock.ZERO:\n",
+        "        if time_left <= clock.ZERO:\n",
         "        if True:\n",
         ("simulation/resting_test.py::test_a_machine_is_not_drawn_before_it_is_awake_and_wakes_with_nothing_held",),
     ),
     Mutation(
         "a machine sleeps without a look at what is in flight",
         "power/machine_power.py",
-        '        return self.marks.setdefault(name, mark) != mark and seen["busy"] == 0\n',
+        '        return self.marks.setdefault(name, mark) != mark and report["busy"] == 0\n',
         "        return self.marks.setdefault(name, mark) != mark or True\n",
         ("simulation/resting_test.py",),
     ),
--- a/aspencroft/tracing/__init__.py
+++ b/aspencroft/tracing/__init__.py
@@ -1,1 +1,1 @@
-"""What happened to each request, for operators."""
+"""Request traces and metric samples, for operators."""
--- a/aspencroft/tracing/sample.py
+++ b/aspencroft/tracing/sample.py
@@ -1,4 +1,4 @@
-"""Samples: what a node says of itself in numbers, for /metrics and for alert rules."""
+"""Metric samples of a node, for /metrics and for alert rules."""
 
 import dataclasses
 
@@ -17,7 +17,7 @@
 @codec.kind(171)
 @dataclasses.dataclass(frozen=True)
 class Sample:
-    """One number under a metric's name and labels."""
+    """One value of a metric, with the metric's name and labels."""
 
     name: str
     labels: tuple[Label, ...]
@@ -34,5 +34,5 @@
 
 
 def sample(name: str, value: float, **labels: str) -> Sample:
-    """A sample with labels by name."""
+    """Return a sample whose labels are given as keyword arguments."""
     return Sample(name, tuple(Label(key, labels[key]) for key in sorted(labels)), float(value))
--- a/aspencroft/tracing/trace.py
+++ b/aspencroft/tracing/trace.py
@@ -1,4 +1,4 @@
-"""What a request leaves behind: why it went where it went."""
+"""Request traces, which show how and why a request was routed as it was."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
 @codec.kind(150)
 @dataclasses.dataclass(frozen=True)
 class Line:
-    """One thing that happened to a request, by the node's clock since the request came."""
+    """One event of a request, with the time since its arrival by the node's clock."""
 
     after: datetime.timedelta
     what: str
@@ -22,7 +22,7 @@
 @codec.kind(151)
 @dataclasses.dataclass(frozen=True)
 class Trace:
-    """A request's lines."""
+    """The events of a request at one node."""
 
     request: str
     node: str
@@ -33,7 +33,7 @@
 @codec.kind(152)
 @dataclasses.dataclass(frozen=True)
 class TraceRequest:
-    """Ask a node for what it knows of a request."""
+    """Query: ask a node for the traces of a request."""
 
     request: str
 
@@ -41,54 +41,56 @@
 @codec.kind(153)
 @dataclasses.dataclass(frozen=True)
 class Told:
-    """What a node knows of a request: its own trace, and what another edge gave it to keep."""
+    """Reply: a node's own trace of a request and the copy that it keeps for another edge."""
 
     traces: tuple[Trace, ...]
 
 
 def joined(traces: list[Trace]) -> list[Trace]:
-    """One trace for each node that told one: the longest."""
-    best: dict[str, Trace] = {}
-    for one in traces:
-        if one.node not in best or len(one.lines) > len(best[one.node].lines):
-            best[one.node] = one
-    return [best[node] for node in sorted(best)]
+    """Return one trace for each node, the longest that was received."""
+    longest: dict[str, Trace] = {}
+    for trace in traces:
+        if trace.node not in longest or len(trace.lines) > len(longest[trace.node].lines):
+            longest[trace.node] = trace
+    return [longest[node] for node in sorted(longest)]
 
 
 class Traces:
-    """The newest stories of this node, and those that another edge gave it to keep, in memory."""
+    """The newest traces of this node and the copies that it keeps for other edges, in memory."""
 
     def __init__(self, node: str):
         self.node = node
         self.held: collections.OrderedDict[str, Trace] = collections.OrderedDict()
         self.given: collections.OrderedDict[str, Trace] = collections.OrderedDict()
 
-    def keep(self, one: Trace) -> None:
-        """Keep another edge's trace, for when that edge is gone."""
-        self.given.pop(one.request, None)
-        self.given[one.request] = one
+    def keep(self, trace: Trace) -> None:
+        """Store a copy of another edge's trace, for use after that edge has failed."""
+        self.given.pop(trace.request, None)
+        self.given[trace.request] = trace
         while len(self.given) > MOST:
             self.given.popitem(last=False)
 
     def told(self, request: str) -> tuple[Trace, ...]:
-        """All that is known here of a request."""
+        """Return the traces of a request that are stored here."""
         return tuple(known[request] for known in (self.held, self.given) if request in known)
 
     def add(self, request: str, lane: str, after: datetime.timedelta, what: str, detail: str = "") -> None:
-        """Add a line to a request's trace; the oldest stories go."""
-        known = self.held.pop(request, None) or Trace(request, self.node, lane, ())
-        if len(known.lines) < 64:
-            known = dataclasses.replace(known, lines=known.lines + (Line(after, what, detail[:2000]),))
-        self.held[request] = known
+        """Add an event to a request's trace and evict the oldest traces."""
+        trace = self.held.pop(request, None) or Trace(request, self.node, lane, ())
+        if len(trace.lines) < 64:
+            trace = dataclasses.replace(trace, lines=trace.lines + (Line(after, what, detail[:2000]),))
+        self.held[request] = trace
         while len(self.held) > MOST:
             self.held.popitem(last=False)
 
 
-def document(story: Trace) -> dict:
-    """A trace as JSON."""
+def document(trace: Trace) -> dict:
+    """Return a trace as a JSON object."""
     return {
-        "request": story.request,
-        "node": story.node,
-        "lane": story.lane,
-        "lines": [{"after": one.after.total_seconds(), "what": one.what, "detail": one.detail} for one in story.lines],
+        "request": trace.request,
+        "node": trace.node,
+        "lane": trace.lane,
+        "lines": [
+            {"after": line.after.total_seconds(), "what": line.what, "detail": line.detail} for line in trace.lines
+        ],
     }
