--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -140,7 +140,7 @@
             one = {**document["http_routes"]["route-7"], "timeout": 31.0 + turn}
             patch = {"http_routes": {"route-7": one}}
             fresh = timer("merge one route, ms", lambda: resources.merge(document, patch))
-            timer("type one changed route, ms", lambda: resources.after(typed, fresh, patch, 1))
+            timer("type one changed route, ms", lambda: resources.with_patch(typed, fresh, patch, 1))
             view = control_state.ControlState()
             body = json.dumps(document)
             events, _ = timer(
--- a/aspencroft/configuration/operator_configuration_test.py
+++ b/aspencroft/configuration/operator_configuration_test.py
@@ -301,7 +301,7 @@
                 for step in read.steps:
                     patch = json.loads(step.patch)
                     content = resources.merge(content, patch)
-                    typed = resources.after(typed, content["plan"], patch["plan"], content["version"])
+                    typed = resources.with_patch(typed, content["plan"], patch["plan"], content["version"])
                 assert content == {
                     "plan": store.state_machine.document,
                     "revisions": store.state_machine.revisions,
@@ -374,7 +374,7 @@
     patch = json.loads(store.state_machine.read_plan(before).steps[0].patch)
     content = resources.merge(content, patch)
     assert typed.http_routes["a"].rank == 3
-    assert resources.after(typed, content["plan"], patch["plan"], 2).http_routes["a"].rank == 0
+    assert resources.with_patch(typed, content["plan"], patch["plan"], 2).http_routes["a"].rank == 0
 
 
 def test_a_service_that_a_lane_names_is_not_taken_away():
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -229,10 +229,10 @@
 
     Example: ``of({}).lanes == {}``
     """
-    return after(EMPTY, document, dict.fromkeys(document), version)
+    return with_patch(EMPTY, document, dict.fromkeys(document), version)
 
 
-def after(before: Configuration, document: dict, patch: dict, version: int) -> Configuration:
+def with_patch(before: Configuration, document: dict, patch: dict, version: int) -> Configuration:
     """Return the typed plan of a document that differs from the previous one by a merge patch.
 
     The cost depends on what the patch names.
--- a/aspencroft/configuration/route_table_test.py
+++ b/aspencroft/configuration/route_table_test.py
@@ -58,7 +58,7 @@
                     name = rng.choice((f"r{step}-{number}", *[one for one in new_routes if rng.random() < 0.3]))
                     new_routes[name] = patch[name] = spec(host, prefix, rng.choice("st"))
             document = {"http_routes": new_routes}
-            typed = resources.after(typed, document, {"http_routes": patch}, step)
+            typed = resources.with_patch(typed, document, {"http_routes": patch}, step)
             for configuration, routes in (previous, (typed, new_routes)):
                 assert configuration.http_routes == {name: http_route.of(name, one) for name, one in routes.items()}
                 for host in ("h", "H:1", "h2", "g", "G:80", "x", ""):
--- a/aspencroft/distribution/configuration_state.py
+++ b/aspencroft/distribution/configuration_state.py
@@ -70,7 +70,7 @@
         if update.base is not None:
             patch = content.get("plan", {})
             content = resources.merge(self.content(), content)
-            configuration = resources.after(self.configuration, content["plan"], patch, content["version"])
+            configuration = resources.with_patch(self.configuration, content["plan"], patch, content["version"])
             self.patches[update.base] = update
         else:
             configuration = resources.of(content["plan"], content["version"])
