--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -129,7 +129,7 @@
         timer = Clock()
         for turn in range(repeats):
             document = document_of(size, random.Random(seed + turn))
-            resources.check_one.cache_clear()
+            resources.check_resource_cached.cache_clear()
             faults = timer("check the whole, ms", lambda: resources.check(document))
             if faults:
                 sys.exit(f"the made-up configuration is refused: {faults[0]}")
--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -270,7 +270,7 @@
             return
         for position, (kind, name, text) in enumerate(changes):
             if text:
-                resources.check_one(kind, name, text)
+                resources.check_resource_cached(kind, name, text)
             if position % CHECKS_PER_SLICE == CHECKS_PER_SLICE - 1:
                 await clock.sleep(clock.ZERO)
 
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -127,10 +127,10 @@
             faults.append(Fault(kind, "expected an object of named resources"))
         elif changed is None:
             for name, spec in group.items():
-                faults.extend(check_one(kind, name, json.dumps(spec, sort_keys=True)))
+                faults.extend(check_resource_cached(kind, name, json.dumps(spec, sort_keys=True)))
     for kind, name in changed or ():
         if isinstance(document.get(kind), dict) and name in document[kind]:
-            faults.extend(check_one(kind, name, json.dumps(document[kind][name], sort_keys=True)))
+            faults.extend(check_resource_cached(kind, name, json.dumps(document[kind][name], sort_keys=True)))
     if not faults:
         faults.extend(references(document))
         if changed is None or any(kind in ("services", HTTP_ROUTES) for kind, _ in changed):
@@ -176,7 +176,7 @@
 
 
 @functools.lru_cache(CHECKS_KEPT)
-def check_one(kind: str, name: str, text: str) -> tuple[Fault, ...]:
+def check_resource_cached(kind: str, name: str, text: str) -> tuple[Fault, ...]:
     """Validate one resource through a cache, which is filled in slices before a write is decided."""
     return check_anew(kind, name, text)
 
--- a/aspencroft/simulation/plans_test.py
+++ b/aspencroft/simulation/plans_test.py
@@ -99,13 +99,13 @@
             assert len(cluster.nodes[name].relay.configuration.lane_routes) == 3000 + len(
                 cluster.mix.document["routes"]
             )
-        before = resources.check_one.cache_info().misses
+        before = resources.check_resource_cached.cache_info().misses
         whole = sum(own.relay.counts["whole plans"] for own in cluster.nodes.values())
         response = await harness.client.put(
             "http://core-1/plan/routes/many-7",
             json={"lane": "till-lock", "tool": "other", "services": ["locks"]},
         )
-        assert response.status_code == 200 and resources.check_one.cache_info().misses - before <= 1
+        assert response.status_code == 200 and resources.check_resource_cached.cache_info().misses - before <= 1
         assert sum(own.relay.counts["whole plans"] for own in cluster.nodes.values()) == whole
         assert (await harness.ask("edge-0", "till-lock", {"name": "k"}, operation="k", tool="other")).ran == "done"
         for number in range(resources.MOST_RESOURCES):
