--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -181,7 +181,7 @@
             if item.kind:
                 if item.kind not in resources.SCHEMAS:
                     raise invalid_configuration([resources.Fault(item.kind, "unknown kind of resource")])
-                resource_faults = resources.check_anew(item.kind, item.name, item.spec)
+                resource_faults = resources.check_resource(item.kind, item.name, item.spec)
                 faults.extend(resource_faults)
                 current = document.get(item.kind, {}).get(item.name)
                 if not resource_faults and (current is None or current != msgspec.json.decode(item.spec)):
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -155,7 +155,7 @@
     return sum(len(group) for group in document.values() if isinstance(group, dict)) > MOST_RESOURCES
 
 
-def check_anew(kind: str, name: str, text: str) -> tuple[Fault, ...]:
+def check_resource(kind: str, name: str, text: str) -> tuple[Fault, ...]:
     """Validate one resource, given as JSON, without looking at any other."""
     typed_faults = TYPED_FAULTS.get(kind)
     faults = [
@@ -178,7 +178,7 @@
 @functools.lru_cache(CHECKS_KEPT)
 def check_resource_cached(kind: str, name: str, text: str) -> tuple[Fault, ...]:
     """Validate one resource through a cache, which is filled in slices before a write is decided."""
-    return check_anew(kind, name, text)
+    return check_resource(kind, name, text)
 
 
 def references(document: dict) -> list[Fault]:
