--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -362,7 +362,7 @@
         )
     ]
     if any(kind != resources.HTTP_ROUTES for kind, _, _ in changes):
-        faults.extend(resources.references(new_document))
+        faults.extend(resources.reference_faults(new_document))
     return faults
 
 
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -132,7 +132,7 @@
         if isinstance(document.get(kind), dict) and name in document[kind]:
             faults.extend(check_resource_cached(kind, name, json.dumps(document[kind][name], sort_keys=True)))
     if not faults:
-        faults.extend(references(document))
+        faults.extend(reference_faults(document))
         if changed is None or any(kind in ("services", HTTP_ROUTES) for kind, _ in changed):
             faults.extend(route_references(document))
     return tuple(faults)
@@ -181,7 +181,7 @@
     return check_resource(kind, name, text)
 
 
-def references(document: dict) -> list[Fault]:
+def reference_faults(document: dict) -> list[Fault]:
     """Validate references between resources, such as names of resources that do not exist."""
     faults = []
     services, lanes = document.get("services", {}), document.get("lanes", {})
