--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -134,7 +134,7 @@
     if not faults:
         faults.extend(reference_faults(document))
         if changed is None or any(kind in ("services", HTTP_ROUTES) for kind, _ in changed):
-            faults.extend(route_references(document))
+            faults.extend(route_reference_faults(document))
     return tuple(faults)
 
 
@@ -215,10 +215,10 @@
     return faults
 
 
-def route_references(document: dict) -> list[Fault]:
+def route_reference_faults(document: dict) -> list[Fault]:
     """Validate HTTP routes against each other and against the services that they name.
 
-    Example: ``route_references({"http_routes": {}}) == []``
+    Example: ``route_reference_faults({"http_routes": {}}) == []``
     """
     found = http_route.Index().faults(document.get(HTTP_ROUTES, {}), (), document.get("services", {}).__contains__, ())
     return [Fault(f"{HTTP_ROUTES}/{path}", meaning) for path, meaning in found]
