--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -11,7 +11,7 @@
 
 from aspencroft.configuration import alert_rule, http_route, lane, lane_route, limits, route_table, service, tenant
 
-LARGEST = 8 << 20
+MAX_PLAN_BYTES = 8 << 20
 MOST_RESOURCES = 200_000
 CHECKS_KEPT = 20_000
 HTTP_ROUTES = "http_routes"
--- a/aspencroft/node/operator_api.py
+++ b/aspencroft/node/operator_api.py
@@ -354,7 +354,7 @@
         [*OperatorApi(served).routes(), *more],
         openapi_config=None,
         logging_config=None,
-        request_max_body_size=resources.LARGEST,
+        request_max_body_size=resources.MAX_PLAN_BYTES,
         exception_handlers={
             result.RequestError: on_refusal,
             litestar.exceptions.HTTPException: on_http_error,
