--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -265,7 +265,7 @@
         """Validate the changes of a write in slices, so that deciding it later blocks the event loop only briefly."""
         try:
             new_document = self.after(command)
-            changes = () if resources.crowded(new_document) else self.changes_of(command, new_document)
+            changes = () if resources.has_too_many_resources(new_document) else self.changes_of(command, new_document)
         except result.RequestError:
             return
         for position, (kind, name, text) in enumerate(changes):
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -119,7 +119,7 @@
 def check(document: dict, changed: tuple[tuple[str, str], ...] | None = None) -> tuple[Fault, ...]:
     """Validate a plan; if changed resources are given, only those are validated one by one."""
     faults = [Fault(kind, "unknown kind of resource") for kind in document if kind not in SCHEMAS]
-    if crowded(document):
+    if has_too_many_resources(document):
         return (Fault("", f"more than {MOST_RESOURCES} resources"),)
     for kind in SCHEMAS:
         group = document.get(kind, {})
@@ -150,7 +150,7 @@
     return ADDRESS_PATTERN.match(name) is None
 
 
-def crowded(document: dict) -> bool:
+def has_too_many_resources(document: dict) -> bool:
     """Whether a document exceeds the maximum number of resources."""
     return sum(len(group) for group in document.values() if isinstance(group, dict)) > MOST_RESOURCES
 
