--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -353,8 +353,8 @@
         - sum(name in document.get(resources.HTTP_ROUTES, {}) for name in put_routes)
         - len(removed_routes)
     )
-    if added_route_count + sum(len(group) for group in new_document.values()) > resources.MOST_RESOURCES:
-        return [resources.Fault("", f"more than {resources.MOST_RESOURCES} resources")]
+    if added_route_count + sum(len(group) for group in new_document.values()) > resources.MAX_RESOURCES:
+        return [resources.Fault("", f"more than {resources.MAX_RESOURCES} resources")]
     faults = [
         resources.Fault(f"{resources.HTTP_ROUTES}/{path}", meaning)
         for path, meaning in index.faults(
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -12,7 +12,7 @@
 from aspencroft.configuration import alert_rule, http_route, lane, lane_route, limits, route_table, service, tenant
 
 MAX_PLAN_BYTES = 8 << 20
-MOST_RESOURCES = 200_000
+MAX_RESOURCES = 200_000
 CHECKS_KEPT = 20_000
 HTTP_ROUTES = "http_routes"
 TENANTS = "tenants"
@@ -120,7 +120,7 @@
     """Validate a plan; if changed resources are given, only those are validated one by one."""
     faults = [Fault(kind, "unknown kind of resource") for kind in document if kind not in SCHEMAS]
     if has_too_many_resources(document):
-        return (Fault("", f"more than {MOST_RESOURCES} resources"),)
+        return (Fault("", f"more than {MAX_RESOURCES} resources"),)
     for kind in SCHEMAS:
         group = document.get(kind, {})
         if not isinstance(group, dict):
@@ -152,7 +152,7 @@
 
 def has_too_many_resources(document: dict) -> bool:
     """Whether a document exceeds the maximum number of resources."""
-    return sum(len(group) for group in document.values() if isinstance(group, dict)) > MOST_RESOURCES
+    return sum(len(group) for group in document.values() if isinstance(group, dict)) > MAX_RESOURCES
 
 
 def check_resource(kind: str, name: str, text: str) -> tuple[Fault, ...]:
--- a/aspencroft/simulation/plans_test.py
+++ b/aspencroft/simulation/plans_test.py
@@ -108,7 +108,7 @@
         assert response.status_code == 200 and resources.check_resource_cached.cache_info().misses - before <= 1
         assert sum(own.relay.counts["whole plans"] for own in cluster.nodes.values()) == whole
         assert (await harness.ask("edge-0", "till-lock", {"name": "k"}, operation="k", tool="other")).ran == "done"
-        for number in range(resources.MOST_RESOURCES):
+        for number in range(resources.MAX_RESOURCES):
             document["workers"] = document.get("workers", {})
             document["workers"][f"w{number}"] = {}
         response = await harness.client.put("http://core-2/plan", json=document)
