--- a/aspencroft/cli/control_program.py
+++ b/aspencroft/cli/control_program.py
@@ -24,7 +24,7 @@
         [],
         [
             residency.Residency(own, worker_adapter).run,
-            machine_power.Rest(own, worker_adapter).run,
+            machine_power.MachinePower(own, worker_adapter).run,
             alerts.Alerts(own).run,
         ],
         nothing_to_drain,
--- a/aspencroft/power/machine_power.py
+++ b/aspencroft/power/machine_power.py
@@ -24,7 +24,7 @@
 TREND_STEPS = 6
 
 
-class Rest:
+class MachinePower:
     """The work of the role's holder.
 
     A machine on the quiet list first gets no new calls. It is put to sleep after its drain time, once a report that
--- a/aspencroft/simulation/measure.py
+++ b/aspencroft/simulation/measure.py
@@ -389,14 +389,14 @@
 
     :param seeds: how many
     """
-    original = machine_power.Rest.step
+    original = machine_power.MachinePower.step
     for resting in (True, False):
         asleep, firsts, late = [], [], []
 
         async def no_step(self, now) -> None:
             return
 
-        machine_power.Rest.step = original if resting else no_step
+        machine_power.MachinePower.step = original if resting else no_step
 
         async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
             asking, seconds, calls = cluster.caller(3), [], []
@@ -420,18 +420,18 @@
             f"{'with' if resting else 'without'} the rest duty: share of model workers asleep in a calm minute "
             f"{spread(asleep)}; first piece median {spread(firsts)} ms, 95 % {spread(late)} ms"
         )
-    machine_power.Rest.step = original
+    machine_power.MachinePower.step = original
 
 
 def power_run(seed: int, resting: bool, deployment: str) -> dict:
     """One day's shape: calm, a crowd, calm with bursts; energy and what callers waited."""
     shown: dict = {}
-    original = machine_power.Rest.step
+    original = machine_power.MachinePower.step
 
     async def no_step(self, now) -> None:
         return
 
-    machine_power.Rest.step = original if resting else no_step
+    machine_power.MachinePower.step = original if resting else no_step
 
     async def scenario(cluster: simulated_cluster.SimulatedCluster, _) -> None:
         asking, began = cluster.caller(3), cluster.loop.time()
@@ -472,7 +472,7 @@
     try:
         staged(seed, scenario, name=deployment)
     finally:
-        machine_power.Rest.step = original
+        machine_power.MachinePower.step = original
     return shown
 
 
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -151,7 +151,7 @@
         else:
             works = [
                 residency.Residency(own, back).run,
-                machine_power.Rest(own, back).run,
+                machine_power.MachinePower(own, back).run,
                 alerts.Alerts(own).run,
             ]
         try:
