--- a/aspencroft/configuration/http_route.py
+++ b/aspencroft/configuration/http_route.py
@@ -125,10 +125,10 @@
     )
 
 
-def bare(host: str) -> str:
+def normalize_host(host: str) -> str:
     """Return a host without its port, in lower case.
 
-    Example: ``bare("A.example:80") == "a.example"``
+    Example: ``normalize_host("A.example:80") == "a.example"``
     """
     host = host.strip().lower()
     return host[: host.find("]") + 1] if host.startswith("[") else host.partition(":")[0]
@@ -205,4 +205,4 @@
 
 def outline(spec: dict) -> tuple[tuple[str, str], tuple[str, ...]]:
     """Return the host and prefix of a valid route, and the services that it names."""
-    return (bare(spec["host"]), spec["prefix"]), tuple(one["service"] for one in spec["targets"])
+    return (normalize_host(spec["host"]), spec["prefix"]), tuple(one["service"] for one in spec["targets"])
--- a/aspencroft/configuration/http_route_test.py
+++ b/aspencroft/configuration/http_route_test.py
@@ -70,7 +70,7 @@
         ("[::A]", "[::a]"),
         ("", ""),
     ):
-        assert http_route.bare(given) == wanted
+        assert http_route.normalize_host(given) == wanted
 
 
 def has_faults_by_pairs(routes: dict, services: set) -> bool:
--- a/aspencroft/configuration/route_table.py
+++ b/aspencroft/configuration/route_table.py
@@ -28,7 +28,7 @@
         The host is compared without its port and ignoring case; the path must not include the query. The cost
         depends on the number of slashes in the host's deepest prefix, not on the number of routes.
         """
-        prefixes = self.hosts.get(http_route.bare(host))
+        prefixes = self.hosts.get(http_route.normalize_host(host))
         if prefixes is None or not path.startswith("/"):
             return None
         ends: list[int] = []
@@ -56,10 +56,10 @@
             return rebuilt[host]
 
         for route in gone:
-            routes_of(http_route.bare(route.host)).pop(route.prefix, None)
+            routes_of(http_route.normalize_host(route.host)).pop(route.prefix, None)
         deepest: dict[str, int] = {}
         for route in come:
-            host = http_route.bare(route.host)
+            host = http_route.normalize_host(route.host)
             routes_of(host)[route.prefix] = route
             deepest[host] = max(deepest.get(host, 0), route.prefix.count("/"))
         for host, routes in rebuilt.items():
--- a/aspencroft/configuration/route_table_test.py
+++ b/aspencroft/configuration/route_table_test.py
@@ -32,7 +32,7 @@
     matching = [
         route
         for route in routes.values()
-        if http_route.bare(route.host) == http_route.bare(host) and path.startswith(route.prefix)
+        if http_route.normalize_host(route.host) == http_route.normalize_host(host) and path.startswith(route.prefix)
     ]
     return max(matching, key=lambda route: len(route.prefix), default=None)
 
