--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -261,7 +261,7 @@
         event = ResourcesChanged(revision, tuple(Change(*one) for one in changes))
         return (event,), ResourcesWritten(revision, len(changes))
 
-    async def look_ahead(self, command: WriteResources) -> None:
+    async def precheck_write(self, command: WriteResources) -> None:
         """Validate the changes of a write in slices, so that deciding it later blocks the event loop only briefly."""
         try:
             new_document = self.after(command)
--- a/aspencroft/node/configuration_service.py
+++ b/aspencroft/node/configuration_service.py
@@ -131,7 +131,7 @@
         if held.has_lease():
             state = held.replica.state_machine
             if isinstance(state, control_state.ControlState):
-                await state.look_ahead(message.write)
+                await state.precheck_write(message.write)
         order = f"{message.write.way} {message.write.kind}/{message.write.name}".rstrip("/ ")
         try:
             written = await held.submit(message.write, message.within)
