--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -107,7 +107,7 @@
         """The addresses of machines that must not hold replicas."""
         return self.drain_orders.keys()
 
-    def allowed(self, lane_name: str, tool: str) -> tuple[str, ...]:
+    def allowed_services(self, lane_name: str, tool: str) -> tuple[str, ...]:
         """The services that a call of a lane may currently use, for a tool or, with an empty tool, in general."""
         lane_services = self.lanes[lane_name].services
         route = self.lane_routes.get((lane_name, tool)) or self.lane_routes.get((lane_name, ""))
--- a/aspencroft/configuration/resources_test.py
+++ b/aspencroft/configuration/resources_test.py
@@ -35,7 +35,7 @@
     }
     assert not resources.check(document)
     typed = resources.of(document)
-    assert typed.allowed("chat", "t") == ("b",) and typed.allowed("chat", "") == ("a", "b")
+    assert typed.allowed_services("chat", "t") == ("b",) and typed.allowed_services("chat", "") == ("a", "b")
 
 
 def test_a_drain_order_of_a_former_version_holds_until_somebody_was_told_of_its_end():
--- a/aspencroft/gateway/path.py
+++ b/aspencroft/gateway/path.py
@@ -272,7 +272,7 @@
         if one.lane.name not in current.lanes:
             self.give_up(one, result.RequestError(result.ResultCode.UNKNOWN_LANE, detail=one.lane.name))
             return True
-        allowed = current.allowed(one.lane.name, one.request.tool)
+        allowed = current.allowed_services(one.lane.name, one.request.tool)
         selected = selection.draw(
             allowed, one.request.program, self.sight.view(), one.tried_workers, self.node.environment.randomness
         )
@@ -298,7 +298,7 @@
     def park(self, one: call.Call, front: bool) -> None:
         """Park a call until capacity is free, or give it up at once if that cannot happen before its deadline."""
         current = self.node.relay.configuration
-        services = current.allowed(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
+        services = current.allowed_services(one.lane.name, one.request.tool) if one.lane.name in current.lanes else ()
         default_interval = self.mean_duration[one.turns()] / max(1, self.sight.capacity(services))
         retry = self.parked.offer(
             (one.lane.name, one.request.tool), one.lane.urgency, one, clock.now(), default_interval, front
@@ -384,7 +384,7 @@
             return "no current plan"
         if one.lane.name not in current.configuration.lanes:
             return "the lane is gone"
-        if one.service not in current.configuration.allowed(one.lane.name, one.request.tool):
+        if one.service not in current.configuration.allowed_services(one.lane.name, one.request.tool):
             return "the service is not allowed any more"
         return "the worker is leaving" if self.sight.is_excluded(one.worker.name) else ""
 
