--- a/aspencroft/benchmarks/slopes.py
+++ b/aspencroft/benchmarks/slopes.py
@@ -129,7 +129,7 @@
         timer = Clock()
         for turn in range(repeats):
             document = document_of(size, random.Random(seed + turn))
-            resources.check_one.cache_clear()
+            resources.check_resource_cached.cache_clear()
             faults = timer("check the whole, ms", lambda: resources.check(document))
             if faults:
                 sys.exit(f"the made-up configuration is refused: {faults[0]}")
@@ -140,7 +140,7 @@
             one = {**document["http_routes"]["route-7"], "timeout": 31.0 + turn}
             patch = {"http_routes": {"route-7": one}}
             fresh = timer("merge one route, ms", lambda: resources.merge(document, patch))
-            timer("type one changed route, ms", lambda: resources.after(typed, fresh, patch, 1))
+            timer("type one changed route, ms", lambda: resources.with_patch(typed, fresh, patch, 1))
             view = control_state.ControlState()
             body = json.dumps(document)
             events, _ = timer(
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -192,8 +192,8 @@
     Mutation(
         "the lane's services are not looked at",
         "configuration/resources.py",
-        "        whole = self.lanes[lane_name].services\n",
-        "        whole = tuple(self.services)\n",
+        "        lane_services = self.lanes[lane_name].services\n",
+        "        lane_services = tuple(self.services)\n",
         ("simulation/plans_test.py", "configuration/resources_test.py"),
     ),
     Mutation(
@@ -340,14 +340,14 @@
     Mutation(
         "a machine is drawn while it wakes",
         "power/machine_power.py",
-        "        if left <= clock.ZERO:\n",
+        "        if time_left <= clock.ZERO:\n",
         "        if True:\n",
         ("simulation/resting_test.py::test_a_machine_is_not_drawn_before_it_is_awake_and_wakes_with_nothing_held",),
     ),
     Mutation(
         "a machine sleeps without a look at what is in flight",
         "power/machine_power.py",
-        '        return self.marks.setdefault(name, mark) != mark and seen["busy"] == 0\n',
+        '        return self.marks.setdefault(name, mark) != mark and report["busy"] == 0\n',
         "        return self.marks.setdefault(name, mark) != mark or True\n",
         ("simulation/resting_test.py",),
     ),
@@ -575,8 +575,8 @@
     Mutation(
         "an order is known again by its number alone",
         "configuration/operator_configuration.py",
-        "        if found is not None and found.digest == command.digest:\n",
-        "        if found is not None:\n",
+        "        if record is not None and record.digest == command.digest:\n",
+        "        if record is not None:\n",
         ("configuration/orders_stateful_test.py",),
     ),
     Mutation(
@@ -1342,8 +1342,8 @@
     Mutation(
         "refused orders are not in the snapshot",
         "configuration/operator_configuration.py",
-        '            shown["refused"] = self.refused.snapshot()\n',
-        '            shown["refused"] = []\n',
+        '            fields["refused"] = self.refused.snapshot()\n',
+        '            fields["refused"] = []\n',
         ("configuration/refused_orders_test.py",),
     ),
     Mutation(
