--- a/aspencroft/consensus/replica_set.py
+++ b/aspencroft/consensus/replica_set.py
@@ -13,7 +13,7 @@
 VOTER_SET = -1
 """The register of the voter set; the register of a replica set is its group number, which starts at 0."""
 FIRST_VOTER_SET_NUMBER = 1
-CONTROL, TALK = "control", "talk"
+CONTROL, SESSION = "control", "talk"
 """Kinds of groups, as named in the settings: the group of the control state, and the groups of sessions."""
 
 
@@ -22,7 +22,7 @@
 
     Example: ``group_kind(0) == CONTROL``
     """
-    return TALK if group_id else CONTROL
+    return SESSION if group_id else CONTROL
 
 
 @codec.kind(20)
--- a/aspencroft/consensus/witness_bootstrap.py
+++ b/aspencroft/consensus/witness_bootstrap.py
@@ -26,7 +26,7 @@
 FIRST_BALLOT = 1
 COUNTER_UNIT = 1 << 32
 """Factor of the counter in a voter set number; the low bits are random, so that no number is used twice."""
-GROUP_KINDS = (replica_set.CONTROL, replica_set.TALK)
+GROUP_KINDS = (replica_set.CONTROL, replica_set.SESSION)
 
 DiskReports = collections.abc.Mapping[str, replica_set.ReplicaReports]
 """The replica reports of disks, by node address."""
--- a/aspencroft/node/node.py
+++ b/aspencroft/node/node.py
@@ -200,7 +200,7 @@
         """
         if not self.drain_orders.members_known():
             return payload_limit.payload_limit(0, 1)
-        disks = sum(replica_set.TALK in member.holds for member in self.failure_detector.peers.values())
+        disks = sum(replica_set.SESSION in member.holds for member in self.failure_detector.peers.values())
         replicas = payload_limit.replicas_on_a_disk(
             self.settings.talk_pairs, self.settings.copies, disks, self.settings.losses
         )
--- a/aspencroft/node/settings.py
+++ b/aspencroft/node/settings.py
@@ -48,8 +48,8 @@
         voluptuous.Optional("name", default=""): voluptuous.Any("", resources.RESOURCE_NAME),
         voluptuous.Optional("region", default=""): voluptuous.Any("", lane.NAME),
         voluptuous.Optional("losses", default=1): voluptuous.All(int, voluptuous.Range(min=1, max=4)),
-        voluptuous.Optional("holds", default=[replica_set.CONTROL, replica_set.TALK]): voluptuous.All(
-            [voluptuous.In((replica_set.CONTROL, replica_set.TALK))], voluptuous.Unique()
+        voluptuous.Optional("holds", default=[replica_set.CONTROL, replica_set.SESSION]): voluptuous.All(
+            [voluptuous.In((replica_set.CONTROL, replica_set.SESSION))], voluptuous.Unique()
         ),
         voluptuous.Optional("witnesses", default=SEEDS): voluptuous.Any(SEEDS, CORE),
         voluptuous.Optional("currency", default=4.0): voluptuous.All(
@@ -123,7 +123,7 @@
     name: str = ""
     region: str = ""
     losses: int = 1
-    holds: tuple[str, ...] = (replica_set.CONTROL, replica_set.TALK)
+    holds: tuple[str, ...] = (replica_set.CONTROL, replica_set.SESSION)
     witnesses: str = SEEDS
     currency: datetime.timedelta = clock.seconds(4)
     confirm: datetime.timedelta | None = None
--- a/aspencroft/simulation/simulated_cluster.py
+++ b/aspencroft/simulation/simulated_cluster.py
@@ -41,8 +41,8 @@
     def holds(self) -> dict[str, tuple[str, ...]]:
         """Which groups the disks of each role hold; none without a disk."""
         if self.apart:
-            return {settings.STORAGE: (replica_set.TALK,), settings.CORE: (replica_set.CONTROL,)}
-        return {settings.STORAGE: (replica_set.CONTROL, replica_set.TALK)}
+            return {settings.STORAGE: (replica_set.SESSION,), settings.CORE: (replica_set.CONTROL,)}
+        return {settings.STORAGE: (replica_set.CONTROL, replica_set.SESSION)}
 
 
 class SimulatedCluster:
