--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -233,17 +233,17 @@
         held += (updates.HeldRevision(updates.CONFIGURATION_TOPIC, self.state.revision),)
         acknowledged_by, acknowledged = self.acknowledged
         nodes, base = subtree.nodes, b""
-        gone: tuple[str, ...] = ()
+        removed: tuple[str, ...] = ()
         if acknowledged_by == parent:
             base = acknowledged.digest
-            gone = tuple(sorted(address for address in acknowledged.nodes if address not in subtree.nodes))
+            removed = tuple(sorted(address for address in acknowledged.nodes if address not in subtree.nodes))
             nodes = {
                 address: revision
                 for address, revision in subtree.nodes.items()
                 if acknowledged.nodes.get(address) != revision
             }
         listed = tuple(updates.Confirmation(address, revision) for address, revision in sorted(nodes.items()))
-        return updates.Pull(self.address, held, listed, base, gone, subtree.digest, self.lease.counted_digest)
+        return updates.Pull(self.address, held, listed, base, removed, subtree.digest, self.lease.counted_digest)
 
     def apply_reply(self, reply: updates.Pulled, requested_at: datetime.timedelta) -> None:
         """Apply the updates of a reply, then extend the lease if it was granted for the revision held here."""
--- a/aspencroft/distribution/relay_test.py
+++ b/aspencroft/distribution/relay_test.py
@@ -101,7 +101,7 @@
         await child.pull("a:1")
         first, second = link.asked
         assert len(first.subtree) == 201 and first.base == b""
-        assert second.subtree == () and second.gone == () and second.base == first.digest
+        assert second.subtree == () and second.removed == () and second.base == first.digest
         assert link.answered[1].counted == () and link.answered[1].counted_unchanged and len(child.lease.counted) == 201
         assert len(parent.grants.grants) == 201
 
--- a/aspencroft/distribution/subtree_state.py
+++ b/aspencroft/distribution/subtree_state.py
@@ -82,10 +82,10 @@
             return subtree_of(listed)
         if known is None or known.digest != pull.base:
             return None
-        if not listed and not pull.gone:
+        if not listed and not pull.removed:
             return known
         nodes = {**known.nodes, **listed}
-        for address in pull.gone:
+        for address in pull.removed:
             nodes.pop(address, None)
         resolved = subtree_of(nodes)
         return resolved if resolved.digest == pull.digest else None
--- a/aspencroft/distribution/updates.py
+++ b/aspencroft/distribution/updates.py
@@ -47,7 +47,7 @@
     """A child's request to its parent for updates and for a lease on the configuration; it lists the child's subtree.
 
     ``base`` is the digest of the subtree that the parent stored last. If it is set, the message lists only the
-    differences: changed entries in ``subtree`` and removed ones in ``gone``. ``digest`` is the digest of the complete
+    differences: changed entries in ``subtree`` and former ones in ``removed``. ``digest`` is the digest of the whole
     subtree, ``counted`` the digest of the counted nodes that the child knows.
     """
 
@@ -55,7 +55,7 @@
     have: tuple[HeldRevision, ...]
     subtree: tuple[Confirmation, ...]
     base: bytes
-    gone: tuple[str, ...]
+    removed: tuple[str, ...]
     digest: bytes
     counted: bytes
 
