--- a/aspencroft/configuration/orders_stateful_test.py
+++ b/aspencroft/configuration/orders_stateful_test.py
@@ -234,5 +234,5 @@
 
 
 def test_no_walk_does_so_either_where_the_record_of_orders_is_outrun(monkeypatch):
-    monkeypatch.setattr(taken_orders, "MOST_RECORDS", SMALL_RECORD_BOUND)
+    monkeypatch.setattr(taken_orders, "MAX_RECORDS", SMALL_RECORD_BOUND)
     run_random_walks()
--- a/aspencroft/configuration/taken_orders.py
+++ b/aspencroft/configuration/taken_orders.py
@@ -13,7 +13,7 @@
 from aspencroft.transport import codec
 
 DIGEST_BYTES = 16
-MOST_RECORDS = 1 << 16
+MAX_RECORDS = 1 << 16
 MAX_RECORDS_IN_OLD_SNAPSHOT = 256
 RECORD = struct.Struct(f">QQQ{DIGEST_BYTES}s")
 
@@ -61,7 +61,7 @@
         """Record an order, whose version is above all others, and discard the oldest records beyond the bound."""
         epoch, number = map(int, taken.revision.split("."))
         self.records += RECORD.pack(taken.version, epoch, number, taken.digest)
-        excess = len(self) - MOST_RECORDS
+        excess = len(self) - MAX_RECORDS
         if excess > 0:
             self.horizon = self.version_at(excess - 1)
             del self.records[: excess * RECORD.size]
--- a/aspencroft/configuration/taken_orders_test.py
+++ b/aspencroft/configuration/taken_orders_test.py
@@ -37,7 +37,7 @@
 
 
 def test_at_its_bound_the_oldest_go_and_the_horizon_says_so(monkeypatch):
-    monkeypatch.setattr(taken_orders, "MOST_RECORDS", 10)
+    monkeypatch.setattr(taken_orders, "MAX_RECORDS", 10)
     record = taken_orders.TakenOrders()
     for version in range(2, 42, 2):
         record.add(taken(version))
@@ -72,7 +72,7 @@
 
 
 def test_below_the_horizon_a_repeat_is_left_without_a_clear_answer_and_a_hopeless_order_is_still_refused(monkeypatch):
-    monkeypatch.setattr(taken_orders, "MOST_RECORDS", 5)
+    monkeypatch.setattr(taken_orders, "MAX_RECORDS", 5)
     store = Store()
     orders = [order(2 * number + 2, 2 * number, [service("s", f"words {number}")]) for number in range(12)]
     for command in orders:
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -559,8 +559,8 @@
     Mutation(
         "only the last 256 taken orders are known again",
         "configuration/taken_orders.py",
-        "MOST_RECORDS = 1 << 16\n",
-        "MOST_RECORDS = 256\n",
+        "MAX_RECORDS = 1 << 16\n",
+        "MAX_RECORDS = 256\n",
         (
             "configuration/taken_orders_test.py::test_every_order_of_a_long_day_is_known_again_also_after_a_restart_and_never_taken_twice",
         ),
