--- a/aspencroft/configuration/refused_orders.py
+++ b/aspencroft/configuration/refused_orders.py
@@ -12,7 +12,7 @@
 
 from aspencroft.transport import codec
 
-MOST_REFUSALS = 4096
+MAX_REFUSALS = 4096
 """The bound of the record; when it is full, a rejection that would need an entry is reported as unknown outcome."""
 
 
@@ -46,7 +46,7 @@
 
     def is_full(self) -> bool:
         """Whether the record has reached its bound."""
-        return len(self.refusals) >= MOST_REFUSALS
+        return len(self.refusals) >= MAX_REFUSALS
 
     def add(self, refused: OrderRefused) -> None:
         """Record a rejection."""
--- a/aspencroft/configuration/refused_orders_test.py
+++ b/aspencroft/configuration/refused_orders_test.py
@@ -75,7 +75,7 @@
 
 
 def test_a_full_record_gives_no_clear_answer_and_never_a_refusal_that_might_not_last(monkeypatch):
-    monkeypatch.setattr(refused_orders, "MOST_REFUSALS", 2)
+    monkeypatch.setattr(refused_orders, "MAX_REFUSALS", 2)
     state = configured()
     for number in range(2):
         assert code(send(state, order(9 + number, 8, [service("s", "x")]))) is result.ResultCode.REVISION_DIFFERS
