--- a/aspencroft/node/operator_api.py
+++ b/aspencroft/node/operator_api.py
@@ -345,7 +345,7 @@
                     group.create_task(request_traces(member.address))
         if not traces:
             raise result.RequestError(result.ResultCode.UNKNOWN_REQUEST, result.Ran.UNKNOWN, identity)
-        return {"request": identity, "stories": [trace.document(joined) for joined in trace.joined(traces)]}
+        return {"request": identity, "stories": [trace.document(joined) for joined in trace.longest_by_node(traces)]}
 
 
 def application(served: node.Node, more: list) -> litestar.Litestar:
--- a/aspencroft/tracing/trace.py
+++ b/aspencroft/tracing/trace.py
@@ -6,7 +6,7 @@
 
 from aspencroft.transport import codec
 
-MOST = 4096
+MAX_TRACES = 4096
 
 
 @codec.kind(150)
@@ -46,7 +46,7 @@
     traces: tuple[Trace, ...]
 
 
-def joined(traces: list[Trace]) -> list[Trace]:
+def longest_by_node(traces: list[Trace]) -> list[Trace]:
     """Return one trace for each node, the longest that was received."""
     longest: dict[str, Trace] = {}
     for trace in traces:
@@ -67,7 +67,7 @@
         """Store a copy of another edge's trace, for use after that edge has failed."""
         self.given.pop(trace.request, None)
         self.given[trace.request] = trace
-        while len(self.given) > MOST:
+        while len(self.given) > MAX_TRACES:
             self.given.popitem(last=False)
 
     def told(self, request: str) -> tuple[Trace, ...]:
@@ -80,7 +80,7 @@
         if len(trace.lines) < 64:
             trace = dataclasses.replace(trace, lines=trace.lines + (Line(after, what, detail[:2000]),))
         self.held[request] = trace
-        while len(self.held) > MOST:
+        while len(self.held) > MAX_TRACES:
             self.held.popitem(last=False)
 
 
