--- a/aspencroft/node/message_handlers.py
+++ b/aspencroft/node/message_handlers.py
@@ -148,7 +148,7 @@
     """Traces of requests, and what edges report to singleton roles."""
 
     def find_traces(message: trace.TraceRequest) -> trace.Told:
-        traces = node.traces.told(message.request) if node.traces is not None else ()
+        traces = node.traces.find(message.request) if node.traces is not None else ()
         if not traces:
             raise result.RequestError(result.ResultCode.UNKNOWN_REQUEST, result.Ran.UNKNOWN)
         return trace.Told(traces)
--- a/aspencroft/tracing/trace.py
+++ b/aspencroft/tracing/trace.py
@@ -70,7 +70,7 @@
         while len(self.given) > MAX_TRACES:
             self.given.popitem(last=False)
 
-    def told(self, request: str) -> tuple[Trace, ...]:
+    def find(self, request: str) -> tuple[Trace, ...]:
         """Return the traces of a request that are stored here."""
         return tuple(known[request] for known in (self.held, self.given) if request in known)
 
