--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -136,7 +136,7 @@
         record = self.taken.find(command.version)
         if record is not None and record.digest == command.digest:
             return record
-        if self.taken.forgotten(command.version) and command.condition < command.version:
+        if self.taken.may_be_discarded(command.version) and command.condition < command.version:
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN,
                 result.Ran.UNKNOWN,
--- a/aspencroft/configuration/taken_orders.py
+++ b/aspencroft/configuration/taken_orders.py
@@ -53,7 +53,7 @@
         _, epoch, number, digest = RECORD.unpack_from(self.records, position * RECORD.size)
         return Taken(version, digest, f"{epoch}.{number}")
 
-    def forgotten(self, version: int) -> bool:
+    def may_be_discarded(self, version: int) -> bool:
         """Whether the record of an order with this version may have been discarded."""
         return version <= self.horizon
 
--- a/aspencroft/configuration/taken_orders_test.py
+++ b/aspencroft/configuration/taken_orders_test.py
@@ -42,7 +42,7 @@
     for version in range(2, 42, 2):
         record.add(taken(version))
     assert len(record) == 10 and record.horizon == 20
-    assert record.forgotten(20) and not record.forgotten(21)
+    assert record.may_be_discarded(20) and not record.may_be_discarded(21)
     assert record.find(20) is None and record.find(22) == taken(22)
     restored = taken_orders.TakenOrders()
     restored.restore(record.snapshot())
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -568,7 +568,7 @@
     Mutation(
         "an order below the horizon of the record is called refused",
         "configuration/operator_configuration.py",
-        "        if self.taken.forgotten(command.version) and command.condition < command.version:\n",
+        "        if self.taken.may_be_discarded(command.version) and command.condition < command.version:\n",
         "        if False:\n",
         ("configuration/orders_stateful_test.py",),
     ),
