--- a/aspencroft/configuration/http_route.py
+++ b/aspencroft/configuration/http_route.py
@@ -148,7 +148,7 @@
     def put(self, name: str, spec: dict) -> None:
         """Add a valid route, or replace the one of the same name."""
         self.drop(name)
-        location, services = outline(spec)
+        location, services = location_and_services(spec)
         self.routes[name] = (location, services)
         self.places[location] = name
         self.uses.update(services)
@@ -182,7 +182,7 @@
         for name in {*put, *dropped}:
             released_uses.update(self.routes.get(name, (None, ()))[1])
         for name, spec in put.items():
-            location, services = outline(spec)
+            location, services = location_and_services(spec)
             for position, service in enumerate(services):
                 if not known(service):
                     faults_found.append((f"{name}/targets/{position}/service", f"no service {service}"))
@@ -203,6 +203,6 @@
         return faults_found
 
 
-def outline(spec: dict) -> tuple[tuple[str, str], tuple[str, ...]]:
+def location_and_services(spec: dict) -> tuple[tuple[str, str], tuple[str, ...]]:
     """Return the host and prefix of a valid route, and the services that it names."""
     return (normalize_host(spec["host"]), spec["prefix"]), tuple(one["service"] for one in spec["targets"])
--- a/aspencroft/configuration/http_route_test.py
+++ b/aspencroft/configuration/http_route_test.py
@@ -80,7 +80,7 @@
     """
     specs = list(routes.values())
     share_location = any(
-        http_route.outline(specs[one])[0] == http_route.outline(specs[other])[0]
+        http_route.location_and_services(specs[one])[0] == http_route.location_and_services(specs[other])[0]
         for one in range(len(specs))
         for other in range(one)
     )
