--- a/aspencroft/configuration/control_state.py
+++ b/aspencroft/configuration/control_state.py
@@ -249,7 +249,7 @@
                     result.ResultCode.REVISION_DIFFERS, detail=f"the current revision is {current.text()}"
                 )
         new_document = self.after(command)
-        changes = self.changes_of(command, new_document)
+        changes = self.changed_resources(command, new_document)
         faults = resources.check(new_document, tuple((kind, name) for kind, name, _ in changes))
         if faults:
             raise result.RequestError(
@@ -265,7 +265,9 @@
         """Validate the changes of a write in slices, so that deciding it later blocks the event loop only briefly."""
         try:
             new_document = self.after(command)
-            changes = () if resources.has_too_many_resources(new_document) else self.changes_of(command, new_document)
+            changes = (
+                () if resources.has_too_many_resources(new_document) else self.changed_resources(command, new_document)
+            )
         except result.RequestError:
             return
         for position, (kind, name, text) in enumerate(changes):
@@ -274,7 +276,7 @@
             if position % CHECKS_PER_SLICE == CHECKS_PER_SLICE - 1:
                 await clock.sleep(clock.ZERO)
 
-    def changes_of(self, command: WriteResources, new_document: dict) -> tuple[tuple[str, str, str], ...]:
+    def changed_resources(self, command: WriteResources, new_document: dict) -> tuple[tuple[str, str, str], ...]:
         """Return the resources that a write would change; a write of one resource compares only that one."""
         if command.way not in ("put", "delete"):
             return resources.differences(self.document, new_document)
@@ -322,13 +324,13 @@
             self.duties[event.duty] = event
         elif isinstance(event, ConfigurationTaken):
             self.configuration.apply(event.taken, event.kept, event.orders)
-            self.fold_changes(event.changed)
+            self.apply_changes(event.changed)
         elif isinstance(event, refused_orders.OrderRefused):
             self.configuration.refused.add(event)
         else:
-            self.fold_changes(event)
+            self.apply_changes(event)
 
-    def fold_changes(self, event: ResourcesChanged) -> None:
+    def apply_changes(self, event: ResourcesChanged) -> None:
         """Apply changed resources, and keep the patch that leads to the new revision."""
         revision_text = event.revision.text()
         patch: dict = {"plan": {}, "revisions": {}, "version": self.configuration.version}
