--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -269,7 +269,7 @@
         """Apply a configuration that was accepted."""
         self.version = taken.version
         self.taken.add(taken)
-        self.refused.forget_below(taken.version)
+        self.refused.discard_below(taken.version)
         for item in kept:
             group = self.groups.setdefault(item.group, {})
             if item.text:
--- a/aspencroft/configuration/refused_orders.py
+++ b/aspencroft/configuration/refused_orders.py
@@ -52,7 +52,7 @@
         """Record a rejection."""
         self.refusals[refused.version, refused.digest] = refused
 
-    def forget_below(self, version: int) -> None:
+    def discard_below(self, version: int) -> None:
         """Discard rejections of orders with a condition below a version, as these can never be accepted."""
         if self.refusals:
             self.refusals = {key: refusal for key, refusal in self.refusals.items() if refusal.condition >= version}
