--- a/aspencroft/alerts/alerts.py
+++ b/aspencroft/alerts/alerts.py
@@ -16,8 +16,8 @@
 LOG = logbook.Logger("alerts.alerts")
 TOPIC = "alerts"
 STEP = clock.seconds(1)
-STALE = clock.seconds(8)
-MOST_NODES = 512
+MAX_SAMPLE_AGE = clock.seconds(8)
+MAX_NODES = 512
 INACTIVE, PENDING, FIRING = "inactive", "pending", "firing"
 
 
@@ -71,7 +71,7 @@
         """Receive samples from nodes."""
         while True:
             message = await self.duty.inbox.get()
-            if isinstance(message, sample.Sampled) and (message.node in self.heard or len(self.heard) < MOST_NODES):
+            if isinstance(message, sample.Sampled) and (message.node in self.heard or len(self.heard) < MAX_NODES):
                 self.heard[message.node] = (clock.now(), message.samples)
 
     async def evaluate(self) -> None:
@@ -84,7 +84,7 @@
             now = clock.now()
             if not self.held:
                 self.take_over(now)
-            self.heard = {name: entry for name, entry in self.heard.items() if now - entry[0] < STALE}
+            self.heard = {name: entry for name, entry in self.heard.items() if now - entry[0] < MAX_SAMPLE_AGE}
             samples = tuple(one for _, node_samples in self.heard.values() for one in node_samples)
             rules = self.node.relay.configuration.rules
             initial = State(INACTIVE, now, now)
--- a/aspencroft/configuration/resources.py
+++ b/aspencroft/configuration/resources.py
@@ -13,7 +13,7 @@
 
 MAX_PLAN_BYTES = 8 << 20
 MAX_RESOURCES = 200_000
-CHECKS_KEPT = 20_000
+MAX_CACHED_CHECKS = 20_000
 HTTP_ROUTES = "http_routes"
 TENANTS = "tenants"
 ACCESS = "access"
@@ -175,7 +175,7 @@
     return tuple(faults)
 
 
-@functools.lru_cache(CHECKS_KEPT)
+@functools.lru_cache(MAX_CACHED_CHECKS)
 def check_resource_cached(kind: str, name: str, text: str) -> tuple[Fault, ...]:
     """Validate one resource through a cache, which is filled in slices before a write is decided."""
     return check_resource(kind, name, text)
