--- a/aspencroft/power/machine_power.py
+++ b/aspencroft/power/machine_power.py
@@ -51,7 +51,7 @@
         self.wake_time = INITIAL_WAKE_TIME
         self.changed = clock.ZERO
         self.started = clock.ZERO
-        self.hurry = asyncio.Event()
+        self.step_requested = asyncio.Event()
         self.counts = {"slept": 0, "woken": 0, "orders failed": 0}
 
     async def run(self) -> None:
@@ -69,17 +69,17 @@
                 self.served.append((clock.now(), message.worker, message.took.total_seconds()))
             elif isinstance(message, messages.Wanted):
                 self.wanted.add(message.worker)
-                self.hurry.set()
+                self.step_requested.set()
 
     async def work(self) -> None:
         """Do one step per second, or at once if a sleeping machine is needed."""
         while True:
             try:
                 async with clock.limit(STEP):
-                    await self.hurry.wait()
+                    await self.step_requested.wait()
             except TimeoutError:
                 pass
-            self.hurry.clear()
+            self.step_requested.clear()
             if not self.duty.has_lease():
                 self.started = clock.ZERO
                 continue
