--- a/aspencroft/configuration/operator_configuration.py
+++ b/aspencroft/configuration/operator_configuration.py
@@ -136,7 +136,7 @@
         record = self.taken.find(command.version)
         if record is not None and record.digest == command.digest:
             return record
-        if self.taken.forgotten(command.version) and command.condition < command.version:
+        if self.taken.may_be_discarded(command.version) and command.condition < command.version:
             raise result.RequestError(
                 result.ResultCode.OUTCOME_UNKNOWN,
                 result.Ran.UNKNOWN,
@@ -269,7 +269,7 @@
         """Apply a configuration that was accepted."""
         self.version = taken.version
         self.taken.add(taken)
-        self.refused.forget_below(taken.version)
+        self.refused.discard_below(taken.version)
         for item in kept:
             group = self.groups.setdefault(item.group, {})
             if item.text:
--- a/aspencroft/configuration/refused_orders.py
+++ b/aspencroft/configuration/refused_orders.py
@@ -12,7 +12,7 @@
 
 from aspencroft.transport import codec
 
-MOST_REFUSALS = 4096
+MAX_REFUSALS = 4096
 """The bound of the record; when it is full, a rejection that would need an entry is reported as unknown outcome."""
 
 
@@ -46,13 +46,13 @@
 
     def is_full(self) -> bool:
         """Whether the record has reached its bound."""
-        return len(self.refusals) >= MOST_REFUSALS
+        return len(self.refusals) >= MAX_REFUSALS
 
     def add(self, refused: OrderRefused) -> None:
         """Record a rejection."""
         self.refusals[refused.version, refused.digest] = refused
 
-    def forget_below(self, version: int) -> None:
+    def discard_below(self, version: int) -> None:
         """Discard rejections of orders with a condition below a version, as these can never be accepted."""
         if self.refusals:
             self.refusals = {key: refusal for key, refusal in self.refusals.items() if refusal.condition >= version}
--- a/aspencroft/configuration/taken_orders.py
+++ b/aspencroft/configuration/taken_orders.py
@@ -13,7 +13,7 @@
 from aspencroft.transport import codec
 
 DIGEST_BYTES = 16
-MOST_RECORDS = 1 << 16
+MAX_RECORDS = 1 << 16
 MAX_RECORDS_IN_OLD_SNAPSHOT = 256
 RECORD = struct.Struct(f">QQQ{DIGEST_BYTES}s")
 
@@ -53,7 +53,7 @@
         _, epoch, number, digest = RECORD.unpack_from(self.records, position * RECORD.size)
         return Taken(version, digest, f"{epoch}.{number}")
 
-    def forgotten(self, version: int) -> bool:
+    def may_be_discarded(self, version: int) -> bool:
         """Whether the record of an order with this version may have been discarded."""
         return version <= self.horizon
 
@@ -61,7 +61,7 @@
         """Record an order, whose version is above all others, and discard the oldest records beyond the bound."""
         epoch, number = map(int, taken.revision.split("."))
         self.records += RECORD.pack(taken.version, epoch, number, taken.digest)
-        excess = len(self) - MOST_RECORDS
+        excess = len(self) - MAX_RECORDS
         if excess > 0:
             self.horizon = self.version_at(excess - 1)
             del self.records[: excess * RECORD.size]
--- a/aspencroft/simulation/mutations.py
+++ b/aspencroft/simulation/mutations.py
@@ -559,8 +559,8 @@
     Mutation(
         "only the last 256 taken orders are known again",
         "configuration/taken_orders.py",
-        "MOST_RECORDS = 1 << 16\n",
-        "MOST_RECORDS = 256\n",
+        "MAX_RECORDS = 1 << 16\n",
+        "MAX_RECORDS = 256\n",
         (
             "configuration/taken_orders_test.py::test_every_order_of_a_long_day_is_known_again_also_after_a_restart_and_never_taken_twice",
         ),
@@ -568,7 +568,7 @@
     Mutation(
         "an order below the horizon of the record is called refused",
         "configuration/operator_configuration.py",
-        "        if self.taken.forgotten(command.version) and command.condition < command.version:\n",
+        "        if self.taken.may_be_discarded(command.version) and command.condition < command.version:\n",
         "        if False:\n",
         ("configuration/orders_stateful_test.py",),
     ),
