--- a/aspencroft/simulation/forwarding.py
+++ b/aspencroft/simulation/forwarding.py
@@ -1229,7 +1229,7 @@
     found = {}
     for word in " ".join(wrong[:SHOWN]).replace(",", " ").replace("(", " ").split():
         for name, forwarding in day.world.forwarders.items():
-            for scenario in forwarding.traces.told(word) if word.startswith("a") and word[1:].isdigit() else ():
+            for scenario in forwarding.traces.find(word) if word.startswith("a") and word[1:].isdigit() else ():
                 found[f"{word} at {name}"] = [
                     f"+{line.after.total_seconds():.3f} {line.what} {line.detail}"[:200] for line in scenario.lines
                 ]
