--- a/aspencroft/replication/group_replica.py
+++ b/aspencroft/replication/group_replica.py
@@ -42,14 +42,14 @@
 
     def __init__(
         self,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         links: connections.Link,
         voters: proposer.Proposer,
         address: str,
         area: str,
         policy: group_state.GroupPolicy,
     ):
-        super().__init__(held, links, voters, address, area, policy)
+        super().__init__(local_replica, links, voters, address, area, policy)
         self.log_shipping = log_shipping.LogShipping(self)
         self.replica_changes = replica_changes.ReplicaChanges(self, self.log_shipping)
         self.primary = primary.Primary(self, self.log_shipping, self.replica_changes)
@@ -107,13 +107,13 @@
     async def stand_by(self) -> None:
         """As a non-member: wait for a replica set that names this node; meanwhile release leftover data."""
         self.status_reason = "bystander"
-        began = clock.now()
+        started = clock.now()
         while not self.changed.is_set():
             try:
                 async with clock.limit(RELEASE_DELAY):
                     await self.changed.wait()
             except TimeoutError:
-                if clock.now() - max(began, self.primary_contact.at) >= RELEASE_DELAY and self.replica.has_state():
+                if clock.now() - max(started, self.primary_contact.at) >= RELEASE_DELAY and self.replica.has_state():
                     await self.release()
 
     async def release(self) -> None:
--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -159,15 +159,15 @@
 
     def __init__(
         self,
-        held: replica.Replica,
+        local_replica: replica.Replica,
         links: connections.Link,
         voters: proposer.Proposer,
         address: str,
         area: str,
         policy: GroupPolicy,
     ):
-        self.replica = held
-        self.group_id = held.group_id
+        self.replica = local_replica
+        self.group_id = local_replica.group_id
         self.link = links
         self.proposer = voters
         self.address = address
@@ -175,7 +175,7 @@
         self.policy = policy
         self.known: replica_set.ReplicaSet | None = None
         self.lease = LeaseState()
-        self.role_state = role.RoleState(held.group_id)
+        self.role_state = role.RoleState(local_replica.group_id)
         self.move = ReplicaMove()
         self.primary_contact = PrimaryContact()
         self.suspected_peers = SuspectedPeers()
@@ -194,7 +194,7 @@
             "moves": 0,
             "released": 0,
         }
-        self.service_status = service_status.ServiceStatus(held.group_id)
+        self.service_status = service_status.ServiceStatus(local_replica.group_id)
 
     def me(self) -> replica_set.ReplicaId:
         """This node's replica id in the group."""
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -26,7 +26,7 @@
 LEASE_RENEWAL_PERIOD = clock.seconds(0.25)
 """Pause between two lease renewals: several fit into one lease, so that a single lost reply does not end it."""
 HEARTBEAT_PERIOD = clock.seconds(0.2)
-"""Longest pause between two appends: backups start a takeover when no append arrives for longer."""
+"""Longest pause between two appends: backups take a primary without appends for lost (``backup.PRIMARY_TIMEOUT``)."""
 MAX_QUEUED = 1024
 """Maximum number of commands queued for a batch; further commands are rejected."""
 MAX_BATCH = 256
--- a/aspencroft/replication/replica_changes.py
+++ b/aspencroft/replication/replica_changes.py
@@ -1,4 +1,4 @@
-"""Changes of a group's members: adding replicas, and moving them off drained, stopping or overloaded machines."""
+"""Changes of a group's members: adding replicas, moving them off drained or stopping machines, and to emptier disks."""
 
 import asyncio
 import datetime
