--- a/aspencroft/replication/group_state.py
+++ b/aspencroft/replication/group_state.py
@@ -42,8 +42,9 @@
 class GroupPolicy:
     """Functions and numbers by which a node controls the replica of a group.
 
-    ``candidates`` lists the nodes that could hold a replica, ``is_drained`` tells whether a node is to hold none, and
-    ``is_lost`` whether it is lost. ``publish`` passes on a newly learned replica set.
+    ``candidates`` lists the nodes that could hold a replica, and ``is_drained`` tells whether a node is to hold none.
+    ``is_lost`` tells whether a run of a node, given by address and incarnation, has ended, even if the node runs again.
+    ``publish`` passes on a newly learned replica set.
 
     ``required_replicas`` is the number of disks that must hold acknowledged data, ``target_replica_count`` the intended
     number of members. ``records`` returns the newest replica sets of all groups known here, ``payload_limit`` the
--- a/aspencroft/replication/messages.py
+++ b/aspencroft/replication/messages.py
@@ -116,7 +116,7 @@
 @codec.kind(59)
 @dataclasses.dataclass(frozen=True)
 class FetchedLog:
-    """Entries after the position, or a snapshot and the entries after it; both empty at the end of the log.
+    """Entries after the position, or a snapshot and the entries after it; both empty if there is nothing to take.
 
     ``is_lost`` tells that the identity does not match: the data of the requested replica is lost.
     """
--- a/aspencroft/replication/primary.py
+++ b/aspencroft/replication/primary.py
@@ -26,7 +26,7 @@
 LEASE_RENEWAL_PERIOD = clock.seconds(0.25)
 """Pause between two lease renewals: several fit into one lease, so that a single lost reply does not end it."""
 HEARTBEAT_PERIOD = clock.seconds(0.2)
-"""Longest pause between two appends: backups start a takeover when no append arrives for longer."""
+"""Longest pause between two appends: well below the time-out after which backups take a silent primary for lost."""
 MAX_QUEUED = 1024
 """Maximum number of commands queued for a batch; further commands are rejected."""
 MAX_BATCH = 256
@@ -195,7 +195,7 @@
         return unchanged and bool(newest or (not state.has_lease() and answered))
 
     async def confirm_record(self, reason: str) -> None:
-        """Run a ballot that confirms the current replica set unchanged, and learn its result."""
+        """Have the current replica set chosen once more by a ballot, and learn the result; its epoch may be higher."""
         state = self.state
         state.status_reason = reason
         try:
@@ -464,6 +464,10 @@
 
 
 def fail(reply: asyncio.Future, refusal: result.RequestError) -> None:
-    """Fail a submission. Reading the exception keeps asyncio from reporting it when nobody awaits the reply."""
+    """Fail a submission.
+
+    Nobody need await the reply, as with the commands of timers: reading the exception here keeps asyncio from
+    reporting it.
+    """
     reply.set_exception(refusal)
     reply.exception()
--- a/aspencroft/replication/replica_storage.py
+++ b/aspencroft/replication/replica_storage.py
@@ -57,7 +57,10 @@
         self.write_lock = asyncio.Lock()
         self.write_started: datetime.timedelta | None = None
         self.snapshot_tail: list[data_file.Record] | None = None
-        """Items written since a snapshot was begun; None if no snapshot is in progress, or it was invalidated."""
+        """Items written since a snapshot was begun, which belong after it in the new generation.
+
+        None if no snapshot is in progress, or it was invalidated.
+        """
 
     @property
     def current(self) -> store.Store:
--- a/aspencroft/replication/role.py
+++ b/aspencroft/replication/role.py
@@ -37,7 +37,7 @@
 LEADERSHIP_ROLES = frozenset(
     (ReplicaRole.CANDIDATE, ReplicaRole.ACQUIRING_LEASE, ReplicaRole.LEADER, ReplicaRole.STEPPING_DOWN)
 )
-"""Roles whose start or end is logged for on-call operators; the other roles occur at every start of a node."""
+"""Roles whose start or end is logged as a notice, for those on call; the other roles come with any start of a node."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/aspencroft/replication/snapshot_transfer.py
+++ b/aspencroft/replication/snapshot_transfer.py
@@ -105,7 +105,7 @@
         return self.group.known
 
     def transfer_of(self, snapshot: log_records.EncodedSnapshot) -> Transfer:
-        """The transfer of this very snapshot: a retry or another receiver uses the same id."""
+        """The transfer of this very snapshot: a retry, or another receiver, resumes it under the same id."""
         if self.current is None or self.current.snapshot is not snapshot:
             transfer_id = self.group.replica.environment.randomness.getrandbits(62) + 1
             self.current = Transfer(transfer_id, snapshot)
--- a/aspencroft/replication/state_machine.py
+++ b/aspencroft/replication/state_machine.py
@@ -51,7 +51,10 @@
     def due(
         self, now: datetime.timedelta, gone: collections.abc.Callable[[str], bool]
     ) -> collections.abc.Sequence[Command]:
-        """Return the commands whose time has come; ``gone`` tells whether the node at an address is lost."""
+        """Return the commands whose time has come.
+
+        ``gone`` tells whether a run of a node, given by address and incarnation, has ended.
+        """
         ...
 
     def snapshot(self) -> bytes:
