--- a/aspencroft/gateway/wait_queue.py
+++ b/aspencroft/gateway/wait_queue.py
@@ -23,7 +23,8 @@
     def expected(self, position: int, now: datetime.timedelta) -> datetime.timedelta:
         """Return the expected wait of the call at a position in the row.
 
-        It is the mean interval so far, plus the current stall, if any, which is assumed to last as long again.
+        It is the mean interval so far for each call up to and including that position. The time of a current stall is
+        added, as a stall is assumed to last as long again as it has lasted.
         """
         interval = self.default_interval if self.interval is None else self.interval
         return interval * (position + 1) + max(clock.ZERO, now - self.last_free_at - interval)
--- a/aspencroft/gateway/worker_view.py
+++ b/aspencroft/gateway/worker_view.py
@@ -16,7 +16,10 @@
 
 
 class WorkerView:
-    """An edge's knowledge of workers, from published topics and the results of its own calls; no worker is probed."""
+    """An edge's knowledge of workers, for which no worker is probed.
+
+    It comes from the platform's list, from published topics and from the results of the edge's own calls.
+    """
 
     def __init__(self, own: node.Node):
         self.node = own
--- a/aspencroft/workers/adapter.py
+++ b/aspencroft/workers/adapter.py
@@ -1,4 +1,7 @@
-"""HTTP adapter to workers and the list of workers. No other module knows the wire format of lists, work and orders."""
+"""HTTP adapter to workers and the list of workers.
+
+No other module knows the wire format of the list, of calls, orders and reports.
+"""
 
 import collections
 import collections.abc
@@ -131,7 +134,8 @@
     ) -> tuple[int, object]:
         """Return the status and the JSON of a page.
 
-        :raises result.RequestError: UNREACHABLE if no response came, or if it is too large or not valid JSON
+        :raises result.RequestError: UNREACHABLE if no response came, or if it is too large or not valid JSON, or if its
+            status is neither a success nor 409; the outcome is unknown
         """
         try:
             async with clock.limit(within), self.client.stream(method, url, json=body) as response:
--- a/aspencroft/workers/pool.py
+++ b/aspencroft/workers/pool.py
@@ -178,7 +178,8 @@
 class Response:
     """A worker's response whose head was read; it must be closed.
 
-    ``reused`` says that the connection had carried another request before.
+    ``status`` and ``headers`` are the worker's own. ``reused`` says that the connection had carried another
+    request before.
     """
 
     def __init__(self, pool: "Pool", connection: Connection, head: Head):
