--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -54,6 +54,8 @@
 MAX_CONNECTIONS = 64
 LOAD_LIMIT = 1.25
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses that suggest that a request did not run. A status alone does not prove it: unless the worker states it,
+``check_head`` raises an error with an unknown outcome for a request that is not idempotent."""
 GROUP_UNAVAILABLE = (
     result.ResultCode.UNREACHABLE,
     result.ResultCode.NOT_PRIMARY,
@@ -86,8 +88,8 @@
 class Attempts:
     """Counts of the requests sent to workers for one call; a hedge shares them with the attempts it competes with.
 
-    ``possibly_run`` counts requests that no worker reported as not run, ``in_flight`` those without a complete response
-    so far.
+    ``possibly_run`` counts requests that neither the pool nor a worker reported as not run. ``in_flight`` counts
+    attempts that have not failed, received a complete response or begun a stream so far.
 
     Example: ``Attempts().sent == 0``
     """
@@ -200,7 +202,7 @@
         return not self.node.stopping.is_set() and self.node.relay.current() and bool(self.instances.listed)
 
     def admit(self, request: call.Call) -> CallState:
-        """Find the call's route, tenant and deadline, or reject it as not run if this edge cannot serve it."""
+        """Find the call's route, tenant and deadline; raise a RequestError if the call cannot be admitted."""
         self.counts["asked"] += 1
         if self.closed:
             raise result.RequestError(result.ResultCode.LEAVING, retry=RETRY_SOON)
@@ -227,7 +229,8 @@
     async def wait_for_configuration(self, request: call.Call) -> None:
         """Delay a call for a part of its time limit while a newly started edge has no configuration or workers.
 
-        The time limit includes that of the route if an older configuration has it.
+        The time limit is the caller's, or the route's time-out if that is shorter and an older configuration has the
+        route.
         """
         route = self.node.relay.configuration.route_table.match(request.host, request.path())
         limit = (
@@ -296,16 +299,17 @@
             state.quota_grant = await self.quotas.reserve(holder, self.group_wait_limit(state))
 
     def return_quota(self, state: CallState) -> None:
-        """Return the quota of a call that did not run to its tenant."""
+        """Drop the call's quota grant; if the call did not run, the grant is returned to the tenant's quota."""
         if state.quota_grant is not None and not state.attempts.possibly_run:
             self.quotas.return_grant(state.quota_grant)
         state.quota_grant = None
 
     def group_wait_limit(self, state: CallState) -> datetime.timedelta:
-        """How long a call waits for a session group, whose primary may be changing, which takes about a second.
+        """How long a call waits for a session group. A change of the group's primary takes about a second.
 
-        A waiting call is retried continuously and proceeds as soon as the group serves. The limit leaves the caller
-        time for a retry of its own. All waits of a call share one deadline, but each group gets a short minimum.
+        A waiting call is retried continuously and proceeds as soon as the group serves. The limit is a share of the
+        remaining time, so that the caller can retry, or the latency target if that is longer. All waits of a call
+        share one end, but each group gets a short minimum; no wait exceeds the call's deadline.
         """
         now = clock.now()
         left = state.deadline - now
@@ -349,6 +353,7 @@
             cached_turn,
             (),
         )
+        # Set before the submit, because the command may take effect although its reply is lost.
         state.turn_reserved = True
         try:
             reply = await self.submit_to_group(state, state.program, command)
@@ -430,7 +435,10 @@
     # -- worker selection ------------------------------------------------------------------------
 
     def choose(self, state: CallState) -> tuple[instance.Instance | None, str]:
-        """Choose a worker that the current configuration allows for the call; also return the reason in words."""
+        """Choose a worker that the current configuration allows for the call; also return the reason in words.
+
+        This checks the route and the caller's access again and replaces ``state.route`` by the current route.
+        """
         route = self.node.relay.configuration.http_routes.get(state.route.name)
         if route is None or (route.host, route.prefix) != (state.route.host, state.route.prefix):
             raise result.RequestError(result.ResultCode.UNKNOWN_ROUTE, detail=state.route.name)
@@ -467,9 +475,10 @@
         return state.route.rank if holder is None or holder.rank is None else holder.rank
 
     async def wait_for_worker(self, state: CallState) -> instance.Instance:
-        """Wait for a worker with a free slot for the call, up to a fraction of the route's latency target.
+        """Wait for a worker with a free slot for the call.
 
-        For the first half of that time the call yields to more urgent calls that wait on this edge; after that all
+        The limit is a quarter of the route's latency target, or of its time-out if it has no target, and at most a
+        quarter of the time that the call has left. For the first half of that time the call yields to more urgent calls that wait on this edge; after that all
         calls are equal, so that none starves.
         """
         now = clock.now()
@@ -519,7 +528,7 @@
             await cancel_and_wait(first)
 
     async def hedge(self, state: CallState, first: asyncio.Task) -> call.Answer:
-        """Start a second attempt while the first has not answered within the latency target: its answer may be lost.
+        """Start a second attempt because the first has not answered within the latency target.
 
         The first answer wins. Only idempotent requests are hedged, and both attempts count towards the limit of the
         route.
@@ -594,8 +603,9 @@
     ) -> pool.Response:
         """Send the call to a worker once and wait for the head of the response.
 
-        The call counts as sent and as possibly run from before its first byte is written until the pool or the worker
-        reports that it did not run.
+        The call counts as sent and as possibly run from before its first byte is written. A report of the pool that it
+        did not run undoes both counts; a rejection by the worker undoes only ``possibly_run``, in ``check_head``, so
+        that it still uses up an attempt.
         """
         request, attempts = state.call, state.attempts
         if state.exhausted():
@@ -621,7 +631,7 @@
             raise
 
     async def check_head(self, state: CallState, response: pool.Response, head: call.Head) -> None:
-        """Raise unless the response may be passed on: the worker rejected the call, or it is unclear whether it ran."""
+        """Raise if the worker rejected the call or if the response leaves it unclear whether the call ran."""
         declined = head.misdirected or head.not_run
         if declined and (head.attempt or not response.reused or state.is_idempotent()):
             state.attempts.possibly_run -= 1
@@ -670,7 +680,7 @@
     async def read_answer(
         self, state: CallState, worker: instance.Instance, response: pool.Response, head: call.Head
     ) -> call.Answer:
-        """Read a response that is not a stream completely before any of it is passed on."""
+        """Read the whole body of a response that is not a stream; nothing is passed on before that."""
         try:
             body = await response.read()
         except result.RequestError as error:
@@ -690,6 +700,7 @@
             )
             state.key_reserved = False
         if state.turn_reserved:
+            # The answer to a turn is read here only if its status is not 2xx; its token count is not known.
             self.finish_turn_later(state, messages.UNKNOWN)
         self.counts["answered"] += 1
         self.add_trace(state, "answered", f"{worker.name}: {response.status}")
@@ -767,6 +778,7 @@
                 await source.response.close(False)
                 self.release(source.worker)
             if state.turn_reserved:
+                # The stream did not end normally, or its end was not confirmed by the session group.
                 self.finish_turn_later(state, messages.UNKNOWN)
 
     async def close_complete(self, source: StreamSource, pace_timer: stream_pace.PaceTimer) -> None:
@@ -903,7 +915,10 @@
             self.completions.offer(self.group_of(key), entry.CloseKey(key, state.attempt_id(), outcome, 0, (), b""))
 
     async def drain(self) -> None:
-        """Serve on while callers are still routed to this edge, then reject new calls and let pending ones finish."""
+        """Serve for a fixed time, as callers may still be routed to this edge, then reject new calls.
+
+        Pending calls and completions have until ``DRAIN_TIMEOUT`` after the start to finish.
+        """
         began = clock.now()
         self.draining = True
         while clock.now() < began + DRAIN_TIMEOUT:
