--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -478,8 +478,8 @@
         """Wait for a worker with a free slot for the call.
 
         The limit is a quarter of the route's latency target, or of its time-out if it has no target, and at most a
-        quarter of the time that the call has left. For the first half of that time the call yields to more urgent calls that wait on this edge; after that all
-        calls are equal, so that none starves.
+        quarter of the time that the call has left. For the first half of that wait the call yields to more urgent calls
+        that wait on this edge; after that all calls are equal, so that none starves.
         """
         now = clock.now()
         wait = min(state.route.aim or state.route.timeout, state.deadline - now) / WORKER_WAIT_AIM_DIVISOR
--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -31,9 +31,11 @@
 
 
 class Replica:
-    """A replica of one group. Disk and memory never differ, even if callers are cancelled.
+    """A replica of one group. Disk and log in memory hold the same entries, even if callers are cancelled.
 
-    The disk is written first, and the change in memory follows in the same uninterrupted step.
+    Entries and replica sets are written to the disk first; the change in memory follows in the same uninterrupted step.
+    The state may be ahead of the log while a primary syncs its entries. A cancelled ``begin_repair`` may leave its goal
+    only on disk. ``open`` and ``release`` set a new identity in memory before it is written.
     """
 
     def __init__(
@@ -84,8 +86,8 @@
     def restore_record(self, record: log_records.StoredRecord, chunks: list[bytes]) -> None:
         """Process the next record of the disk; ``chunks`` belong to a snapshot whose end was not read yet.
 
-        An entry replaces an earlier entry with the same sequence, and all entries after that one: its writer did not
-        hold them. Earlier versions left such entries on disk when the caller of a write was cancelled.
+        An entry replaces an earlier entry with the same sequence, and all entries after that one, because the replica
+        no longer held them in memory when it wrote the later entry. Earlier versions left such entries on disk when the caller of a write was cancelled.
         """
         if isinstance(record, log_records.Identity):
             self.identity = record.identity
@@ -114,7 +116,7 @@
             self.log.append(record)
 
     def header_records(self) -> list[log_records.StoredRecord]:
-        """The records at the start of each generation on disk, before the snapshot."""
+        """The records at the start of each data file generation, before the snapshot."""
         return [
             log_records.Identity(self.identity),
             *([self.record] if self.record else []),
@@ -138,7 +140,10 @@
         return bool(self.log.entries or self.log.snapshot.sequence)
 
     def is_incomplete(self) -> bool:
-        """Whether an unfinished repair may have left this replica without some acknowledged entries."""
+        """Whether an unfinished repair may have left this replica without some acknowledged entries.
+
+        This also ends a repair whose goal is reached.
+        """
         if self.goal is not None:
             is_past = self.goal.sequence < self.log.snapshot.sequence
             if is_past or self.log.has_position(self.goal):
@@ -229,7 +234,7 @@
         self.apply_all(entries)
 
     async def write_entries(self, entries: tuple[log_records.Entry, ...]) -> None:
-        """As the primary: make entries durable that follow the last one and are already applied.
+        """As the primary: make durable the entries that follow the log's last one; the state has them already.
 
         Raises:
             OSError: The disk failed; the log is unchanged.
@@ -278,7 +283,8 @@
         """Make the log match the primary's; return its new end.
 
         Args:
-            keep_through: The last sequence at which the logs match; later entries are dropped.
+            keep_through: The last sequence at which the logs match; later entries are dropped. With a snapshot it must
+                be the snapshot's sequence.
             snapshot: Replaces the whole log, if the logs match nowhere.
             entries: The primary's entries after that.
 
--- a/aspencroft/sessions/call_sessions.py
+++ b/aspencroft/sessions/call_sessions.py
@@ -1,4 +1,7 @@
-"""Replicated state machine for the opaque calls of a session group: token budgets, turn history, operation keys."""
+"""Replicated state machine for the opaque calls of a session group: token budgets, turn history, operation keys.
+
+Opaque calls are requests that are passed to workers unread.
+"""
 
 import collections.abc
 import datetime
@@ -19,7 +22,7 @@
 )
 
 FIRST_TURN_SHARE = 0.9
-"""Share of the payload limit up to which new chains may begin; the rest is left to continue existing chains."""
+"""New chains may begin only below this share of the payload limit; existing chains may use all of it."""
 MAX_PAYLOAD_BYTES = 24 << 20
 """Limit on the history and stored answers of a group; a machine with little memory sets a lower one."""
 OVERLOADED_RETRY_AFTER = clock.seconds(5)
@@ -28,10 +31,10 @@
 class CallSessions:
     """Token budgets, turns, operation keys and request quotas of a session group.
 
-    A command is decided into events, and applying events is the only way to change the replicated state. Deciding
+    Deciding a command returns events, and applying events is the only way to change the replicated state. Deciding
     changes only the primary's local timers and its request counts. A timer starts when this primary first sees an
     item, so that neither a takeover nor a restart shortens a retention period. Replicas apply the same events in the
-    same order and therefore hold the same state, including the order of their tables.
+    same order and therefore hold the same state, including the order of the items in each table.
     """
 
     def __init__(self) -> None:
@@ -92,7 +95,8 @@
     def begin_turn(self, command: entry.BeginTurn, now: datetime.timedelta) -> entry.Decision:
         """Start a turn, once for each attempt, while used plus reserved tokens are below the program's budget.
 
-        The order of the checks decides which result a caller gets: an attempt that ran never gets OUT_OF_BUDGET.
+        A program without a budget is not limited. The order of the checks decides which result a caller gets: an
+        attempt that ran never gets OUT_OF_BUDGET.
         """
         repeated = self.history.repeated_start(command)
         if repeated is not None:
@@ -139,7 +143,10 @@
         return (event,), self.history.start_reply(command.previous, command.held_turn, worker, imported)
 
     def has_room(self, command: entry.BeginTurn, imported: tuple[entry.Turn, ...]) -> bool:
-        """Return whether the payload limit has room for a turn's history; it is lower for the first turn of a chain."""
+        """Return whether the payload limit, lower for the first turn of a chain, has room for the imported turns.
+
+        The size of the new turn itself is not known yet and not counted.
+        """
         added = sum(map(turn_history.turn_bytes, imported))
         share = 1.0 if command.previous else FIRST_TURN_SHARE
         return self.payload_bytes() + added < share * self.max_payload_bytes
@@ -151,7 +158,8 @@
     def end_turn(self, command: entry.EndTurn, now: datetime.timedelta) -> entry.Decision:
         """End a turn. Its outcome is final, except that UNKNOWN may be replaced by a known one later.
 
-        An attempt that did not run can never begin afterwards.
+        An attempt that ended as not run can never begin afterwards: a start command that arrives later is rejected as
+        STALE_TURN while the attempt is remembered.
 
         :raises result.RequestError: MALFORMED, UNKNOWN_TURN, or STALE_TURN if the outcome arrived too late to count
         """
@@ -192,7 +200,10 @@
         return (event,), messages.Closed(command.outcome)
 
     def end_unknown_attempt(self, command: entry.EndTurn, now: datetime.timedelta) -> entry.Decision:
-        """End an attempt that this group does not know. If it did not run, its start command may still arrive.
+        """End an attempt that this group does not know.
+
+        An attempt that did not run is recorded as finished, because its start command may still arrive: it is then
+        rejected as STALE_TURN.
 
         :raises result.RequestError: UNKNOWN_TURN unless the attempt did not run, OVERLOADED at the limit of turns
         """
@@ -220,7 +231,7 @@
         return self.quotas.decide_record(command, now)
 
     def tick(self, command: entry.Tick, now: datetime.timedelta) -> entry.Decision:
-        """Advance the group's time by one tick, if that much time has passed."""
+        """Advance the group's time by one tick if at least that much time has passed since the last tick."""
         return self.group_clock.decide_tick(command, now)
 
     def forget(self, command: entry.Forget, now: datetime.timedelta) -> entry.Decision:
@@ -285,7 +296,8 @@
                 )
             )
         if started:
-            # Unpin last: if the turn is retained, ``retain`` has pinned the predecessor, so it was never unpinned.
+            # Unpin last: if the turn is retained, ``retain`` has pinned the predecessor already, so that its number of
+            # pins does not fall to zero in between.
             self.history.unpin(started.previous)
 
     def apply_key_reserved(self, event: entry.KeyClaimed) -> None:
@@ -299,7 +311,8 @@
     def apply_requests_counted(self, event: entry.RequestsCounted) -> None:
         """Store the record of a tenant's grants, with the time at which this replica saw it.
 
-        That time gives the minimum age of the grants after a takeover; it is unknown if no event loop is running.
+        That time gives the minimum age of the grants after a takeover. If no event loop is running, the time is
+        unknown and None is stored.
         """
         try:
             seen_at = clock.now()
@@ -334,8 +347,9 @@
         """Return the timer commands that are due.
 
         They end work in flight whose edge is gone or whose time limit has passed, write quota records and a tick, and
-        forget expired items. All work in flight is checked on each call, the rest in bounded steps. The first check of
-        an item starts its timer.
+        forget expired items. All work in flight is checked on each call, the rest in bounded steps. Of the commands
+        that end work, and of the quota records, at most ``DUE_LIMIT`` each are returned at once. The first check of an
+        item starts its timer.
         """
         is_gone = functools.cache(is_edge_gone)
         overdue: list[entry.Command] = [*self.history.find_overdue(now, is_gone)]
