--- a/aspencroft/replication/replica.py
+++ b/aspencroft/replication/replica.py
@@ -87,7 +87,8 @@
         """Process the next record of the disk; ``chunks`` belong to a snapshot whose end was not read yet.
 
         An entry replaces an earlier entry with the same sequence, and all entries after that one, because the replica
-        no longer held them in memory when it wrote the later entry. Earlier versions left such entries on disk when the caller of a write was cancelled.
+        no longer held them in memory when it wrote the later entry. Earlier versions left such entries on disk
+        when the caller of a write was cancelled.
         """
         if isinstance(record, log_records.Identity):
             self.identity = record.identity
