--- a/aspencroft/consensus/witness_state.py
+++ b/aspencroft/consensus/witness_state.py
@@ -13,7 +13,7 @@
 from aspencroft.transport import codec
 
 LEASE = clock.seconds(1)
-"""How long a primary may serve after sending a renewal that a majority then grants."""
+"""How long a primary may serve after it sent a lease renewal, provided that a majority granted the renewal."""
 LEASE_MARGIN = clock.seconds(0.15)
 """How much longer than the lease a voter waits, because clocks run at different speeds."""
 NO_BALLOT = 0
@@ -77,13 +77,14 @@
         return voter_set == self.voter_set.number
 
     def lease_wait(self, register: int, requester: str, now: datetime.timedelta) -> datetime.timedelta:
-        """Return how long another holder's lease on a register may still be in force."""
+        """Return how long another holder's lease on a register may still be in force; zero or less if none can be."""
         if register == replica_set.VOTER_SET:
             return clock.ZERO
         grant = self.grants.get(register)
         if grant is not None and grant.lease_holder == requester:
             return clock.ZERO
         current = self.ballot(register)
+        # Without a grant here, a lease of an earlier incarnation can only be that of the accepted primary.
         if grant is None and current.value and str(codec.untagged(current.value).primary) == requester:
             return clock.ZERO
         end = self.leases_expired_at if grant is None else max(grant.end, self.leases_expired_at)
@@ -95,8 +96,8 @@
         """Start from the values on disk; the returned writes must be synced before this voter votes.
 
         Leases of an earlier incarnation are assumed to be granted until they must have expired. ``is_first_start``
-        means that the disk never held anything: a voter of the first voter set then votes at once, since it cannot
-        have lost any state.
+        means that the disk never held anything: a voter that is present in the voter set it was created with then
+        votes at once, since it cannot have lost any state.
         """
         voter_set, recorded = self.voter_set, False
         ballots: dict[int, replica_set.Ballot] = {}
@@ -132,8 +133,8 @@
     def accept(self, message: replica_set.Accept) -> Step[replica_set.BallotReply]:
         """Phase 2; accepts only in a ballot that this incarnation promised.
 
-        An accepted voter set does not come into force before it is chosen: one that only a minority accepted would
-        exclude this voter, and every node that learns the set from it, from all quorums.
+        An accepted voter set does not come into force before it is chosen. Otherwise a set that only a minority
+        accepted would exclude this voter, and every node that learns the set from it, from all quorums.
         """
         if not self.is_current(message.voter_set):
             return self.reject(message.register)
@@ -151,7 +152,7 @@
         return dataclasses.replace(step, state=dataclasses.replace(step.state, grants=grants))
 
     def store_ballot(self, ballot: replica_set.Ballot) -> Step[replica_set.BallotReply]:
-        """Store the new ballot of a register; it is granted after the sync."""
+        """Store the new ballot of a register; the reply that grants it is sent after the ballot is synced."""
         state = dataclasses.replace(self, ballots={**self.ballots, ballot.register: ballot})
         return Step(state, state.reply(True, ballot.register), written_twice(ballot))
 
@@ -168,7 +169,11 @@
         return Step(state, None, written_twice(voter_set))
 
     def learn_chosen(self, message: replica_set.LeaseRequest) -> Step[replica_set.BallotReply]:
-        """Accept the chosen value that a lease request carries if this voter missed its ballot."""
+        """Accept the chosen value that a lease request carries.
+
+        The request is rejected if its voter set is not in force here, or if this voter has accepted a value in the same
+        or a higher ballot or promised a higher one.
+        """
         current = self.ballot(message.register)
         if (
             not self.is_current(message.voter_set)
@@ -207,7 +212,12 @@
     def learn(
         self, voter_set: replica_set.VoterSet, ballots: typing.Iterable[replica_set.Ballot], now: datetime.timedelta
     ) -> Step[None]:
-        """Merge the newest ballots of other voters and start to vote; leases are assumed to be granted."""
+        """Merge the ballots of other voters, take the newer of the two voter sets, and start to vote.
+
+        For each register, the highest promised ballot and the value of the highest accepted ballot are kept. Leases
+        granted earlier are assumed to be in force until they must have expired. A voter that already votes learns
+        nothing.
+        """
         if self.voting:
             return Step(self, None)
         newest = dict(self.ballots)
@@ -223,6 +233,7 @@
             leases_expired_at=now + LEASE + LEASE_MARGIN,
             voting=True,
         )
+        # A disk may lose the last value that was written, so only the last one is written twice.
         return Step(state, None, (*newest.values(), *written_twice(state.voter_set)))
 
 
--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -30,6 +30,13 @@
 
     ``acknowledged`` is the parent that stored this node's subtree last, with that subtree: the next pull from that
     parent lists only the differences.
+
+    Words for the stages of a subtree and of an update:
+
+    - counted: the root has recorded a lease for the node; a relay learns this from the replies of its parent.
+    - confirmed: a pull has listed the node with the revision that it holds.
+    - acknowledged: the parent has stored the subtree that the pull described.
+    - applied: the update has changed the state that this node holds.
     """
 
     def __init__(
@@ -88,7 +95,7 @@
 
     @property
     def children(self) -> typing.Iterable[str]:
-        """Addresses of the children."""
+        """Addresses of the children, including expired ones that were not removed yet."""
         return self.subtree.expiry
 
     @property
@@ -125,7 +132,7 @@
         return True
 
     def push(self) -> None:
-        """Notify the children so that they pull at once."""
+        """Request a pull of this node at once, and notify the children, which then pull in turn."""
         self.pull_requested.set()
         for address in self.subtree.live_children():
             self.counts["pushes"] += 1
@@ -143,10 +150,11 @@
         return self.state.next_chunk(message)
 
     def answer_pull(self, message: updates.Pull, is_root: bool) -> updates.Pulled:
-        """Answer a child with the updates that it lacks and a lease no longer than this node's own.
+        """Answer a child with the updates that it lacks and a lease.
 
-        A child of a relay gets a lease only after the root has counted it: the root must know every node that may act
-        on a configuration. No lease is granted before this node holds a configuration.
+        The root grants the full lease duration, a relay no more than the rest of its own lease. A child of a relay gets
+        a lease only after the root has counted it: the root must know every node that may act on a configuration. While
+        this node holds no configuration, its replies have no lease, although the root records one all the same.
         """
         now = clock.now()
         subtree = self.subtree.resolve(message)
@@ -198,7 +206,7 @@
             self.lease.log_transition(self.current(), self.state.revision, self.root_age())
 
     async def pull(self, parent: str) -> None:
-        """Pull once; a parent that fails or that heard of the root too long ago is avoided for a while."""
+        """Pull once; a parent that cannot be reached or that heard of the root too long ago is avoided for a while."""
         requested_at = clock.now()
         self.counts["pulls"] += 1
         before, subtree = self.state.revision, self.subtree.merge(self.state.revision)
@@ -223,6 +231,8 @@
         if stale:
             self.counts["stale parents"] += 1
             self.avoid_stale_parent(parent, reply.root_age)
+        # Pull again at once to confirm a new revision, and also until the root has counted this node, in the latter case
+        # only if the parent is not stale.
         if before != self.state.revision or (self.address not in self.lease.counted and not stale):
             self.pull_requested.set()
             await clock.sleep(timing.IMMEDIATE_PULL_PAUSE)
@@ -274,7 +284,7 @@
                 return
 
     def avoid_parent(self, parent: str, reason: str) -> None:
-        """Pull from other parents for a while; pull again at once, unless all parents are avoided already."""
+        """Pull from other parents for a while; pull again at once, unless this parent is being avoided already."""
         if self.parents.avoid(parent):
             self.pull_requested.set()
             LOG.info("{} avoids parent {}: {}", self.address, parent, reason)
@@ -313,7 +323,10 @@
         self.root = False
 
     def extend_as_root(self, lease_end: datetime.timedelta) -> None:
-        """As root: record that the root is alive, and extend the lease up to that on the control group."""
+        """As root: record that the root is alive, and extend the configuration lease to the given end.
+
+        The caller passes the end of the lease on the control group.
+        """
         self.root_heard = clock.now()
         self.lease.extend(lease_end)
 
