--- a/aspencroft/distribution/relay.py
+++ b/aspencroft/distribution/relay.py
@@ -231,8 +231,8 @@
         if stale:
             self.counts["stale parents"] += 1
             self.avoid_stale_parent(parent, reply.root_age)
-        # Pull again at once to confirm a new revision, and also until the root has counted this node, in the latter case
-        # only if the parent is not stale.
+        # Pull again at once to confirm a new revision. Do so also until the root has counted this node, but not if the
+        # parent is stale.
         if before != self.state.revision or (self.address not in self.lease.counted and not stale):
             self.pull_requested.set()
             await clock.sleep(timing.IMMEDIATE_PULL_PAUSE)
