--- a/aspencroft/proxy/forwarder.py
+++ b/aspencroft/proxy/forwarder.py
@@ -827,7 +827,7 @@
                 continue
             buffer.start_resumed()
             self.counts["streams continued"] += 1
-            self.add_trace(state, "stream resumed", f"{failed.name}, after event {buffer.last_id or 'none'}")
+            self.add_trace(state, "continued", f"{failed.name}, after event {buffer.last_id or 'none'}")
             return source
         raise error
 
